--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -105,13 +105,13 @@
     /// Drops the group number of a query that the action ends.
     fn forget(&mut self, action: &Action) {
         match action {
-            Action::Answer { query, .. } => {
+            Action::Respond { query, .. } => {
                 if let Some((_, answers)) = self.groups.values_mut().find(|(held, _)| held == query) {
                     *answers -= 1;
                 }
                 self.groups.retain(|_, (_, answers)| *answers > 0);
             }
-            Action::Refuse { query, .. } | Action::Fail { query } => self.forget_query(*query),
+            Action::Reject { query, .. } | Action::Fail { query } => self.forget_query(*query),
             _ => {}
         }
     }
@@ -124,16 +124,16 @@
         match f.name {
             "Sync" => {
                 let news = wire::list_news(f, lists, &mut self.names)?;
-                self.pending.push(Event::List(news));
+                self.pending.push(Event::EndpointUpdate(news));
             }
             "Incoming" => {
                 let group = f.int(7, "GroupNo")?;
                 if f.number(8, "Slab")? < 0.0 {
                     let arrival = wire::arrival(f, &self.names)?;
                     self.groups.insert(group, (arrival.query, self.names.answers(arrival.class)));
-                    self.pending.push(Event::Query(arrival));
+                    self.pending.push(Event::QueryArrived(arrival));
                 } else if let Some(&(query, _)) = self.groups.get(&group) {
-                    self.pending.push(Event::Part(wire::part(f, query)?));
+                    self.pending.push(Event::PartArrived(wire::part(f, query)?));
                 } else {
                     // A part must be well formed even if its query is no longer held.
                     wire::part(f, QueryId(0))?;
@@ -141,18 +141,18 @@
             }
             "Ring" => {
                 f.text(1, "Name")?;
-                self.pending.push(Event::Wake);
+                self.pending.push(Event::TimerExpired);
             }
             "Left" => {
                 let query = QueryId(wire::id(f.text(1, "Job")?)?);
                 self.forget_query(query);
-                self.pending.push(Event::Left(query));
+                self.pending.push(Event::ClientDisconnected(query));
             }
             "Outcome" => self.pending.push(wire::outcome(f)?),
             "StatusBack" => {
                 let server = self.names.server(f.text(1, "Node")?);
                 let passed = f.text(2, "Rc")? == "pass";
-                self.pending.push(Event::Probed { server, passed });
+                self.pending.push(Event::HealthCheckCompleted { backend: server, passed });
             }
             // Other events carry nothing that a router acts on.
             _ => {}
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -4,8 +4,8 @@
 use std::fmt::Write;
 
 use mallowgauge_router::{
-    Action, Arrival, ClassId, Event, ListNews, Micros, Outcome, PartArrival, PartId, Phase, QueryId,
-    ServerEntry, ServerId, Settings, ShardId,
+    Action, BackendId, ClassId, Endpoint, EndpointState, EndpointUpdate, Event, Micros, Outcome, PartArrival,
+    PartId, QueryArrival, QueryId, Settings, ShardId,
 };
 use mallowgauge_settings::{small, zone, Site};
 use serde_json::Value;
@@ -48,7 +48,7 @@
     classes: BTreeMap<String, usize>,
     /// Final and first-step answers that a query of each class is given.
     answers: Vec<u32>,
-    ids: BTreeMap<String, ServerId>,
+    ids: BTreeMap<String, BackendId>,
     servers: Vec<String>,
     zones: Vec<String>,
 }
@@ -58,11 +58,11 @@
         self.answers[class.0]
     }
 
-    pub fn server(&mut self, name: &str) -> ServerId {
+    pub fn server(&mut self, name: &str) -> BackendId {
         if let Some(&id) = self.ids.get(name) {
             return id;
         }
-        let id = ServerId(u32::try_from(self.servers.len()).unwrap_or(u32::MAX));
+        let id = BackendId(u32::try_from(self.servers.len()).unwrap_or(u32::MAX));
         self.ids.insert(name.to_owned(), id);
         self.servers.push(name.to_owned());
         id
@@ -74,7 +74,7 @@
     name: String,
     zone: Option<String>,
     cell: u32,
-    phase: Phase,
+    phase: EndpointState,
     started: Option<Micros>,
 }
 
@@ -86,13 +86,13 @@
             let record = record.as_array().ok_or("Register: an entry is not an array")?;
             let at = |i: usize| record.get(i).unwrap_or(&Value::Null);
             let phase = match at(4).as_str() {
-                Some("ready") => Phase::Ready,
-                Some("draining") => Phase::Draining,
-                Some("gone") => Phase::Gone,
-                _ => return Err("Register: Phase is none of ready, draining, gone".to_owned()),
+                Some("ready") => EndpointState::Ready,
+                Some("draining") => EndpointState::Draining,
+                Some("gone") => EndpointState::Removed,
+                _ => return Err("Register: EndpointState is none of ready, draining, gone".to_owned()),
             };
             let cell = match (at(3), phase) {
-                (Value::Null, Phase::Gone) => 0,
+                (Value::Null, EndpointState::Removed) => 0,
                 (cell, _) => small(cell).ok_or("Register: SlotNo is not a small whole number")?,
             };
             let started = match at(6) {
@@ -114,27 +114,27 @@
     f: &Fields,
     lists: &BTreeMap<u64, Vec<Entry>>,
     names: &mut Names,
-) -> Result<ListNews, String> {
+) -> Result<EndpointUpdate, String> {
     let mode = f.text(1, "Mode")?;
     if mode == "Error" {
-        return Ok(ListNews::Failed);
+        return Ok(EndpointUpdate::Failed);
     }
     let slot = f.int(3, "Slot")?;
     let list = lists.get(&slot).ok_or_else(|| format!("Sync: no list {slot}"))?;
     let entries = list
         .iter()
-        .map(|e| ServerEntry {
-            server: names.server(&e.name),
-            cell: e.cell,
-            phase: e.phase,
-            started: e.started,
+        .map(|e| Endpoint {
+            backend: names.server(&e.name),
+            ring_position: e.cell,
+            state: e.phase,
+            started_at: e.started,
             zone: e.zone.as_ref().and_then(|name| zone(&names.zones, name)),
         })
         .collect();
     match mode {
-        "Partial" => Ok(ListNews::Changes(entries)),
-        "Complete" => Ok(ListNews::Full(entries)),
-        "Persisted" => Ok(ListNews::Saved(entries)),
+        "Partial" => Ok(EndpointUpdate::Delta(entries)),
+        "Complete" => Ok(EndpointUpdate::Snapshot(entries)),
+        "Persisted" => Ok(EndpointUpdate::CachedSnapshot(entries)),
         _ => Err(format!("Sync: Mode {mode} is unknown")),
     }
 }
@@ -155,11 +155,11 @@
     format!("{}-{}-{}-{}-{}", &hex[..8], &hex[8..12], &hex[12..16], &hex[16..20], &hex[20..])
 }
 
-pub fn arrival(f: &Fields, names: &Names) -> Result<Arrival, String> {
+pub fn arrival(f: &Fields, names: &Names) -> Result<QueryArrival, String> {
     let class = f.text(2, "Cls")?;
     let class = names.classes.get(class).ok_or_else(|| format!("Incoming: class {class} is unknown"))?;
     f.number(9, "SizeOrWeight")?;
-    Ok(Arrival {
+    Ok(QueryArrival {
         query: QueryId(id(f.text(1, "Job")?)?),
         class: ClassId(*class),
         expires_in: f.int(5, "ExpiresInUs").or_else(|_| expired(f))?,
@@ -181,23 +181,23 @@
         part: PartId(id(f.text(1, "Job")?)?),
         shard: ShardId(shard),
         weight: f.number(9, "SizeOrWeight")?,
-        harmless: false,
+        idempotent: false,
     })
 }
 
 pub fn outcome(f: &Fields) -> Result<Event, String> {
     let outcome = match f.text(4, "Rc")? {
-        "pass" => Outcome::Served,
-        "fault" => Outcome::Fault,
-        "no_room" => Outcome::NoRoom,
+        "pass" => Outcome::Succeeded,
+        "fault" => Outcome::BackendError,
+        "no_room" => Outcome::Rejected,
         "too_slow" => Outcome::TimedOut,
-        "no_route" => Outcome::NoRoute,
-        "cut" => Outcome::Cut,
+        "no_route" => Outcome::ConnectFailed,
+        "cut" => Outcome::ConnectionLost,
         "undone" => Outcome::Cancelled,
-        "stale_send" => Outcome::NeverSent,
+        "stale_send" => Outcome::NotSent,
         other => return Err(format!("Outcome: Rc {other} is unknown")),
     };
-    Ok(Event::Outcome {
+    Ok(Event::AttemptCompleted {
         part: PartId(id(f.text(1, "Job")?)?),
         attempt: small(f.get(2, "Copy")?).ok_or("Outcome: Copy is not a whole number")?,
         outcome,
@@ -208,34 +208,34 @@
 /// The settings of an instance, and the names that go with them.
 pub fn settings(env: &Value) -> Result<(Settings, Names), String> {
     let site = Site::read(env).map_err(|e| format!("Begin: Env{e}"))?;
-    let answers = site.settings.classes.iter().map(|c| if c.second_step > 0 { 2 } else { 1 }).collect();
+    let answers = site.settings.classes.iter().map(|c| if c.second_step_parts > 0 { 2 } else { 1 }).collect();
     let classes = site.classes.into_iter().enumerate().map(|(i, name)| (name, i)).collect();
     let names = Names { classes, answers, ids: BTreeMap::new(), servers: Vec::new(), zones: site.zones };
     Ok((site.settings, names))
 }
 
 pub fn write(out: &mut String, router: u64, action: &Action, names: &Names) {
-    let node = |id: &ServerId| Value::from(names.servers[id.0 as usize].as_str());
+    let node = |id: &BackendId| Value::from(names.servers[id.0 as usize].as_str());
     let done = match action {
-        Action::Send { part, server, timeout, .. } => {
+        Action::Send { part, backend: server, timeout, .. } => {
             writeln!(out, "[\"SubmitTo\",{router},\"{}\",{timeout},{}]", id_text(part.0), node(server))
         }
         Action::Cancel { part, attempt } => {
             writeln!(out, "[\"StopAttempt\",{router},\"{}\",{attempt}]", id_text(part.0))
         }
-        Action::Answer { query, whole } => {
+        Action::Respond { query, complete: whole } => {
             writeln!(out, "[\"GatherUp\",{router},\"{}\",{whole}]", id_text(query.0))
         }
-        Action::Refuse { query, retry_after } => {
+        Action::Reject { query, retry_after } => {
             writeln!(out, "[\"Decline\",{router},\"{}\",{retry_after}]", id_text(query.0))
         }
         Action::Fail { query } => writeln!(out, "[\"Fail\",{router},\"{}\"]", id_text(query.0)),
         // Only of planned queries, which this wire does not have.
-        Action::Lost { .. } => Ok(()),
-        Action::WakeIn(after) => writeln!(out, "[\"Sleep\",{router},{after},\"wake\"]"),
-        Action::Subscribe => writeln!(out, "[\"Subscribe\",{router},true]"),
-        Action::FetchList => writeln!(out, "[\"Reload\",{router}]"),
-        Action::Probe(server) => writeln!(out, "[\"Test\",{router},{}]", node(server)),
+        Action::PartFailed { .. } => Ok(()),
+        Action::SetTimer(after) => writeln!(out, "[\"Sleep\",{router},{after},\"wake\"]"),
+        Action::WatchEndpoints => writeln!(out, "[\"Subscribe\",{router},true]"),
+        Action::FetchEndpoints => writeln!(out, "[\"Reload\",{router}]"),
+        Action::HealthCheck(server) => writeln!(out, "[\"Test\",{router},{}]", node(server)),
         Action::Log(text) => writeln!(out, "[\"Record\",{router},{}]", Value::from(text.as_str())),
     };
     debug_assert!(done.is_ok(), "writing to a string cannot fail");
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -32,7 +32,7 @@
     pub tables_a_call: usize,
     /// First window of a host's stream.
     pub window: u32,
-    /// Flights whose outcomes are remembered, and their bytes.
+    /// PolledQueries whose outcomes are remembered, and their bytes.
     pub flights: usize,
     /// Bytes of remembered outcomes.
     pub outcomes: usize,
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -2,13 +2,13 @@
 //!
 //! Every byte that a host may still send or has sent is drawn from one budget. A stream opens with a first
 //! window that is always there (it is set aside for as many streams as may be open); for all that comes
-//! beyond, [`Budget::want`] says whether the host may go on. A host that may not is told nothing: its window
-//! stays shut, and HTTP/2 makes it wait. Bytes that readers have not taken yet stay drawn ([`Lease`]), so a
+//! beyond, [`TableMemory::request_window`] says whether the host may go on. A host that may not is told nothing: its window
+//! stays shut, and HTTP/2 makes it wait. Bytes that readers have not taken yet stay drawn ([`TableLease`]), so a
 //! slow reader shuts the windows of hosts.
 //!
 //! Two rules keep this from standing still. A call has a bound of its own. And once the whole budget is held
 //! by calls that all wait for more, with nothing on its way to a reader, the youngest of them gives way
-//! ([`Budget::victim`]): the oldest then always comes to its end.
+//! ([`TableMemory::query_to_evict`]): the oldest then always comes to its end.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -25,22 +25,22 @@
 
 /// The bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct TableMemoryLimits {
     /// Bytes for all tables together, beyond first windows.
     pub total: usize,
     /// Bytes for the tables of one query.
-    pub most_a_call: usize,
+    pub per_query: usize,
 }
 
 /// Whether a host may send more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Grant {
+pub enum WindowGrant {
     /// It may, at once.
-    Now,
-    /// Not yet; [`Budget::granted`] says when.
-    Wait,
+    Granted,
+    /// Not yet; [`TableMemory::take_grants`] says when.
+    Queued,
     /// Never: the query's tables would outgrow their bound.
-    Over,
+    Exceeded,
 }
 
 #[derive(Debug)]
@@ -85,15 +85,15 @@
 
 /// The budget. Clones share it.
 #[derive(Clone, Debug)]
-pub struct Budget {
-    bounds: Bounds,
+pub struct TableMemory {
+    bounds: TableMemoryLimits,
     state: Rc<RefCell<State>>,
 }
 
-impl Budget {
+impl TableMemory {
     /// A budget of which nothing is drawn.
     #[must_use]
-    pub fn new(bounds: Bounds) -> Self {
+    pub fn new(bounds: TableMemoryLimits) -> Self {
         Self { bounds, state: Rc::default() }
     }
 
@@ -103,34 +103,36 @@
     }
 
     /// The host of this stream could send so many bytes more.
-    pub fn want(&self, stream: StreamId, bytes: usize) -> Grant {
+    pub fn request_window(&self, stream: StreamId, bytes: usize) -> WindowGrant {
         let mut state = self.state.borrow_mut();
-        let Some(Stream { call, wants, .. }) = state.streams.get(&stream) else { return Grant::Over };
+        let Some(Stream { call, wants, .. }) = state.streams.get(&stream) else {
+            return WindowGrant::Exceeded;
+        };
         let (call, bytes) = (*call, bytes + *wants);
         // What the query's other streams wait for will be granted one day, and counts.
         let others = state.streams.iter().filter(|(id, s)| s.call == call && **id != stream);
         let held = state.calls.get(&call).copied().unwrap_or(0) + others.map(|(_, s)| s.wants).sum::<usize>();
         let older_waits = state.streams.values().any(|s| s.wants > 0 && s.call < call);
-        let grant = if held + bytes > self.bounds.most_a_call {
-            Grant::Over
+        let grant = if held + bytes > self.bounds.per_query {
+            WindowGrant::Exceeded
         } else if older_waits || state.drawn + bytes > self.bounds.total {
-            Grant::Wait
+            WindowGrant::Queued
         } else {
-            Grant::Now
+            WindowGrant::Granted
         };
-        if grant == Grant::Now {
+        if grant == WindowGrant::Granted {
             state.draw(call, bytes);
         }
         if let Some(open) = state.streams.get_mut(&stream) {
-            open.wants = if grant == Grant::Wait { bytes } else { 0 };
-            open.drawn += if grant == Grant::Now { bytes } else { 0 };
+            open.wants = if grant == WindowGrant::Queued { bytes } else { 0 };
+            open.drawn += if grant == WindowGrant::Granted { bytes } else { 0 };
         }
         grant
     }
 
     /// The streams that may go on now, with the bytes that each may send: the oldest query's come first, and
     /// a younger one does not overtake it.
-    pub fn granted(&self) -> Vec<(StreamId, usize)> {
+    pub fn take_grants(&self) -> Vec<(StreamId, usize)> {
         let mut state = self.state.borrow_mut();
         let waiting = state.streams.iter().filter(|(_, s)| s.wants > 0);
         let mut waiting: Vec<_> = waiting.map(|(&id, s)| (s.call, id, s.wants)).collect();
@@ -152,7 +154,7 @@
     /// The query that has to give way, once nothing else can bring the others on: all that is drawn is held
     /// by streams, somebody waits, and no table is on its way to a reader. The youngest one that holds any.
     #[must_use]
-    pub fn victim(&self) -> Option<CallId> {
+    pub fn query_to_evict(&self) -> Option<CallId> {
         let state = self.state.borrow();
         let waiting: Vec<&Stream> = state.streams.values().filter(|s| s.wants > 0).collect();
         if waiting.is_empty() || state.leased > 0 {
@@ -181,30 +183,30 @@
     /// `None` if there is no room: a small table comes through the first window alone, and has to find its
     /// room only now.
     #[must_use]
-    pub fn keep(&self, stream: StreamId, bytes: usize) -> Option<Lease> {
+    pub fn retain(&self, stream: StreamId, bytes: usize) -> Option<TableLease> {
         let mut state = self.state.borrow_mut();
         let open = state.streams.remove(&stream)?;
         state.give_back(open.call, open.drawn);
         let held = state.calls.get(&open.call).copied().unwrap_or(0);
-        if state.drawn + bytes > self.bounds.total || held + bytes > self.bounds.most_a_call {
+        if state.drawn + bytes > self.bounds.total || held + bytes > self.bounds.per_query {
             return None;
         }
         state.draw(open.call, bytes);
         state.leased += bytes;
         drop(state);
-        Some(Lease(Some(Hold { state: Rc::clone(&self.state), call: open.call, bytes })))
+        Some(TableLease(Some(Hold { state: Rc::clone(&self.state), call: open.call, bytes })))
     }
 
     /// Bytes drawn now, and the most that ever were.
     #[must_use]
-    pub fn drawn(&self) -> (usize, usize) {
+    pub fn usage(&self) -> (usize, usize) {
         let state = self.state.borrow();
         (state.drawn, state.peak)
     }
 
     /// Whether any host waits.
     #[must_use]
-    pub fn waits(&self) -> bool {
+    pub fn has_waiting_streams(&self) -> bool {
         self.state.borrow().streams.values().any(|s| s.wants > 0)
     }
 }
@@ -216,9 +218,9 @@
 }
 
 /// A whole table's share of the budget; comes back when it is dropped.
-pub struct Lease(Option<Hold>);
+pub struct TableLease(Option<Hold>);
 
-impl Lease {
+impl TableLease {
     /// A share of nothing.
     #[must_use]
     pub fn none() -> Self {
@@ -226,13 +228,13 @@
     }
 }
 
-impl fmt::Debug for Lease {
+impl fmt::Debug for TableLease {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Lease({})", self.0.as_ref().map_or(0, |hold| hold.bytes))
+        write!(f, "TableLease({})", self.0.as_ref().map_or(0, |hold| hold.bytes))
     }
 }
 
-impl Drop for Lease {
+impl Drop for TableLease {
     fn drop(&mut self) {
         if let Some(hold) = self.0.take() {
             let mut state = hold.state.borrow_mut();
--- a/crates/core/src/flights.rs
+++ b/crates/core/src/flights.rs
@@ -1,7 +1,7 @@
 //! The life of a flight: a query that more than one call may ask for, and that has one outcome all the same.
 //!
 //! A ticket can be redeemed twice, a polled query is asked for by many calls, and a client that lost the
-//! answer to a query with an effect asks again under the same id. All of them meet here, under one [`Key`]:
+//! answer to a query with an effect asks again under the same id. All of them meet here, under one [`PolledQueryKey`]:
 //!
 //! ```text
 //!             ask                 settled                    keep over
@@ -19,7 +19,7 @@
 //! Memory is bounded, in flights and in bytes of outcomes. An outcome that has to make room leaves behind that
 //! there was one; a flight that has to make room leaves behind its mark, a few bytes, for as long as its
 //! outcome was promised; one that runs never goes. Whatever has been forgotten in these ways is refused and
-//! not run ([`Why::Forgotten`]). When even marks find no room, new flights with an effect are turned away
+//! not run ([`RejectReason::Forgotten`]). When even marks find no room, new flights with an effect are turned away
 //! before they run. A ticket says when it was made: one as old as anything that was forgotten for good is
 //! refused as well.
 
@@ -31,7 +31,7 @@
 
 /// What a flight is known by: who asks, and the id of the query.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Key {
+pub struct PolledQueryKey {
     /// The user; empty where none is asked for.
     pub user: Rc<str>,
     /// The client's id for the query.
@@ -44,11 +44,11 @@
 
 /// A call that waits for an outcome, by a number of the front's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Caller(pub u64);
+pub struct WaiterId(pub u64);
 
 /// How a flight is to be treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Spec {
+pub struct PolledQuerySpec {
     /// A hash of all that is asked: the same id with another one is another question.
     pub body: u64,
     /// It must not run twice.
@@ -59,11 +59,11 @@
     pub made: Option<Micros>,
 }
 
-/// Why a flight is not run.
+/// RejectReason a flight is not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum RejectReason {
     /// The id stands for something else.
-    Differs,
+    DifferentBody,
     /// It may have run, and is no longer remembered.
     Forgotten,
     /// It was cancelled.
@@ -74,20 +74,20 @@
 
 /// What is to be done for a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict<O> {
-    /// Run the query; its outcome goes to [`Flights::settled`].
+pub enum Submission<O> {
+    /// Run the query; its outcome goes to [`PolledQueries::complete`].
     Run(RunId),
     /// Wait: it runs already.
     Join(RunId),
     /// This was the outcome.
-    Tell(O),
+    Replay(O),
     /// It is not run.
-    Refuse(Why),
+    Reject(RejectReason),
 }
 
 /// Where a flight stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing<O> {
+pub enum PolledState<O> {
     /// It runs.
     Running(RunId),
     /// It is over; its outcome is kept until then.
@@ -98,11 +98,11 @@
 
 /// What came of a wish to cancel.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Cancel {
+pub enum CancelResult {
     /// It is cancelled: this run is to be given up, and these callers are to be told.
-    Cancelled(RunId, Vec<Caller>),
+    Cancelled(RunId, Vec<WaiterId>),
     /// It was cancelled before.
-    Already,
+    AlreadyCancelled,
     /// It has an effect that may have run, or is over.
     TooLate,
     /// Nothing is known of it.
@@ -111,7 +111,7 @@
 
 /// The bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct PolledQueryLimits {
     /// Most flights that are known.
     pub flights: usize,
     /// Most bytes of kept outcomes.
@@ -125,7 +125,7 @@
 #[derive(Debug)]
 struct Running {
     run: RunId,
-    callers: BTreeSet<Caller>,
+    callers: BTreeSet<WaiterId>,
     /// When it is given up unless somebody asks; polled flights only.
     idle: Option<Micros>,
 }
@@ -145,40 +145,40 @@
 
 #[derive(Debug)]
 struct Flight<O> {
-    spec: Spec,
+    spec: PolledQuerySpec,
     asked: Micros,
     state: State<O>,
 }
 
 /// The flights that are known.
 #[derive(Debug)]
-pub struct Flights<O> {
-    bounds: Bounds,
-    flights: BTreeMap<Key, Flight<O>>,
-    runs: BTreeMap<RunId, Key>,
-    callers: BTreeMap<Caller, RunId>,
+pub struct PolledQueries<O> {
+    bounds: PolledQueryLimits,
+    flights: BTreeMap<PolledQueryKey, Flight<O>>,
+    runs: BTreeMap<RunId, PolledQueryKey>,
+    callers: BTreeMap<WaiterId, RunId>,
     /// Settled ones by when they are forgotten.
-    ends: BTreeSet<(Micros, Key)>,
+    ends: BTreeSet<(Micros, PolledQueryKey)>,
     bytes: usize,
     /// Marks of flights with an effect that had to make room, with when these were made.
     marks: BTreeMap<u64, Micros>,
     mark_ends: BTreeSet<(Micros, u64)>,
-    /// Flights with an effect whose tickets were made up to then may have been forgotten for good.
+    /// PolledQueries with an effect whose tickets were made up to then may have been forgotten for good.
     forgotten: Option<Micros>,
 }
 
 /// So many marks are kept for each flight that may be known: a mark takes little of a flight's room.
 const MARKS: usize = 16;
 
-fn mark_of(key: &Key) -> u64 {
+fn mark_of(key: &PolledQueryKey) -> u64 {
     // The same for equal keys is all that is asked of it; a chance meeting of two refuses one of them.
     BuildHasherDefault::<DefaultHasher>::default().hash_one(key)
 }
 
-impl<O: Clone> Flights<O> {
+impl<O: Clone> PolledQueries<O> {
     /// None known.
     #[must_use]
-    pub fn new(bounds: Bounds) -> Self {
+    pub fn new(bounds: PolledQueryLimits) -> Self {
         Self {
             bounds,
             flights: BTreeMap::new(),
@@ -194,24 +194,24 @@
 
     /// How many are known, and the bytes of their outcomes.
     #[must_use]
-    pub fn held(&self) -> (usize, usize) {
+    pub fn counts(&self) -> (usize, usize) {
         (self.flights.len(), self.bytes)
     }
 
     /// A call asks for a flight; if it is to be run, it is run under the number given.
-    pub fn ask(
+    pub fn submit(
         &mut self,
         now: Micros,
-        key: &Key,
-        spec: Spec,
-        caller: Option<Caller>,
+        key: &PolledQueryKey,
+        spec: PolledQuerySpec,
+        caller: Option<WaiterId>,
         run: RunId,
-    ) -> Verdict<O> {
+    ) -> Submission<O> {
         self.forget_old(now);
         let unpolled = now + self.bounds.unpolled;
         if let Some(flight) = self.flights.get_mut(key) {
             if flight.spec.body != spec.body {
-                return Verdict::Refuse(Why::Differs);
+                return Submission::Reject(RejectReason::DifferentBody);
             }
             return match &mut flight.state {
                 State::Running(running) => {
@@ -219,40 +219,40 @@
                     running.callers.extend(caller);
                     let run = running.run;
                     self.callers.extend(caller.map(|caller| (caller, run)));
-                    Verdict::Join(run)
+                    Submission::Join(run)
                 }
-                State::Done { outcome, .. } => Verdict::Tell(outcome.clone()),
-                State::Spent => Verdict::Refuse(Why::Forgotten),
-                State::Cancelled => Verdict::Refuse(Why::Cancelled),
+                State::Done { outcome, .. } => Submission::Replay(outcome.clone()),
+                State::Spent => Submission::Reject(RejectReason::Forgotten),
+                State::Cancelled => Submission::Reject(RejectReason::Cancelled),
             };
         }
         if spec.effect && self.marks.contains_key(&mark_of(key)) {
-            return Verdict::Refuse(Why::Forgotten);
+            return Submission::Reject(RejectReason::Forgotten);
         }
         if spec.effect && spec.made.is_some_and(|made| Some(made) <= self.forgotten) {
-            return Verdict::Refuse(Why::Forgotten);
+            return Submission::Reject(RejectReason::Forgotten);
         }
         if self.flights.len() >= self.bounds.flights && !self.forget_first(now) {
-            return Verdict::Refuse(Why::Full);
+            return Submission::Reject(RejectReason::Full);
         }
         let idle = spec.polled.then_some(unpolled);
         let running = Running { run, callers: caller.into_iter().collect(), idle };
         self.flights.insert(key.clone(), Flight { spec, asked: now, state: State::Running(running) });
         self.runs.insert(run, key.clone());
         self.callers.extend(caller.map(|caller| (caller, run)));
-        Verdict::Run(run)
+        Submission::Run(run)
     }
 
     /// A run has its final answer: the calls that are to be told. `untouched` says that it was turned away
     /// with nothing run, so that it may be asked again.
-    pub fn settled(
+    pub fn complete(
         &mut self,
         now: Micros,
         run: RunId,
         outcome: O,
         bytes: usize,
         untouched: bool,
-    ) -> Vec<Caller> {
+    ) -> Vec<WaiterId> {
         let Some(key) = self.runs.remove(&run) else { return Vec::new() };
         let Some(flight) = self.flights.get_mut(&key) else { return Vec::new() };
         let State::Running(running) = &mut flight.state else { return Vec::new() };
@@ -274,7 +274,7 @@
 
     /// A call no longer waits. The run that nobody needs any more, if that is so: one with an effect, and a
     /// polled one, go on without callers.
-    pub fn leave(&mut self, caller: Caller) -> Option<RunId> {
+    pub fn remove_waiter(&mut self, caller: WaiterId) -> Option<RunId> {
         let run = self.callers.remove(&caller)?;
         let key = self.runs.get(&run)?.clone();
         let flight = self.flights.get_mut(&key)?;
@@ -289,29 +289,36 @@
     }
 
     /// Where a flight stands; asking keeps a polled one alive.
-    pub fn look(&mut self, now: Micros, key: &Key) -> Option<Standing<O>> {
+    pub fn state(&mut self, now: Micros, key: &PolledQueryKey) -> Option<PolledState<O>> {
         self.forget_old(now);
         let unpolled = now + self.bounds.unpolled;
         Some(match &mut self.flights.get_mut(key)?.state {
             State::Running(running) => {
                 running.idle = running.idle.map(|_| unpolled);
-                Standing::Running(running.run)
+                PolledState::Running(running.run)
             }
-            State::Done { outcome, until, .. } => Standing::Done(outcome.clone(), *until),
+            State::Done { outcome, until, .. } => PolledState::Done(outcome.clone(), *until),
             State::Spent => return None,
-            State::Cancelled => Standing::Cancelled,
+            State::Cancelled => PolledState::Cancelled,
         })
     }
 
     /// A client wants a flight cancelled; `touched` says of a run whether a part of it may have run.
-    pub fn cancel(&mut self, now: Micros, key: &Key, touched: impl Fn(RunId) -> bool) -> Cancel {
+    pub fn cancel(
+        &mut self,
+        now: Micros,
+        key: &PolledQueryKey,
+        touched: impl Fn(RunId) -> bool,
+    ) -> CancelResult {
         self.forget_old(now);
-        let Some(flight) = self.flights.get_mut(key) else { return Cancel::Unknown };
+        let Some(flight) = self.flights.get_mut(key) else { return CancelResult::Unknown };
         let (run, callers) = match &mut flight.state {
-            State::Running(running) if flight.spec.effect && touched(running.run) => return Cancel::TooLate,
+            State::Running(running) if flight.spec.effect && touched(running.run) => {
+                return CancelResult::TooLate
+            }
             State::Running(running) => (running.run, std::mem::take(&mut running.callers)),
-            State::Done { .. } | State::Spent => return Cancel::TooLate,
-            State::Cancelled => return Cancel::Already,
+            State::Done { .. } | State::Spent => return CancelResult::TooLate,
+            State::Cancelled => return CancelResult::AlreadyCancelled,
         };
         self.runs.remove(&run);
         for caller in &callers {
@@ -320,19 +327,24 @@
         let until = now + self.bounds.keep;
         flight.state = State::Cancelled;
         self.ends.insert((until, key.clone()));
-        Cancel::Cancelled(run, callers.into_iter().collect())
+        CancelResult::Cancelled(run, callers.into_iter().collect())
     }
 
     /// A client wants nothing to come of a flight that is not known, or no longer: it will not be run.
     ///
     /// # Errors
     /// There is no room to remember that.
-    pub fn revoke(&mut self, now: Micros, key: &Key, spec: Spec) -> Result<(), Why> {
+    pub fn revoke(
+        &mut self,
+        now: Micros,
+        key: &PolledQueryKey,
+        spec: PolledQuerySpec,
+    ) -> Result<(), RejectReason> {
         if self.flights.contains_key(key) {
             return Ok(());
         }
         if self.flights.len() >= self.bounds.flights && !self.forget_first(now) {
-            return Err(Why::Full);
+            return Err(RejectReason::Full);
         }
         let until = now + self.bounds.keep;
         self.flights.insert(key.clone(), Flight { spec, asked: now, state: State::Cancelled });
@@ -341,7 +353,10 @@
     }
 
     /// The flights of a user, with where they stand.
-    pub fn list<'a>(&'a self, user: &'a str) -> impl Iterator<Item = (&'a Key, &'static str)> + 'a {
+    pub fn list<'a>(
+        &'a self,
+        user: &'a str,
+    ) -> impl Iterator<Item = (&'a PolledQueryKey, &'static str)> + 'a {
         let mine = self.flights.iter().filter(move |(key, _)| &*key.user == user);
         mine.map(|(key, flight)| match flight.state {
             State::Running(_) => (key, "running"),
@@ -352,7 +367,7 @@
     }
 
     /// A client wants an outcome kept for longer: until when it is.
-    pub fn renew(&mut self, now: Micros, key: &Key) -> Option<Micros> {
+    pub fn renew(&mut self, now: Micros, key: &PolledQueryKey) -> Option<Micros> {
         self.forget_old(now);
         let State::Done { until, .. } = &mut self.flights.get_mut(key)?.state else { return None };
         self.ends.remove(&(*until, key.clone()));
@@ -363,7 +378,7 @@
 
     /// When something is to be forgotten or given up.
     #[must_use]
-    pub fn due(&self) -> Option<Micros> {
+    pub fn poll_timeout(&self) -> Option<Micros> {
         let idle = self.runs.values().filter_map(|key| match &self.flights.get(key)?.state {
             State::Running(running) if running.callers.is_empty() => running.idle,
             _ => None,
@@ -374,14 +389,14 @@
 
     /// Forgets what has been kept for long enough, and gives up polled flights that nobody asks about: the
     /// runs that are to be given up.
-    pub fn expire(&mut self, now: Micros) -> Vec<RunId> {
+    pub fn handle_timeout(&mut self, now: Micros) -> Vec<RunId> {
         self.forget_old(now);
         let idle = |running: &Running| running.callers.is_empty() && running.idle.is_some_and(|at| at <= now);
         let over = self.runs.iter().filter(|(_, key)| match self.flights.get(key).map(|f| &f.state) {
             Some(State::Running(running)) => idle(running),
             _ => false,
         });
-        let over: Vec<(RunId, Key)> = over.map(|(&run, key)| (run, key.clone())).collect();
+        let over: Vec<(RunId, PolledQueryKey)> = over.map(|(&run, key)| (run, key.clone())).collect();
         for (run, key) in &over {
             self.runs.remove(run);
             if let Some(flight) = self.flights.get_mut(key) {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Fronts hand it typed queries, host connections hand it typed outcomes, discovery hands it lists. It
 //! gathers these until the next turn, gives them to the [`Router`] in one call and turns the router's
-//! actions into [`Effect`]s. Every time is an argument.
+//! actions into [`Action`]s. Every time is an argument.
 
 pub mod admission;
 pub mod batch;
@@ -22,11 +22,12 @@
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 use std::rc::Rc;
 
+use mallowgauge_router as router;
 use mallowgauge_router::*;
 
 /// One part as a client asks for it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AskPart {
+pub struct PartRequest {
     /// The shard asked.
     pub shard: ShardId,
     /// Its share of the whole answer.
@@ -35,7 +36,7 @@
 
 /// A query as a front understood it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct QueryRequest {
     /// The client's id for it, which hosts are shown.
     pub id: Rc<str>,
     /// Its class.
@@ -47,16 +48,16 @@
     /// The guess at the work of all parts, if every part has one.
     pub work_hint: Option<Micros>,
     /// What each part has to carry, unchanged.
-    pub text: Rc<[u8]>,
+    pub body: Rc<[u8]>,
     /// Its parts; of a query in two phases, its blocks.
-    pub parts: Vec<AskPart>,
+    pub parts: Vec<PartRequest>,
     /// How it is asked in two phases, if it is.
-    pub plan: Option<PlanAsk>,
+    pub plan: Option<PlanRequest>,
 }
 
 /// A query in two phases, as a front understood it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PlanAsk {
+pub struct PlanRequest {
     /// What the client wants.
     pub spec: Spec,
     /// What the scouts are asked.
@@ -65,13 +66,13 @@
 
 /// Where a final answer goes: a number that the front behind it gave out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Asker {
+pub enum ResponseHandle {
     /// An exchange of the HTTP front.
     Http(u64),
     /// A stream of the Flight front.
     Flight(u64),
     /// Nobody here: the query was taken over from another gatherer.
-    Adopted(u64),
+    TakenOver(u64),
 }
 
 /// Why a query failed.
@@ -80,31 +81,31 @@
     /// The query makes no sense; nothing was sent.
     Invalid(&'static str),
     /// Parts could not be had, and some may have run.
-    Parts,
+    PartsFailed,
     /// Its time ran out.
-    TimeUp,
+    DeadlineExceeded,
     /// Its tables found no room in memory, and parts of it may have run.
-    Room,
+    MemoryExhausted,
 }
 
 /// The final answer to a query.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum QueryResponse {
     /// The values that are in.
-    Served {
+    Completed {
         /// Whether this is marked as the whole answer.
-        whole: bool,
+        complete: bool,
         /// The values, as the hosts gave them.
         values: Vec<(ShardId, Value)>,
     },
     /// The best rows of a query in two phases, or what was had of its effect.
     Ranked(Rc<Ranked>),
     /// Turned away: trying again is harmless.
-    Refused {
+    Rejected {
         /// When to come back; 0 for no advice.
         retry_after: Micros,
         /// No part of it can have run.
-        untouched: bool,
+        not_executed: bool,
     },
     /// Given up without a promise.
     Failed(Failure),
@@ -121,7 +122,7 @@
 
 /// An attempt on its way to a host.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Send {
+pub struct AttemptRequest {
     /// The attempt.
     pub attempt: AttemptId,
     /// The client's id of the query.
@@ -136,13 +137,13 @@
     /// From when on it may not begin any more, though its answer might still come in time.
     pub begin_by: Micros,
     /// What the part carries.
-    pub text: Rc<[u8]>,
+    pub body: Rc<[u8]>,
 }
 
-impl Send {
+impl AttemptRequest {
     /// How long its answer is waited for from now on.
     #[must_use]
-    pub fn left(&self, now: Micros) -> Micros {
+    pub fn remaining(&self, now: Micros) -> Micros {
         self.deadline.saturating_sub(now)
     }
 
@@ -155,47 +156,47 @@
 
 /// What the rest of the program is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Effect {
-    /// Send these to one host, in as few calls as they fit in.
-    Call(ServerId, Vec<Send>),
+pub enum Action {
+    /// AttemptRequest these to one host, in as few calls as they fit in.
+    SendBatch(BackendId, Vec<AttemptRequest>),
     /// Nobody waits for this attempt any more.
-    Abandon(ServerId, AttemptId),
+    CancelAttempt(BackendId, AttemptId),
     /// If this attempt has not begun, it is not to; its host is told nothing.
-    Withdraw(ServerId, AttemptId),
+    RevokeUnsent(BackendId, AttemptId),
     /// Give this final answer.
-    Reply(Asker, Answer),
+    Respond(ResponseHandle, QueryResponse),
     /// An attempt with an effect: it may be sent once leave is given, and not before.
-    Leave(ServerId, Send),
+    RequestPermit(BackendId, AttemptRequest),
     /// A query with an effect has ended: its askers are told once that is recorded.
-    Record(Box<Recorded>),
+    ReplicateOutcome(Box<CompletedQuery>),
     /// Watch the list of hosts.
-    Watch,
+    WatchEndpoints,
     /// Fetch the whole list once.
-    Fetch,
+    FetchEndpoints,
     /// Probe a host.
-    Probe(ServerId),
+    HealthCheck(BackendId),
 }
 
 /// How a query with an effect ended, as far as this gatherer knows.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Recorded {
+pub struct CompletedQuery {
     /// What was asked.
-    pub ask: Ask,
+    pub request: QueryRequest,
     /// When its client's time is up.
-    pub end: Micros,
+    pub deadline: Micros,
     /// Who asked, and who asked again meanwhile.
-    pub askers: Vec<Asker>,
+    pub response_handles: Vec<ResponseHandle>,
     /// The answer.
-    pub answer: Answer,
+    pub response: QueryResponse,
     /// A part of it may have run.
-    pub touched: bool,
+    pub possibly_executed: bool,
 }
 
 struct Open {
-    asker: Asker,
+    asker: ResponseHandle,
     /// Who asked again under the same id, of queries that are guarded.
-    riders: Vec<Asker>,
-    ask: Ask,
+    riders: Vec<ResponseHandle>,
+    ask: QueryRequest,
     end: Micros,
     slots: Vec<Slot>,
     /// Attempts that may have run.
@@ -228,12 +229,12 @@
     clocks: Vec<Clock>,
     sketches: Sketches,
     /// Where each host stands, for throwing sketches away.
-    hosts: BTreeMap<ServerId, (u32, Phase, Option<Micros>)>,
+    hosts: BTreeMap<BackendId, (u32, EndpointState, Option<Micros>)>,
 }
 
 /// How queries in two phases are treated.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PhasesSetup {
+pub struct TwoPhaseSettings {
     /// How the time is split.
     pub rule: Rule,
     /// What scouts said is kept within these bounds.
@@ -241,15 +242,15 @@
 }
 
 struct Out {
-    server: ServerId,
+    server: BackendId,
     query: QueryId,
     sent: Micros,
     until: Micros,
 }
 
-/// Bounds that the settings put on the core.
+/// CoreLimits that the settings put on the core.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct CoreLimits {
     /// Most queries and parts that may be open.
     pub max_open: usize,
     /// Number of shards.
@@ -268,18 +269,18 @@
     /// Attempts with an effect wait for leave, and their queries' answers for their record.
     guarded: bool,
     /// Final answers that came about between turns.
-    ready: Vec<crate::Effect>,
-    layout: Layout,
+    ready: Vec<Action>,
+    layout: ShardLayout,
     figures: Vec<(Micros, f64)>,
     phases: Option<Phases>,
     planned: BTreeSet<QueryId>,
     tick: Micros,
-    bounds: Bounds,
+    bounds: CoreLimits,
     /// No query is taken that would have to be answered later than this.
-    answer_by: Option<Micros>,
+    answer_deadline: Option<Micros>,
     queries: BTreeMap<QueryId, Open>,
     ids: BTreeMap<Rc<str>, QueryId>,
-    askers: BTreeMap<Asker, QueryId>,
+    askers: BTreeMap<ResponseHandle, QueryId>,
     parts: BTreeMap<PartId, (QueryId, usize)>,
     open_parts: usize,
     attempts: BTreeMap<AttemptId, Out>,
@@ -309,15 +310,19 @@
         seed: u64,
         settings: Settings,
         classes: Vec<String>,
-        bounds: Bounds,
+        bounds: CoreLimits,
     ) -> Result<Self, SettingsError> {
-        let tick = settings.tick;
+        let tick = settings.batch_interval;
         let deadlines = settings.classes.iter().map(|class| class.deadline).collect();
-        let free = |class: &Class| matches!(class.effect, mallowgauge_router::Effect::Safe);
+        let free = |class: &Class| matches!(class.idempotency, mallowgauge_router::Idempotency::Idempotent);
         let harmless = settings.classes.iter().map(free).collect();
-        let figures = settings.classes.iter().map(|class| (class.aim, class.floor)).collect();
+        let figures = settings
+            .classes
+            .iter()
+            .map(|class| (class.latency_objective, class.minimum_completeness))
+            .collect();
         let layout = settings.layout.clone();
-        let cancels = settings.limits.cancel;
+        let cancels = settings.limits.cancellation;
         Ok(Self {
             router: Router::new(seed, settings)?,
             classes,
@@ -332,7 +337,7 @@
             planned: BTreeSet::new(),
             tick,
             bounds,
-            answer_by: None,
+            answer_deadline: None,
             queries: BTreeMap::new(),
             ids: BTreeMap::new(),
             askers: BTreeMap::new(),
@@ -351,7 +356,7 @@
     }
 
     /// The class of that name.
-    pub fn class(&self, name: &str) -> Option<ClassId> {
+    pub fn class_id(&self, name: &str) -> Option<ClassId> {
         self.classes.iter().position(|known| known == name).map(ClassId)
     }
 
@@ -361,12 +366,12 @@
     }
 
     /// Whether a class's queries may be repeated freely.
-    pub fn is_harmless(&self, class: ClassId) -> bool {
+    pub fn is_idempotent(&self, class: ClassId) -> bool {
         self.harmless[class.0]
     }
 
     /// From now on attempts with an effect wait for leave, and the answers to their queries for their record.
-    pub fn guard(&mut self) {
+    pub fn require_permits(&mut self) {
         self.guarded = true;
     }
 
@@ -375,28 +380,28 @@
     }
 
     /// What was asked under an id that is open, and so long its client still waits.
-    pub fn asked(&self, now: Micros, id: &str) -> Option<(&Ask, Micros)> {
+    pub fn open_request(&self, now: Micros, id: &str) -> Option<(&QueryRequest, Micros)> {
         let open = self.queries.get(self.ids.get(id)?)?;
         Some((&open.ask, open.end.saturating_sub(now)))
     }
 
     /// Whether an attempt is still waited for.
-    pub fn is_out(&self, id: AttemptId) -> bool {
+    pub fn is_in_flight(&self, id: AttemptId) -> bool {
         self.attempts.contains_key(&id)
     }
 
     /// The client's id and the shard of an attempt that is out.
-    pub fn attempted(&self, id: AttemptId) -> Option<(Rc<str>, ShardId)> {
+    pub fn attempt_target(&self, id: AttemptId) -> Option<(Rc<str>, ShardId)> {
         let open = self.queries.get(&self.attempts.get(&id)?.query)?;
         let (_, index) = self.parts.get(&id.part)?;
         Some((Rc::clone(&open.ask.id), open.ask.parts[open.slots.get(*index)?.at].shard))
     }
 
     /// Takes a query back without an answer, because another acts for it: who asked for it.
-    pub fn withdraw(&mut self, id: &str) -> Vec<Asker> {
+    pub fn release_query(&mut self, id: &str) -> Vec<ResponseHandle> {
         let Some(&query) = self.ids.get(id) else { return Vec::new() };
         let open = self.close(query);
-        self.events.push(Event::Left(query));
+        self.events.push(Event::ClientDisconnected(query));
         open.map(|open| [vec![open.asker], open.riders].concat()).unwrap_or_default()
     }
 
@@ -406,7 +411,7 @@
     }
 
     /// When a client that would find no room now may come back.
-    pub fn advice(&mut self) -> Micros {
+    pub fn retry_after(&mut self) -> Micros {
         self.router.retry_after()
     }
 
@@ -416,20 +421,20 @@
     }
 
     /// Whether a part of somebody's query may have run; `false` if it is not open.
-    pub fn touched(&self, asker: Asker) -> bool {
+    pub fn possibly_executed(&self, asker: ResponseHandle) -> bool {
         let open = self.askers.get(&asker).and_then(|query| self.queries.get(query));
         open.is_some_and(|open| open.may_have_run > 0)
     }
 
     /// How many parts of somebody's query are in, and how many it has.
-    pub fn progress(&self, asker: Asker) -> Option<(usize, usize)> {
+    pub fn progress(&self, asker: ResponseHandle) -> Option<(usize, usize)> {
         let open = self.askers.get(&asker).and_then(|query| self.queries.get(query))?;
         let planned = open.plan.is_some();
         Some((open.values().count(), if planned { open.slots.len().max(1) } else { open.ask.parts.len() }))
     }
 
     /// A value that is in of the query to which an attempt belongs; another one has to agree with it.
-    pub fn value_beside(&self, id: AttemptId) -> Option<&Value> {
+    pub fn received_value(&self, id: AttemptId) -> Option<&Value> {
         let out = self.attempts.get(&id)?;
         self.queries.get(&out.query).filter(|open| open.plan.is_none())?.values().next()
     }
@@ -440,14 +445,14 @@
     }
 
     /// Takes queries in two phases from now on.
-    pub fn set_phases(&mut self, setup: PhasesSetup) {
+    pub fn enable_two_phase(&mut self, setup: TwoPhaseSettings) {
         let clocks = self.figures.iter().map(|_| Clock::new(setup.rule)).collect();
         let (sketches, hosts) = (Sketches::new(setup.sketches), BTreeMap::new());
         self.phases = Some(Phases { clocks, sketches, hosts });
     }
 
     /// Whether another attempt of the same part is out.
-    pub fn has_twin(&self, id: AttemptId) -> bool {
+    pub fn has_other_attempt(&self, id: AttemptId) -> bool {
         let first = AttemptId { number: 0, ..id };
         let last = AttemptId { number: u32::MAX, ..id };
         self.attempts.range(first..=last).any(|(other, _)| *other != id)
@@ -455,26 +460,29 @@
 
     /// The memory for tables is taken, and this query has to give way: it is refused where trying again is
     /// harmless, and fails otherwise.
-    pub fn overrun(&mut self, call: CallId) {
+    pub fn memory_limit_exceeded(&mut self, call: CallId) {
         let query = QueryId(call.0);
         let Some(open) = self.queries.get(&query) else { return };
         let answer = if self.harmless[open.ask.class.0] || open.may_have_run == 0 {
-            Answer::Refused { retry_after: self.router.retry_after(), untouched: open.may_have_run == 0 }
+            QueryResponse::Rejected {
+                retry_after: self.router.retry_after(),
+                not_executed: open.may_have_run == 0,
+            }
         } else {
-            Answer::Failed(Failure::Room)
+            QueryResponse::Failed(Failure::MemoryExhausted)
         };
         let effect = self.finish(query, answer);
         self.ready.extend(effect);
-        self.events.push(Event::Left(query));
+        self.events.push(Event::ClientDisconnected(query));
     }
 
     /// What is taken from now on is answered by then, because the program may be killed soon after.
-    pub fn answer_by(&mut self, by: Option<Micros>) {
-        self.answer_by = by;
+    pub fn set_answer_deadline(&mut self, by: Option<Micros>) {
+        self.answer_deadline = by;
     }
 
     /// How much is kept here and in the router, by name: tests count whether all of it comes back to its base.
-    pub fn census(&self) -> BTreeMap<&'static str, usize> {
+    pub fn resource_counts(&self) -> BTreeMap<&'static str, usize> {
         let phases = self.phases.as_ref().map_or(0, |phases| phases.hosts.len());
         let own = [
             ("open queries", self.queries.len()),
@@ -491,23 +499,28 @@
             ("events", self.events.len()),
             ("ready", self.ready.len()),
         ];
-        own.into_iter().chain(ROUTER_KEEPS.into_iter().zip(self.router.census())).collect()
+        own.into_iter().chain(ROUTER_KEEPS.into_iter().zip(self.router.resource_counts())).collect()
     }
 
     /// How many queries are open.
-    pub fn open(&self) -> usize {
+    pub fn open_queries(&self) -> usize {
         self.queries.len()
     }
 
-    /// Takes a query. Its final answer comes as [`Effect::Reply`], unless it is returned here.
+    /// Takes a query. Its final answer comes as [`Action::Respond`], unless it is returned here.
     ///
     /// # Errors
     /// The final answer of a query that does not reach the router.
-    pub fn ask(&mut self, now: Micros, asker: Asker, mut ask: Ask) -> Result<(), Answer> {
+    pub fn submit(
+        &mut self,
+        now: Micros,
+        asker: ResponseHandle,
+        mut ask: QueryRequest,
+    ) -> Result<(), QueryResponse> {
         // No class is waited for beyond its own time, whatever a client says, so that what hangs does not
         // hold its place for ever.
         ask.expires_in = ask.expires_in.min(self.deadline(ask.class));
-        let invalid = |what| Err(Answer::Failed(Failure::Invalid(what)));
+        let invalid = |what| Err(QueryResponse::Failed(Failure::Invalid(what)));
         if ask.parts.is_empty() {
             return invalid("a query needs a part");
         }
@@ -524,18 +537,21 @@
             return invalid("the shares of the parts do not add up to 1");
         }
         if ask.expires_in == 0 {
-            return Err(Answer::Failed(Failure::TimeUp));
+            return Err(QueryResponse::Failed(Failure::DeadlineExceeded));
         }
         if let (true, Some(query)) = (self.guards(ask.class), self.ids.get(&ask.id)) {
             // A client that lost its connection asks again: it waits for the same outcome.
             let Some(open) = self.queries.get_mut(query) else {
                 return invalid("a query of this id is open");
             };
-            if (open.ask.class, &open.ask.text, &open.ask.parts) != (ask.class, &ask.text, &ask.parts) {
+            if (open.ask.class, &open.ask.body, &open.ask.parts) != (ask.class, &ask.body, &ask.parts) {
                 return invalid("a query of this id with another body is open");
             }
             if open.riders.len() >= RIDERS {
-                return Err(Answer::Refused { retry_after: self.router.retry_after(), untouched: false });
+                return Err(QueryResponse::Rejected {
+                    retry_after: self.router.retry_after(),
+                    not_executed: false,
+                });
             }
             open.riders.push(asker);
             self.askers.insert(asker, *query);
@@ -545,17 +561,25 @@
             // Parts are named after the query's id on the way to hosts: two alike could not be told apart.
             return invalid("a query of this id is open");
         }
-        let late = self.answer_by.is_some_and(|by| by <= now);
-        ask.expires_in = ask.expires_in.min(self.answer_by.map_or(Micros::MAX, |by| by.saturating_sub(now)));
+        let late = self.answer_deadline.is_some_and(|by| by <= now);
+        ask.expires_in =
+            ask.expires_in.min(self.answer_deadline.map_or(Micros::MAX, |by| by.saturating_sub(now)));
         if late || self.queries.len() + self.open_parts + 1 + ask.parts.len() > self.bounds.max_open {
-            let answer = Answer::Refused { retry_after: self.router.retry_after(), untouched: true };
+            let answer =
+                QueryResponse::Rejected { retry_after: self.router.retry_after(), not_executed: true };
             if !(ask.retry && self.guards(ask.class)) {
                 return Err(answer);
             }
             // It was asked before, perhaps elsewhere: whether nothing of it ran is not known here.
             let (end, askers) = (now.saturating_add(ask.expires_in), vec![asker]);
-            let refused = Recorded { ask, end, askers, answer, touched: false };
-            self.ready.push(Effect::Record(Box::new(refused)));
+            let refused = CompletedQuery {
+                request: ask,
+                deadline: end,
+                response_handles: askers,
+                response: answer,
+                possibly_executed: false,
+            };
+            self.ready.push(Action::ReplicateOutcome(Box::new(refused)));
             return Ok(());
         }
         if let Some(plan) = &ask.plan {
@@ -574,7 +598,7 @@
         }
         let query = QueryId(self.next_id);
         self.next_id += 1;
-        self.events.push(Event::Query(Arrival {
+        self.events.push(Event::QueryArrived(QueryArrival {
             query,
             class: ask.class,
             expires_in: ask.expires_in,
@@ -606,8 +630,14 @@
         for &at in which {
             let part = PartId(self.next_id);
             self.next_id += 1;
-            let AskPart { shard, weight } = open.ask.parts[at];
-            self.events.push(Event::Part(PartArrival { query, part, shard, weight, harmless: scout }));
+            let PartRequest { shard, weight } = open.ask.parts[at];
+            self.events.push(Event::PartArrived(PartArrival {
+                query,
+                part,
+                shard,
+                weight,
+                idempotent: scout,
+            }));
             self.parts.insert(part, (query, open.slots.len()));
             open.slots.push(Slot { part, at, scout, value: None, over: false, may_have_run: 0 });
         }
@@ -620,8 +650,8 @@
         let class = open.ask.class.0;
         let (aim, floor) = self.figures[class];
         let left = aim.min(open.ask.expires_in);
-        let predicate = predicate_of(&open.ask.text);
-        let known = |part: &AskPart| phases.sketches.get(now, predicate, part.shard);
+        let predicate = predicate_of(&open.ask.body);
+        let known = |part: &PartRequest| phases.sketches.get(now, predicate, part.shard);
         let waves = match ask.spec.choose {
             Choose::Best(k) => k.div_ceil(ask.spec.wave),
             Choose::All => open.ask.parts.len().div_ceil(ask.spec.wave),
@@ -660,16 +690,19 @@
                 Want::Fetch(blocks) => self.ask_parts(query, &blocks, false),
                 Want::DropScouts(blocks) => self.drop_slots(query, &blocks, true),
                 Want::DropFetches(blocks) => self.drop_slots(query, &blocks, false),
-                Want::Answer(ranked) => self.settle(query, Answer::Ranked(Rc::new(ranked)), true),
+                Want::Answer(ranked) => self.settle(query, QueryResponse::Ranked(Rc::new(ranked)), true),
                 Want::GiveUp { harmless } => {
                     let Some(open) = self.queries.get(&query) else { return };
                     let answer = if harmless {
                         let untouched = open.may_have_run == 0;
-                        Answer::Refused { retry_after: self.router.retry_after(), untouched }
+                        QueryResponse::Rejected {
+                            retry_after: self.router.retry_after(),
+                            not_executed: untouched,
+                        }
                     } else if open.end <= now + END_MARGIN {
-                        Answer::Failed(Failure::TimeUp)
+                        QueryResponse::Failed(Failure::DeadlineExceeded)
                     } else {
-                        Answer::Failed(Failure::Parts)
+                        QueryResponse::Failed(Failure::PartsFailed)
                     };
                     self.settle(query, answer, false);
                 }
@@ -677,10 +710,10 @@
         }
     }
 
-    fn settle(&mut self, query: QueryId, answer: Answer, answered: bool) {
+    fn settle(&mut self, query: QueryId, answer: QueryResponse, answered: bool) {
         let effect = self.finish(query, answer);
         self.ready.extend(effect);
-        self.events.push(Event::Settled { query, answered });
+        self.events.push(Event::QueryCompleted { query, answered });
     }
 
     /// Nobody waits for these parts of a plan any more.
@@ -693,7 +726,7 @@
             self.open_parts -= 1;
             self.parts.remove(&slot.part);
             self.counts.remove(&slot.part);
-            self.events.push(Event::Drop(slot.part));
+            self.events.push(Event::PartCancelled(slot.part));
             dropped.push(slot.part);
         }
         if !self.cancels {
@@ -721,7 +754,7 @@
         let wants = match (slot.scout, text) {
             (true, Some(text)) => {
                 let Ok(sketch) = phases::sketch(text) else { return false };
-                let predicate = predicate_of(&open.ask.text);
+                let predicate = predicate_of(&open.ask.body);
                 if let Some(phases) = &mut self.phases {
                     phases.sketches.put(now, predicate, shard, sketch);
                 }
@@ -743,7 +776,7 @@
     }
 
     /// The client of a query has gone away; nobody is answered.
-    pub fn gone(&mut self, asker: Asker) {
+    pub fn client_disconnected(&mut self, asker: ResponseHandle) {
         if let Some(query) = self.askers.get(&asker).copied() {
             self.askers.remove(&asker);
             let kept = |open: &Open| {
@@ -756,12 +789,12 @@
                 return;
             }
             self.close(query);
-            self.events.push(Event::Left(query));
+            self.events.push(Event::ClientDisconnected(query));
         }
     }
 
     /// An attempt has ended. One that is no longer out is passed over.
-    pub fn outcome(&mut self, now: Micros, id: AttemptId, outcome: Outcome, value: Option<Value>) {
+    pub fn attempt_completed(&mut self, now: Micros, id: AttemptId, outcome: Outcome, value: Option<Value>) {
         let Some(out) = self.attempts.remove(&id) else { return };
         self.timeouts.remove(&(out.until, id));
         let (mut outcome, mut value) = (outcome, value);
@@ -770,63 +803,63 @@
             let planned = open.plan.is_some();
             let slot = index.and_then(|index| open.slots.get_mut(index));
             match (outcome, slot) {
-                (Outcome::Served, Some(slot @ Slot { value: None, .. })) if !planned => {
+                (Outcome::Succeeded, Some(slot @ Slot { value: None, .. })) if !planned => {
                     slot.value = value.take();
                 }
-                (Outcome::NoRoom | Outcome::NoRoute | Outcome::NeverSent, slot) => {
+                (Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent, slot) => {
                     open.may_have_run -= 1;
                     slot.into_iter().for_each(|slot| slot.may_have_run -= 1);
                 }
                 _ => {}
             }
-            if planned && outcome == Outcome::Served && !self.plan_part(now, id.part, value.as_ref()) {
+            if planned && outcome == Outcome::Succeeded && !self.plan_part(now, id.part, value.as_ref()) {
                 tracing::debug!("a part of a plan makes no sense");
-                outcome = Outcome::Fault;
+                outcome = Outcome::BackendError;
             }
         }
-        if !self.cancels && outcome == Outcome::Served {
+        if !self.cancels && outcome == Outcome::Succeeded {
             self.withdraw_waiting(id.part);
         }
         let took = now.saturating_sub(out.sent);
-        self.events.push(Event::Outcome { part: id.part, attempt: id.number, outcome, took });
+        self.events.push(Event::AttemptCompleted { part: id.part, attempt: id.number, outcome, took });
     }
 
     /// A probe came back.
-    pub fn probed(&mut self, server: ServerId, passed: bool) {
-        self.events.push(Event::Probed { server, passed });
+    pub fn health_check_completed(&mut self, server: BackendId, passed: bool) {
+        self.events.push(Event::HealthCheckCompleted { backend: server, passed });
     }
 
     /// News of the list of hosts.
-    pub fn list(&mut self, news: ListNews) {
+    pub fn endpoint_update(&mut self, news: EndpointUpdate) {
         self.doubt_sketches(&news);
-        self.events.push(Event::List(news));
+        self.events.push(Event::EndpointUpdate(news));
     }
 
     /// What scouts said of a block counts no longer once something has happened to one of its holders.
-    fn doubt_sketches(&mut self, news: &ListNews) {
+    fn doubt_sketches(&mut self, news: &EndpointUpdate) {
         let Some(phases) = &mut self.phases else { return };
         let (entries, whole) = match news {
-            ListNews::Failed => return,
-            ListNews::Saved(entries) | ListNews::Full(entries) => (entries, true),
-            ListNews::Changes(entries) => (entries, false),
+            EndpointUpdate::Failed => return,
+            EndpointUpdate::CachedSnapshot(entries) | EndpointUpdate::Snapshot(entries) => (entries, true),
+            EndpointUpdate::Delta(entries) => (entries, false),
         };
         let mut cells = BTreeSet::new();
         if whole {
-            let named: BTreeSet<ServerId> = entries.iter().map(|entry| entry.server).collect();
+            let named: BTreeSet<BackendId> = entries.iter().map(|entry| entry.backend).collect();
             phases.hosts.retain(|id, (cell, ..)| named.contains(id) || !cells.insert(*cell));
         }
         for entry in entries {
-            let stands = (entry.cell, entry.phase, entry.started);
-            let before = phases.hosts.insert(entry.server, stands);
+            let stands = (entry.ring_position, entry.state, entry.started_at);
+            let before = phases.hosts.insert(entry.backend, stands);
             if before != Some(stands) {
                 cells.extend(before.map(|(cell, ..)| cell));
-                cells.insert(entry.cell);
+                cells.insert(entry.ring_position);
             }
-            if entry.phase == Phase::Gone {
-                phases.hosts.remove(&entry.server);
+            if entry.state == EndpointState::Removed {
+                phases.hosts.remove(&entry.backend);
             }
         }
-        let Layout { cells: count, reach, .. } = self.layout;
+        let ShardLayout { ring_positions: count, replication_factor: reach, .. } = self.layout;
         let holds = |shard: ShardId| (0..reach).any(|j| cells.contains(&((shard.0 + j) % count.max(1))));
         if !cells.is_empty() {
             phases.sketches.forget(holds);
@@ -834,7 +867,7 @@
     }
 
     /// When the next turn is due; `None` while nothing is to come.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn poll_timeout(&self) -> Option<Micros> {
         let timers = [
             self.wake,
             self.timeouts.first().map(|(at, _)| *at),
@@ -868,9 +901,9 @@
     }
 
     /// Runs a turn if one is due.
-    pub fn turn(&mut self, now: Micros) -> Vec<Effect> {
+    pub fn run_batch(&mut self, now: Micros) -> Vec<Action> {
         let mut effects = std::mem::take(&mut self.ready);
-        if self.due().is_none_or(|due| due > now) {
+        if self.poll_timeout().is_none_or(|due| due > now) {
             return effects;
         }
         self.last_turn = Some(now);
@@ -878,21 +911,21 @@
         while let Some(&(at, id)) = self.timeouts.first().filter(|(at, _)| *at <= now) {
             self.timeouts.remove(&(at, id));
             if let Some(out) = self.attempts.get(&id) {
-                effects.push(Effect::Abandon(out.server, id));
-                self.outcome(now, id, Outcome::TimedOut, None);
+                effects.push(Action::CancelAttempt(out.server, id));
+                self.attempt_completed(now, id, Outcome::TimedOut, None);
             }
         }
         if self.wake.is_some_and(|at| at <= now) {
             self.wake = None;
-            self.events.push(Event::Wake);
+            self.events.push(Event::TimerExpired);
         }
         let mut actions = Vec::new();
         self.router.handle(now, std::mem::take(&mut self.events), &mut actions);
-        let mut calls: BTreeMap<ServerId, Vec<Send>> = BTreeMap::new();
+        let mut calls: BTreeMap<BackendId, Vec<AttemptRequest>> = BTreeMap::new();
         let mut others = Vec::new();
         for action in actions {
             match action {
-                Action::Send { part, server, timeout, begin_within } => {
+                router::Action::Send { part, backend: server, timeout, begin_within } => {
                     let effect = self.has_effect(part);
                     if effect {
                         // Of two attempts none may begin long after the other: one that waits still is not to.
@@ -900,39 +933,43 @@
                     }
                     let guarded = self.guarded && effect;
                     match self.send(now, part, server, (timeout, begin_within)) {
-                        Some(send) if guarded => others.push(Effect::Leave(server, send)),
+                        Some(send) if guarded => others.push(Action::RequestPermit(server, send)),
                         Some(send) => calls.entry(server).or_default().push(send),
                         None => {}
                     }
                 }
-                Action::Cancel { part, attempt } => {
+                router::Action::Cancel { part, attempt } => {
                     let id = AttemptId { part, number: attempt };
                     if let Some(out) = self.attempts.get(&id) {
-                        others.push(Effect::Abandon(out.server, id));
-                        self.outcome(now, id, Outcome::Cancelled, None);
+                        others.push(Action::CancelAttempt(out.server, id));
+                        self.attempt_completed(now, id, Outcome::Cancelled, None);
                     }
                 }
-                Action::Lost { part } => {
+                router::Action::PartFailed { part } => {
                     self.plan_part(now, part, None);
                 }
-                Action::Answer { query, whole } => others.extend(self.served(query, whole)),
-                Action::Refuse { query, retry_after } => {
+                router::Action::Respond { query, complete: whole } => {
+                    others.extend(self.served(query, whole))
+                }
+                router::Action::Reject { query, retry_after } => {
                     let untouched = self.queries.get(&query).is_some_and(|open| open.may_have_run == 0);
-                    others.extend(self.finish(query, Answer::Refused { retry_after, untouched }));
+                    others.extend(
+                        self.finish(query, QueryResponse::Rejected { retry_after, not_executed: untouched }),
+                    );
                 }
-                Action::Fail { query } => {
+                router::Action::Fail { query } => {
                     let over = self.queries.get(&query).is_some_and(|open| open.end <= now + END_MARGIN);
-                    let failure = if over { Failure::TimeUp } else { Failure::Parts };
-                    others.extend(self.finish(query, Answer::Failed(failure)));
+                    let failure = if over { Failure::DeadlineExceeded } else { Failure::PartsFailed };
+                    others.extend(self.finish(query, QueryResponse::Failed(failure)));
                 }
-                Action::WakeIn(after) => {
+                router::Action::SetTimer(after) => {
                     let at = now.saturating_add(after);
                     self.wake = Some(self.wake.map_or(at, |wake| wake.min(at)));
                 }
-                Action::Subscribe => others.push(Effect::Watch),
-                Action::FetchList => others.push(Effect::Fetch),
-                Action::Probe(server) => others.push(Effect::Probe(server)),
-                Action::Log(line) => tracing::info!("router: {line}"),
+                router::Action::WatchEndpoints => others.push(Action::WatchEndpoints),
+                router::Action::FetchEndpoints => others.push(Action::FetchEndpoints),
+                router::Action::HealthCheck(server) => others.push(Action::HealthCheck(server)),
+                router::Action::Log(line) => tracing::info!("router: {line}"),
             }
         }
         // The router ends a query ahead of its time; this holds the promise should it ever not.
@@ -940,12 +977,12 @@
             self.ends.remove(&(at, query));
             let id = self.queries.get(&query).map(|open| &*open.ask.id);
             tracing::error!(query = id, "query ran out of time undecided");
-            others.extend(self.finish(query, Answer::Failed(Failure::TimeUp)));
-            self.events.push(Event::Left(query));
+            others.extend(self.finish(query, QueryResponse::Failed(Failure::DeadlineExceeded)));
+            self.events.push(Event::ClientDisconnected(query));
         }
         // What plans have decided in this turn goes out with it.
         effects.append(&mut self.ready);
-        effects.extend(calls.into_iter().map(|(server, sends)| Effect::Call(server, sends)));
+        effects.extend(calls.into_iter().map(|(server, sends)| Action::SendBatch(server, sends)));
         effects.extend(others);
         effects
     }
@@ -960,25 +997,25 @@
     fn withdraw_waiting(&mut self, part: PartId) {
         let (first, last) = (AttemptId { part, number: 0 }, AttemptId { part, number: u32::MAX });
         let out = self.attempts.range(first..=last);
-        self.ready.extend(out.map(|(id, out)| Effect::Withdraw(out.server, *id)));
+        self.ready.extend(out.map(|(id, out)| Action::RevokeUnsent(out.server, *id)));
     }
 
     fn send(
         &mut self,
         now: Micros,
         part: PartId,
-        server: ServerId,
+        server: BackendId,
         (timeout, begin_within): (Micros, Micros),
-    ) -> Option<Send> {
+    ) -> Option<AttemptRequest> {
         let count = self.counts.entry(part).or_insert(0);
         let id = AttemptId { part, number: *count };
         *count += 1;
         let Some(&(query, index)) = self.parts.get(&part) else {
             self.counts.remove(&part);
-            self.events.push(Event::Outcome {
+            self.events.push(Event::AttemptCompleted {
                 part,
                 attempt: id.number,
-                outcome: Outcome::NeverSent,
+                outcome: Outcome::NotSent,
                 took: 0,
             });
             return None;
@@ -991,36 +1028,42 @@
         let until = now.saturating_add(timeout).min(open.end);
         self.attempts.insert(id, Out { server, query, sent: now, until });
         self.timeouts.insert((until, id));
-        Some(Send {
+        Some(AttemptRequest {
             attempt: id,
             query: Rc::clone(&open.ask.id),
             call: CallId(query.0),
             shard: open.ask.parts[at].shard,
             deadline: until,
             begin_by: until.min(now.saturating_add(begin_within)),
-            text: match &open.ask.plan {
+            body: match &open.ask.plan {
                 Some(plan) if scout => Rc::clone(&plan.scout),
-                _ => Rc::clone(&open.ask.text),
+                _ => Rc::clone(&open.ask.body),
             },
         })
     }
 
-    fn served(&mut self, query: QueryId, whole: bool) -> Option<Effect> {
+    fn served(&mut self, query: QueryId, whole: bool) -> Option<Action> {
         let open = self.queries.get_mut(&query)?;
         let slots = open.slots.iter_mut();
         let values = slots.filter_map(|slot| Some((open.ask.parts[slot.at].shard, slot.value.take()?)));
         let values = values.collect();
-        self.finish(query, Answer::Served { whole, values })
+        self.finish(query, QueryResponse::Completed { complete: whole, values })
     }
 
-    fn finish(&mut self, query: QueryId, answer: Answer) -> Option<Effect> {
+    fn finish(&mut self, query: QueryId, answer: QueryResponse) -> Option<Action> {
         let open = self.close(query)?;
         if !self.guards(open.ask.class) {
-            return Some(Effect::Reply(open.asker, answer));
+            return Some(Action::Respond(open.asker, answer));
         }
         let askers = [vec![open.asker], open.riders].concat();
         let touched = open.may_have_run > 0;
-        Some(Effect::Record(Box::new(Recorded { ask: open.ask, end: open.end, askers, answer, touched })))
+        Some(Action::ReplicateOutcome(Box::new(CompletedQuery {
+            request: open.ask,
+            deadline: open.end,
+            response_handles: askers,
+            response: answer,
+            possibly_executed: touched,
+        })))
     }
 
     fn close(&mut self, query: QueryId) -> Option<Open> {
--- a/crates/core/src/truth.rs
+++ b/crates/core/src/truth.rs
@@ -10,7 +10,7 @@
 
 /// How far a stream has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stage {
+pub enum StreamStage {
     /// Waits for a connection to come up or for a place on it; nothing was handed over.
     Queued,
     /// The request was handed to the connection, and may be in the socket or beyond.
@@ -18,60 +18,69 @@
     /// The host's answer has begun.
     Answering,
     /// A whole table is in, and its status is not.
-    Whole,
+    Complete,
 }
 
 /// What ended it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum StreamEnd {
     /// The host's status was OK.
     Ok,
     /// The host's status says in its details that it turned the part away unseen.
-    Later,
+    RetryLaterStatus,
     /// The host's status says that time ran out.
-    Deadline,
+    DeadlineStatus,
     /// Any other status, or none where one should be.
     Status,
     /// REFUSED_STREAM from the host.
-    Refused,
+    RefusedStream,
     /// The host's GOAWAY names a stream below this one as its last.
-    Above,
+    AboveGoAway,
     /// Any other reset, from either side.
     Reset,
     /// The connection ended or broke.
-    Broken,
+    ConnectionLost,
     /// What came cannot be read: no table, no such part, more than is taken, or compressed in an unknown way.
-    Spoilt,
+    Malformed,
     /// A message that had begun did not become whole in time.
     Stalled,
     /// Nobody waits for it any more.
-    GivenUp,
+    Cancelled,
 }
 
 /// What the router is told of the attempt.
 #[must_use]
-pub fn verdict(stage: Stage, end: End) -> Outcome {
+pub fn classify(stage: StreamStage, end: StreamEnd) -> Outcome {
     match (stage, end) {
         // Nothing was handed over, whatever happened then.
-        (Stage::Queued, End::GivenUp) => Outcome::Cancelled,
-        (Stage::Queued, _) => Outcome::NoRoute,
-        (Stage::Whole, End::Ok) => Outcome::Served,
+        (StreamStage::Queued, StreamEnd::Cancelled) => Outcome::Cancelled,
+        (StreamStage::Queued, _) => Outcome::ConnectFailed,
+        (StreamStage::Complete, StreamEnd::Ok) => Outcome::Succeeded,
         // OK with no table behind it answers no part.
-        (_, End::Ok) => Outcome::Cut,
+        (_, StreamEnd::Ok) => Outcome::ConnectionLost,
         // A host that has begun to answer has looked at the part: what it says then proves nothing.
-        (Stage::Sent, End::Later | End::Refused | End::Above) => Outcome::NoRoom,
-        (_, End::Later) => Outcome::Fault,
-        (_, End::Deadline) => Outcome::TimedOut,
-        (_, End::Status) => Outcome::Fault,
-        (_, End::GivenUp) => Outcome::Cancelled,
-        (_, End::Refused | End::Above | End::Reset | End::Broken | End::Spoilt | End::Stalled) => {
-            Outcome::Cut
-        }
+        (
+            StreamStage::Sent,
+            StreamEnd::RetryLaterStatus | StreamEnd::RefusedStream | StreamEnd::AboveGoAway,
+        ) => Outcome::Rejected,
+        (_, StreamEnd::RetryLaterStatus) => Outcome::BackendError,
+        (_, StreamEnd::DeadlineStatus) => Outcome::TimedOut,
+        (_, StreamEnd::Status) => Outcome::BackendError,
+        (_, StreamEnd::Cancelled) => Outcome::Cancelled,
+        (
+            _,
+            StreamEnd::RefusedStream
+            | StreamEnd::AboveGoAway
+            | StreamEnd::Reset
+            | StreamEnd::ConnectionLost
+            | StreamEnd::Malformed
+            | StreamEnd::Stalled,
+        ) => Outcome::ConnectionLost,
     }
 }
 
 /// Whether an outcome proves that the part never ran.
 #[must_use]
-pub fn never_ran(outcome: Outcome) -> bool {
-    matches!(outcome, Outcome::NoRoom | Outcome::NoRoute | Outcome::NeverSent)
+pub fn not_executed(outcome: Outcome) -> bool {
+    matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
 }
--- a/crates/core/src/value.rs
+++ b/crates/core/src/value.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 
-use crate::budget::Lease;
+use crate::budget::TableLease;
 
 /// One message of a table, as it came: its header (a flatbuffer) and its body. Neither is copied on the way.
 #[derive(Clone, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     /// Rows in all record batches.
     pub rows: u64,
     /// What it holds of the memory for tables, until the last of it has been passed on.
-    pub lease: Lease,
+    pub lease: TableLease,
 }
 
 impl Table {
--- a/crates/core/tests/budget.rs
+++ b/crates/core/tests/budget.rs
@@ -3,11 +3,11 @@
 
 use std::collections::BTreeMap;
 
-use mallowgauge_core::budget::{Bounds, Budget, CallId, Grant, Lease, StreamId};
+use mallowgauge_core::budget::{CallId, StreamId, TableLease, TableMemory, TableMemoryLimits, WindowGrant};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const BOUNDS: Bounds = Bounds { total: 1_000, most_a_call: 400 };
+const BOUNDS: TableMemoryLimits = TableMemoryLimits { total: 1_000, per_query: 400 };
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -40,9 +40,9 @@
 
     #[test]
     fn no_more_is_drawn_than_there_is_and_somebody_goes_on(steps in prop::collection::vec(step(), 1..150)) {
-        let budget = Budget::new(BOUNDS);
+        let budget = TableMemory::new(BOUNDS);
         let mut streams: BTreeMap<StreamId, Stream> = BTreeMap::new();
-        let mut leases: Vec<(Lease, usize)> = Vec::new();
+        let mut leases: Vec<(TableLease, usize)> = Vec::new();
         let mut next = 0;
         for step in steps {
             let pick = |streams: &BTreeMap<StreamId, Stream>, which: usize| {
@@ -56,15 +56,15 @@
                 }
                 Step::Want { which, bytes } => {
                     let Some(id) = pick(&streams, which) else { continue };
-                    let grant = budget.want(id, bytes);
+                    let grant = budget.request_window(id, bytes);
                     let stream = streams.get_mut(&id).expect("it is open");
                     match grant {
-                        Grant::Now => {
+                        WindowGrant::Granted => {
                             stream.granted += bytes + stream.waits;
                             stream.waits = 0;
                         }
-                        Grant::Wait => stream.waits += bytes,
-                        Grant::Over => {
+                        WindowGrant::Queued => stream.waits += bytes,
+                        WindowGrant::Exceeded => {
                             budget.close(id);
                             streams.remove(&id);
                         }
@@ -80,7 +80,7 @@
                     // A table is as long as what was let come, or came through the first window.
                     let bytes = bytes.max(streams[&id].granted / 2);
                     streams.remove(&id);
-                    leases.extend(budget.keep(id, bytes).map(|lease| (lease, bytes)));
+                    leases.extend(budget.retain(id, bytes).map(|lease| (lease, bytes)));
                 }
                 Step::Take { which } => {
                     if !leases.is_empty() {
@@ -89,25 +89,25 @@
                 }
             }
             // The streams that go on are the oldest queries' first.
-            for (id, bytes) in budget.granted() {
+            for (id, bytes) in budget.take_grants() {
                 let stream = streams.get_mut(&id).expect("it is open");
                 prop_assert_eq!(bytes, stream.waits);
                 stream.granted += bytes;
                 stream.waits = 0;
             }
             let drawn: usize = streams.values().map(|s| s.granted).sum::<usize>() + leases.iter().map(|l| l.1).sum::<usize>();
-            prop_assert_eq!(budget.drawn().0, drawn, "nothing is lost and nothing is counted twice");
+            prop_assert_eq!(budget.usage().0, drawn, "nothing is lost and nothing is counted twice");
             prop_assert!(drawn <= BOUNDS.total);
             for call in 0..6 {
                 let of = streams.values().filter(|s| s.call == call).map(|s| s.granted).sum::<usize>();
-                prop_assert!(of <= BOUNDS.most_a_call);
+                prop_assert!(of <= BOUNDS.per_query);
             }
             // Once all who hold something wait, one of them has to give way, and it is not the oldest.
             let waits = streams.values().filter(|s| s.waits > 0);
             let stuck = leases.iter().all(|l| l.1 == 0)
                 && streams.values().all(|s| s.granted == 0 || s.waits > 0)
                 && waits.clone().count() > 0;
-            match budget.victim() {
+            match budget.query_to_evict() {
                 None if stuck => {
                     // Only the oldest holds anything: it alone may be short, and its own bound ends it.
                     let oldest = waits.map(|s| s.call).min();
@@ -124,28 +124,28 @@
         }
         drop(leases);
         streams.keys().for_each(|&id| budget.close(id));
-        prop_assert_eq!(budget.drawn().0, 0);
+        prop_assert_eq!(budget.usage().0, 0);
     }
 }
 
 #[test]
 fn the_youngest_gives_way_and_the_oldest_comes_to_its_end() {
-    let budget = Budget::new(BOUNDS);
+    let budget = TableMemory::new(BOUNDS);
     for call in 1..=3_u64 {
         budget.open(StreamId(call), CallId(call.into()));
-        assert_eq!(budget.want(StreamId(call), 330), Grant::Now);
+        assert_eq!(budget.request_window(StreamId(call), 330), WindowGrant::Granted);
     }
     for call in 1..=3_u64 {
-        assert_eq!(budget.want(StreamId(call), 60), Grant::Wait);
+        assert_eq!(budget.request_window(StreamId(call), 60), WindowGrant::Queued);
     }
-    assert!(budget.granted().is_empty());
-    assert_eq!(budget.victim(), Some(CallId(3)));
+    assert!(budget.take_grants().is_empty());
+    assert_eq!(budget.query_to_evict(), Some(CallId(3)));
     budget.close(StreamId(3));
-    assert_eq!(budget.granted(), [(StreamId(1), 60), (StreamId(2), 60)]);
-    assert_eq!(budget.want(StreamId(1), 20), Grant::Over);
-    let lease = budget.keep(StreamId(2), 390).expect("room");
+    assert_eq!(budget.take_grants(), [(StreamId(1), 60), (StreamId(2), 60)]);
+    assert_eq!(budget.request_window(StreamId(1), 20), WindowGrant::Exceeded);
+    let lease = budget.retain(StreamId(2), 390).expect("room");
     budget.close(StreamId(1));
-    assert_eq!(budget.drawn().0, 390);
+    assert_eq!(budget.usage().0, 390);
     drop(lease);
-    assert_eq!(budget.drawn().0, 0);
+    assert_eq!(budget.usage().0, 0);
 }
--- a/crates/core/tests/links.rs
+++ b/crates/core/tests/links.rs
@@ -2,24 +2,32 @@
 
 use std::collections::BTreeMap;
 
-use mallowgauge_core::links::{choose, fullest, gives_way, Choice, Means, Room, Shares, View};
+use mallowgauge_core::links::{
+    choose, connection_to_evict, largest_connection, Choice, ConnectionCapacity, ConnectionLimits,
+    ConnectionResources, ConnectionView,
+};
 use proptest::prelude::*;
 
 const MB: usize = 1024 * 1024;
 
-fn shares(sockets: usize, megabytes: usize, hosts: usize) -> Shares {
-    Shares::of(Means { sockets, memory: megabytes * MB, hosts, a_client: 80 * 1024 })
+fn shares(sockets: usize, megabytes: usize, hosts: usize) -> ConnectionLimits {
+    ConnectionLimits::of(ConnectionResources {
+        descriptors: sockets,
+        memory: megabytes * MB,
+        backends: hosts,
+        bytes_per_client: 80 * 1024,
+    })
 }
 
 // Guards against the failure of the first day at full size: 512 descriptors, 179 hosts and 124 connections.
 // What found no connection counted against the hosts, and all of them ended as suspects.
 #[test]
 fn a_fleet_larger_than_a_quarter_of_the_descriptors_gets_a_connection_a_host() {
-    assert!(shares(512, 64, 179).hosts >= 179 + 179 / 5);
-    assert!(shares(672, 56, 200).hosts >= 240);
+    assert!(shares(512, 64, 179).backends >= 179 + 179 / 5);
+    assert!(shares(672, 56, 200).backends >= 240);
     // A small fleet leaves the clients what they had.
-    assert_eq!(shares(512, 64, 12).hosts, 124);
-    assert_eq!(shares(1024, 192, 23).hosts, 252);
+    assert_eq!(shares(512, 64, 12).backends, 124);
+    assert_eq!(shares(1024, 192, 23).backends, 252);
 }
 
 proptest! {
@@ -28,9 +36,9 @@
         sockets in 32_usize..5000, megabytes in 8_usize..2000, hosts in 0_usize..5000,
     ) {
         let shares = shares(sockets, megabytes, hosts);
-        prop_assert!(shares.hosts + shares.clients + 16 <= sockets);
-        prop_assert!(shares.hosts >= 1 && shares.clients >= 1);
-        prop_assert!(shares.clients * 80 * 1024 + shares.host_bytes <= megabytes * MB * 7 / 8);
+        prop_assert!(shares.backends + shares.clients + 16 <= sockets);
+        prop_assert!(shares.backends >= 1 && shares.clients >= 1);
+        prop_assert!(shares.clients * 80 * 1024 + shares.backend_bytes <= megabytes * MB * 7 / 8);
         prop_assert!(shares.clients >= ((sockets - 16) / 4).min(megabytes * MB / 2 / 80 / 1024));
     }
 
@@ -43,16 +51,16 @@
         let mut opened = 0;
         for (now, (host, done)) in steps.into_iter().enumerate() {
             let (host, now) = (host % hosts, now as u64);
-            let views: Vec<View> = links.iter().filter(|(_, l)| l.0 == host)
-                .map(|(&id, l)| View { id, fits: l.1 < 4, silent: false, load: l.1, used: l.2 }).collect();
-            let room = if links.len() < most { Room::Free } else { Room::Crowded };
+            let views: Vec<ConnectionView> = links.iter().filter(|(_, l)| l.0 == host)
+                .map(|(&id, l)| ConnectionView { id, fits: l.1 < 4, silent: false, load: l.1, used: l.2 }).collect();
+            let room = if links.len() < most { ConnectionCapacity::Available } else { ConnectionCapacity::Exhausted };
             let rests = links.values().any(|l| l.1 == 0);
             let id = match choose(&views, most, hosts as usize, room) {
                 Choice::Use(id) => Some(id),
-                Choice::Nowhere => None,
+                Choice::Unavailable => None,
                 Choice::Open(instead) => {
-                    let other = gives_way(links.iter().filter(|(_, l)| l.1 == 0).map(|(&id, l)| (id, l.2)));
-                    if room == Room::Crowded {
+                    let other = connection_to_evict(links.iter().filter(|(_, l)| l.1 == 0).map(|(&id, l)| (id, l.2)));
+                    if room == ConnectionCapacity::Exhausted {
                         other.into_iter().for_each(|id| _ = links.remove(&id));
                     }
                     if links.len() < most {
@@ -84,7 +92,7 @@
             *held.entry(id).or_default() += bytes;
             let before = held.len();
             while held.values().sum::<usize>() > bound {
-                let id = fullest(held.iter().map(|(&id, &bytes)| (id, bytes))).expect("somebody holds it");
+                let id = largest_connection(held.iter().map(|(&id, &bytes)| (id, bytes))).expect("somebody holds it");
                 held.remove(&id);
             }
             cut = cut.max(before - held.len());
@@ -93,42 +101,43 @@
     }
 }
 
-fn view(id: u64, load: usize, used: u64) -> View {
-    View { id, fits: true, silent: false, load, used }
+fn view(id: u64, load: usize, used: u64) -> ConnectionView {
+    ConnectionView { id, fits: true, silent: false, load, used }
 }
 
 #[test]
 fn the_emptiest_goes_first_and_of_those_the_one_used_last() {
     let held = [view(1, 2, 9), view(2, 0, 5), view(3, 0, 7)];
-    assert_eq!(choose(&held, 100, 10, Room::Free), Choice::Use(3));
+    assert_eq!(choose(&held, 100, 10, ConnectionCapacity::Available), Choice::Use(3));
 }
 
 #[test]
 fn busy_ones_are_spread_only_while_there_is_room() {
     let held = [view(1, 1, 0)];
-    assert_eq!(choose(&held, 100, 10, Room::Free), Choice::Open(Some(1)));
-    assert_eq!(choose(&held, 100, 10, Room::Crowded), Choice::Use(1));
+    assert_eq!(choose(&held, 100, 10, ConnectionCapacity::Available), Choice::Open(Some(1)));
+    assert_eq!(choose(&held, 100, 10, ConnectionCapacity::Exhausted), Choice::Use(1));
     // One a host is all that there is with as many hosts as places.
-    assert_eq!(choose(&held, 100, 90, Room::Free), Choice::Use(1));
+    assert_eq!(choose(&held, 100, 90, ConnectionCapacity::Available), Choice::Use(1));
 }
 
 #[test]
 fn a_silent_one_is_used_only_where_no_other_can_be_opened() {
-    let silent = |id| View { silent: true, ..view(id, 1, 0) };
-    assert_eq!(choose(&[silent(1)], 100, 90, Room::Crowded), Choice::Open(Some(1)));
-    let eight: Vec<View> = (1..=8).map(silent).collect();
-    assert_eq!(choose(&eight, 100, 90, Room::Free), Choice::Use(1));
+    let silent = |id| ConnectionView { silent: true, ..view(id, 1, 0) };
+    assert_eq!(choose(&[silent(1)], 100, 90, ConnectionCapacity::Exhausted), Choice::Open(Some(1)));
+    let eight: Vec<ConnectionView> = (1..=8).map(silent).collect();
+    assert_eq!(choose(&eight, 100, 90, ConnectionCapacity::Available), Choice::Use(1));
 }
 
 #[test]
 fn what_fits_nowhere_is_not_forced() {
-    let full: Vec<View> = (1..=8).map(|id| View { fits: false, ..view(id, 32, 0) }).collect();
-    assert_eq!(choose(&full, 100, 10, Room::Free), Choice::Nowhere);
-    assert_eq!(choose(&full[..7], 100, 10, Room::Free), Choice::Open(None));
+    let full: Vec<ConnectionView> =
+        (1..=8).map(|id| ConnectionView { fits: false, ..view(id, 32, 0) }).collect();
+    assert_eq!(choose(&full, 100, 10, ConnectionCapacity::Available), Choice::Unavailable);
+    assert_eq!(choose(&full[..7], 100, 10, ConnectionCapacity::Available), Choice::Open(None));
 }
 
 #[test]
 fn the_one_that_rested_longest_gives_way() {
-    assert_eq!(gives_way([(4, 30), (2, 10), (9, 10)].into_iter()), Some(2));
-    assert_eq!(gives_way(std::iter::empty()), None);
+    assert_eq!(connection_to_evict([(4, 30), (2, 10), (9, 10)].into_iter()), Some(2));
+    assert_eq!(connection_to_evict(std::iter::empty()), None);
 }
--- a/crates/core/tests/streams.rs
+++ b/crates/core/tests/streams.rs
@@ -6,24 +6,25 @@
 use mallowgauge_core::admission::{Admission, Limits, Reader, STALL};
 use mallowgauge_core::batch::{Batch, Bounds, Phase, Why};
 use mallowgauge_core::sessions::{Bad, Compression, Options, SessionId, Sessions, Setting};
-use mallowgauge_core::truth::{never_ran, verdict, End, Stage};
+use mallowgauge_core::truth::{classify, not_executed, StreamEnd, StreamStage};
 use mallowgauge_router::Outcome;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const STAGES: [Stage; 4] = [Stage::Queued, Stage::Sent, Stage::Answering, Stage::Whole];
-const ENDS: [End; 11] = [
-    End::Ok,
-    End::Later,
-    End::Deadline,
-    End::Status,
-    End::Refused,
-    End::Above,
-    End::Reset,
-    End::Broken,
-    End::Spoilt,
-    End::Stalled,
-    End::GivenUp,
+const STAGES: [StreamStage; 4] =
+    [StreamStage::Queued, StreamStage::Sent, StreamStage::Answering, StreamStage::Complete];
+const ENDS: [StreamEnd; 11] = [
+    StreamEnd::Ok,
+    StreamEnd::RetryLaterStatus,
+    StreamEnd::DeadlineStatus,
+    StreamEnd::Status,
+    StreamEnd::RefusedStream,
+    StreamEnd::AboveGoAway,
+    StreamEnd::Reset,
+    StreamEnd::ConnectionLost,
+    StreamEnd::Malformed,
+    StreamEnd::Stalled,
+    StreamEnd::Cancelled,
 ];
 
 // The rule that a part with an effect stands on: nothing but these endings proves that it never ran.
@@ -31,15 +32,22 @@
 fn only_three_endings_and_the_hosts_own_word_prove_that_a_part_never_ran() {
     for stage in STAGES {
         for end in ENDS {
-            let said = verdict(stage, end);
+            let said = classify(stage, end);
             let proved = match stage {
-                Stage::Queued => end != End::GivenUp,
-                Stage::Sent => matches!(end, End::Later | End::Refused | End::Above),
-                Stage::Answering | Stage::Whole => false,
+                StreamStage::Queued => end != StreamEnd::Cancelled,
+                StreamStage::Sent => matches!(
+                    end,
+                    StreamEnd::RetryLaterStatus | StreamEnd::RefusedStream | StreamEnd::AboveGoAway
+                ),
+                StreamStage::Answering | StreamStage::Complete => false,
             };
-            assert_eq!(never_ran(said), proved, "{stage:?} {end:?}");
+            assert_eq!(not_executed(said), proved, "{stage:?} {end:?}");
             // Served is said of a whole table under OK, and of nothing else.
-            assert_eq!(said == Outcome::Served, (stage, end) == (Stage::Whole, End::Ok), "{stage:?} {end:?}");
+            assert_eq!(
+                said == Outcome::Succeeded,
+                (stage, end) == (StreamStage::Complete, StreamEnd::Ok),
+                "{stage:?} {end:?}"
+            );
         }
     }
 }
--- a/crates/edge/src/discovery.rs
+++ b/crates/edge/src/discovery.rs
@@ -37,21 +37,21 @@
 /// The names of hosts, with the numbers that the router knows them by.
 #[derive(Debug, Default)]
 pub struct Roster {
-    ids: BTreeMap<String, ServerId>,
+    ids: BTreeMap<String, BackendId>,
     next: u32,
 }
 
 impl Roster {
     /// The hosts of a list with their numbers, and the numbers that are forgotten with it: of those that
     /// have left, and of those that a whole list lacks. A number is never given out twice.
-    pub fn take<'a>(&mut self, list: &'a List) -> (Vec<(ServerId, &'a Host)>, Vec<ServerId>) {
+    pub fn take<'a>(&mut self, list: &'a List) -> (Vec<(BackendId, &'a Host)>, Vec<BackendId>) {
         let mut hosts = Vec::new();
         for host in &list.hosts {
             match self.ids.get(&host.name) {
                 Some(&id) => hosts.push((id, host)),
-                None if host.phase == Phase::Gone => {}
+                None if host.phase == EndpointState::Removed => {}
                 None => {
-                    let id = ServerId(self.next);
+                    let id = BackendId(self.next);
                     self.next += 1;
                     tracing::info!("host {} is number {}", host.name, id.0);
                     self.ids.insert(host.name.clone(), id);
@@ -59,9 +59,9 @@
                 }
             }
         }
-        let named: BTreeSet<ServerId> = hosts.iter().map(|(id, _)| *id).collect();
-        let left = hosts.iter().filter(|(_, host)| host.phase == Phase::Gone).map(|(id, _)| *id);
-        let mut gone: BTreeSet<ServerId> = left.collect();
+        let named: BTreeSet<BackendId> = hosts.iter().map(|(id, _)| *id).collect();
+        let left = hosts.iter().filter(|(_, host)| host.phase == EndpointState::Removed).map(|(id, _)| *id);
+        let mut gone: BTreeSet<BackendId> = left.collect();
         gone.extend(self.ids.values().filter(|id| list.reset && !named.contains(id)));
         self.ids.retain(|_, id| !gone.contains(id));
         (hosts, gone.into_iter().collect())
--- a/crates/edge/src/front/flight/command.rs
+++ b/crates/edge/src/front/flight/command.rs
@@ -2,7 +2,7 @@
 //! beside it. Rows of a table are commands too.
 
 use bytes::Bytes;
-use mallowgauge_core::{Ask, Core};
+use mallowgauge_core::{Core, QueryRequest};
 use mallowgauge_flight::grpc::{Code, Status};
 use mallowgauge_flight::proto::{FlightDescriptor, COMMAND};
 use mallowgauge_flight::seal::fingerprint;
@@ -49,7 +49,7 @@
         fields.entry("id").or_insert_with(|| json!(fresh));
         let id = fields.get("id").and_then(Value::as_str).filter(|id| query::is_id(id));
         let id = id.ok_or_else(|| bad("id is missing or odd"))?.to_owned();
-        let class = fields.get("kind").and_then(Value::as_str).and_then(|name| core.class(name));
+        let class = fields.get("kind").and_then(Value::as_str).and_then(|name| core.class_id(name));
         let class = class.ok_or_else(|| bad("the class is unknown"))?;
         if let Some(Value::Array(ranges)) = fields.get_mut("ranges") {
             // Shards alone have equal shares.
@@ -77,7 +77,12 @@
 
     /// The query, of a client that waits for so long; one that states no time waits for as long as the
     /// session or the class allows.
-    pub fn ask(&self, left: Option<Micros>, usual: Option<Micros>, core: &Core) -> Result<Ask, Status> {
+    pub fn ask(
+        &self,
+        left: Option<Micros>,
+        usual: Option<Micros>,
+        core: &Core,
+    ) -> Result<QueryRequest, Status> {
         let own = match self.fields.get("deadline_ms") {
             None | Some(Value::Null) => None,
             Some(value) => {
@@ -108,7 +113,7 @@
         if wanted == 1 {
             return Ok(vec![self.clone()]);
         }
-        if !core.is_harmless(self.class) {
+        if !core.is_idempotent(self.class) {
             return Err(bad("a query with an effect is not split over endpoints"));
         }
         let size = ranges.len().div_ceil(wanted);
--- a/crates/edge/src/front/flight/long.rs
+++ b/crates/edge/src/front/flight/long.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use mallowgauge_core::admission::Limits;
 use mallowgauge_core::batch::{Batch, Bounds, Phase};
-use mallowgauge_core::flights::Caller;
-use mallowgauge_core::{Answer, Failure, Message};
+use mallowgauge_core::flights::WaiterId;
+use mallowgauge_core::{Failure, Message, QueryResponse};
 use mallowgauge_flight::grpc::{Code, Status};
 use mallowgauge_flight::ipc::Collector;
 use mallowgauge_flight::proto::FlightData;
@@ -50,7 +50,7 @@
     /// Which of the two it is.
     pub form: Form,
     /// The queries that are open.
-    pub batch: Batch<String, Caller>,
+    pub batch: Batch<String, WaiterId>,
     /// What was said and has not been begun: of one message at most.
     pub queue: VecDeque<Said>,
     /// The schema that the client has been sent.
@@ -189,23 +189,25 @@
 }
 
 /// What a client is told of an answer in metadata.
-pub fn told(form: Form, tag: &str, id: &str, answer: &Result<std::rc::Rc<Answer>, Status>) -> Value {
+pub fn told(form: Form, tag: &str, id: &str, answer: &Result<std::rc::Rc<QueryResponse>, Status>) -> Value {
     let mut told = match answer {
         Ok(answer) => match &**answer {
-            Answer::Served { whole, .. } => {
+            QueryResponse::Completed { complete: whole, .. } => {
                 json!({"status": if *whole { "whole" } else { "partial" }, "total": whole})
             }
-            Answer::Ranked(ranked) => {
+            QueryResponse::Ranked(ranked) => {
                 let mut told = query::marks(ranked);
                 told["status"] = json!(if ranked.whole { "whole" } else { "partial" });
                 told
             }
-            Answer::Refused { retry_after, untouched } => {
+            QueryResponse::Rejected { retry_after, not_executed: untouched } => {
                 json!({"status": "refused", "untouched": untouched, "retry_after_ms": ms(*retry_after)})
             }
-            Answer::Failed(Failure::Invalid(words)) => json!({"status": "invalid", "error": words}),
-            Answer::Failed(Failure::TimeUp) => json!({"status": "time_up"}),
-            Answer::Failed(Failure::Parts | Failure::Room) => json!({"status": "failed"}),
+            QueryResponse::Failed(Failure::Invalid(words)) => json!({"status": "invalid", "error": words}),
+            QueryResponse::Failed(Failure::DeadlineExceeded) => json!({"status": "time_up"}),
+            QueryResponse::Failed(Failure::PartsFailed | Failure::MemoryExhausted) => {
+                json!({"status": "failed"})
+            }
         },
         Err(status) => {
             let kind = match status.code {
--- a/crates/edge/src/front/flight/methods.rs
+++ b/crates/edge/src/front/flight/methods.rs
@@ -4,9 +4,11 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use mallowgauge_core::flights::{Caller, Cancel, Key, Spec, Standing, Why};
+use mallowgauge_core::flights::{
+    CancelResult, PolledQueryKey, PolledQuerySpec, PolledState, RejectReason, WaiterId,
+};
 use mallowgauge_core::sessions::{Bad, Options, Setting};
-use mallowgauge_core::{Answer, Asker, Core, Failure};
+use mallowgauge_core::{Core, Failure, QueryResponse, ResponseHandle};
 use mallowgauge_flight::answer::{self, Stream, Style};
 use mallowgauge_flight::grpc::{self, Code, Encoding, Status};
 use mallowgauge_flight::proto::*;
@@ -91,7 +93,7 @@
     /// When the call says how things stand, if there is no outcome by then.
     pub until: Option<Micros>,
     /// The caller under which the outcome comes.
-    pub caller: Option<Caller>,
+    pub caller: Option<WaiterId>,
 }
 
 /// What comes of an outcome.
@@ -99,7 +101,7 @@
     /// The answer's table.
     Table,
     /// How a polled query stands.
-    Poll(Key, Command),
+    Poll(PolledQueryKey, Command),
 }
 
 /// A poll is answered after so long, whether something has changed or not.
@@ -132,34 +134,36 @@
 
 /// What the front's wire makes of a final answer that is none to be shown. Standard clients may by themselves
 /// repeat a call that ends with UNAVAILABLE, so that is only said where nothing can have run.
-pub fn failure(answer: &Answer) -> Option<Status> {
+pub fn failure(answer: &QueryResponse) -> Option<Status> {
     Some(match answer {
-        Answer::Served { .. } | Answer::Ranked(_) => return None,
-        Answer::Refused { retry_after, untouched } => {
+        QueryResponse::Completed { .. } | QueryResponse::Ranked(_) => return None,
+        QueryResponse::Rejected { retry_after, not_executed: untouched } => {
             let code = if *untouched { Code::Unavailable } else { Code::ResourceExhausted };
             Status::new(code, "refused").because("REFUSED").retry(*retry_after)
         }
-        Answer::Failed(Failure::Invalid(words)) => Status::new(Code::InvalidArgument, *words),
-        Answer::Failed(Failure::Parts) => Status::new(Code::Internal, "parts could not be had"),
-        Answer::Failed(Failure::Room) => {
+        QueryResponse::Failed(Failure::Invalid(words)) => Status::new(Code::InvalidArgument, *words),
+        QueryResponse::Failed(Failure::PartsFailed) => Status::new(Code::Internal, "parts could not be had"),
+        QueryResponse::Failed(Failure::MemoryExhausted) => {
             Status::new(Code::Internal, "the tables found no room").because("NO_ROOM")
         }
-        Answer::Failed(Failure::TimeUp) => Status::new(Code::DeadlineExceeded, "time ran out"),
+        QueryResponse::Failed(Failure::DeadlineExceeded) => {
+            Status::new(Code::DeadlineExceeded, "time ran out")
+        }
     })
 }
 
-/// Why a flight is not run, in the wire's words.
-pub fn refusal(why: Why) -> Status {
+/// RejectReason a flight is not run, in the wire's words.
+pub fn refusal(why: RejectReason) -> Status {
     match why {
-        Why::Differs => {
+        RejectReason::DifferentBody => {
             Status::new(Code::AlreadyExists, "the id stands for another query").because("ID_IN_USE")
         }
-        Why::Forgotten => {
+        RejectReason::Forgotten => {
             Status::new(Code::FailedPrecondition, "it may have run, and its outcome is forgotten")
                 .because("OUTCOME_FORGOTTEN")
         }
-        Why::Cancelled => Status::new(Code::Cancelled, "it was cancelled").because("CANCELLED"),
-        Why::Full => {
+        RejectReason::Cancelled => Status::new(Code::Cancelled, "it was cancelled").because("CANCELLED"),
+        RejectReason::Full => {
             let status = Status::new(Code::Unavailable, "too many flights run");
             status.because("FULL").retry(250_000)
         }
@@ -168,14 +172,14 @@
 
 impl Call {
     /// The session's rule for partial answers, and the status of those that are none.
-    fn shown(&self, answer: &Rc<Answer>) -> Result<Rc<Answer>, Status> {
+    fn shown(&self, answer: &Rc<QueryResponse>) -> Result<Rc<QueryResponse>, Status> {
         if let Some(status) = failure(answer) {
             return Err(status);
         }
         let part = match &**answer {
-            Answer::Served { whole, .. } => !whole,
+            QueryResponse::Completed { complete: whole, .. } => !whole,
             // What was pruned by proof is not missing.
-            Answer::Ranked(ranked) => !ranked.exact,
+            QueryResponse::Ranked(ranked) => !ranked.exact,
             _ => false,
         };
         if self.head.options.whole_only && part {
@@ -195,7 +199,7 @@
         now: Micros,
         tag: &str,
         id: &str,
-        outcome: Result<Rc<Answer>, Status>,
+        outcome: Result<Rc<QueryResponse>, Status>,
         office: &mut Office,
         core: &Core,
     ) {
@@ -216,14 +220,14 @@
     }
 
     /// An answer as a table, and the end of the call behind it.
-    fn table(&mut self, now: Micros, answer: &Answer) {
+    fn table(&mut self, now: Micros, answer: &QueryResponse) {
         let style = self.style();
         let stream = match answer {
-            Answer::Served { whole, values } => {
+            QueryResponse::Completed { complete: whole, values } => {
                 let last = json!({ "total": whole }).to_string().into();
                 Stream::new(values, Style { last, ..style })
             }
-            Answer::Ranked(ranked) => {
+            QueryResponse::Ranked(ranked) => {
                 let last = query::marks(ranked).to_string().into();
                 Stream::ranked(&ranked.rows, Style { last, ..style })
             }
@@ -239,7 +243,7 @@
     }
 
     /// An answer on a long stream: metadata that say which query it is for, and on an exchange its rows.
-    fn deliver_long(&mut self, now: Micros, tag: &str, id: &str, outcome: Result<Rc<Answer>, Status>) {
+    fn deliver_long(&mut self, now: Micros, tag: &str, id: &str, outcome: Result<Rc<QueryResponse>, Status>) {
         let outcome = outcome.and_then(|answer| match failure(&answer) {
             // The refusal's own words say more than the status would.
             Some(_) => Ok(answer),
@@ -250,11 +254,11 @@
         let mut told = long::told(long.form, tag, id, &outcome);
         let mut bytes = 256;
         let values = match outcome.as_deref() {
-            Ok(Answer::Served { values, .. }) => values.as_slice(),
+            Ok(QueryResponse::Completed { values, .. }) => values.as_slice(),
             _ => &[],
         };
         let ranked = match outcome.as_deref() {
-            Ok(Answer::Ranked(ranked)) => Some(ranked),
+            Ok(QueryResponse::Ranked(ranked)) => Some(ranked),
             _ => None,
         };
         let texts = ranked.iter().flat_map(|ranked| &ranked.rows).map(|row| row.text.len());
@@ -341,7 +345,7 @@
             Method::GetSchema => {
                 let descriptor = descriptor(message)?;
                 let class = match descriptor.r#type {
-                    PATH => descriptor.path.first().and_then(|name| core.class(name)),
+                    PATH => descriptor.path.first().and_then(|name| core.class_id(name)),
                     _ => Some(Command::of(&descriptor, core, "x")?.class),
                 };
                 let class = class.ok_or_else(|| bad("the class is unknown"))?;
@@ -407,13 +411,13 @@
     ) -> Result<(), Status> {
         let ticket = office.ticket(now, sealed, &self.head.who)?;
         let command = Command::read(&ticket.command, core, "x").map_err(|_| bad("a bad ticket"))?;
-        let key = Key { user: Rc::clone(&self.head.who.user), id: command.id.as_str().into() };
+        let key = PolledQueryKey { user: Rc::clone(&self.head.who.user), id: command.id.as_str().into() };
         if ticket.polled {
             // It runs nothing: what it stands for runs, or is over.
-            let outcome = match office.flights.look(now, &key) {
-                Some(Standing::Done(answer, _)) => Some(self.shown(&answer)?),
-                Some(Standing::Running(_)) => None,
-                Some(Standing::Cancelled) => return Err(refusal(Why::Cancelled)),
+            let outcome = match office.flights.state(now, &key) {
+                Some(PolledState::Done(answer, _)) => Some(self.shown(&answer)?),
+                Some(PolledState::Running(_)) => None,
+                Some(PolledState::Cancelled) => return Err(refusal(RejectReason::Cancelled)),
                 None => {
                     let status = Status::new(Code::NotFound, "its outcome is no longer kept");
                     return Err(status.because("OUTCOME_FORGOTTEN"));
@@ -424,14 +428,14 @@
                 return Ok(());
             }
         }
-        if !core.is_harmless(command.class) && !ticket.polled && ticket.issuer != office.issuer {
+        if !core.is_idempotent(command.class) && !ticket.polled && ticket.issuer != office.issuer {
             let words = "a ticket with an effect counts only where it was made; ask for a new one";
             return Err(Status::new(Code::FailedPrecondition, words).because("OTHER_ISSUER"));
         }
         let ask = command.ask(self.left(now), self.head.options.timeout, core)?;
-        let spec = Spec {
+        let spec = PolledQuerySpec {
             body: command.fingerprint(),
-            effect: !core.is_harmless(command.class),
+            effect: !core.is_idempotent(command.class),
             polled: ticket.polled,
             made: Some(ticket.made),
         };
@@ -457,12 +461,12 @@
         core: &mut Core,
     ) -> Result<(), Status> {
         let command = Command::of(descriptor, core, &office.fresh())?;
-        let key = Key { user: Rc::clone(&self.head.who.user), id: command.id.as_str().into() };
-        let first = office.flights.look(now, &key).is_none();
+        let key = PolledQueryKey { user: Rc::clone(&self.head.who.user), id: command.id.as_str().into() };
+        let first = office.flights.state(now, &key).is_none();
         // The query goes on between calls: its time is its class's, not the call's.
         let ask = command.ask(None, self.head.options.timeout, core)?;
-        let effect = !core.is_harmless(command.class);
-        let spec = Spec { body: command.fingerprint(), effect, polled: true, made: None };
+        let effect = !core.is_idempotent(command.class);
+        let spec = PolledQuerySpec { body: command.fingerprint(), effect, polled: true, made: None };
         match office.submit(now, core, number, "", key.clone(), spec, ask) {
             Submitted::Waiting(caller) if first => {
                 // The first call is answered at once, so that the client knows what to poll with.
@@ -496,8 +500,15 @@
     }
 
     /// Says how a polled query stands, and ends the call.
-    fn stands(&mut self, now: Micros, key: &Key, command: &Command, office: &mut Office, core: &Core) {
-        let standing = office.flights.look(now, key);
+    fn stands(
+        &mut self,
+        now: Micros,
+        key: &PolledQueryKey,
+        command: &Command,
+        office: &mut Office,
+        core: &Core,
+    ) {
+        let standing = office.flights.state(now, key);
         match office.poll_info(now, &key.user, standing, command, core) {
             Ok(info) => {
                 self.message(now, &info);
@@ -560,7 +571,7 @@
                 Some(CloseSessionResult { status }.encode_to_vec())
             }
             "Advice" => {
-                let wait = core.advice();
+                let wait = core.retry_after();
                 let advice = json!({"retry_after_ms": wait.div_ceil(1000), "serving": office.health() == 1});
                 Some(advice.to_string().into_bytes())
             }
@@ -631,8 +642,8 @@
     }
 
     /// An answer has shown what a class's columns are.
-    pub fn learn(&mut self, class: ClassId, answer: &Answer) {
-        let Answer::Served { values, .. } = answer else { return };
+    pub fn learn(&mut self, class: ClassId, answer: &QueryResponse) {
+        let QueryResponse::Completed { values, .. } = answer else { return };
         let Some(slot) = self.learned.get_mut(class.0) else { return };
         // The schema as it lies was seen before in nearly every case.
         let first = values.iter().find_map(|(_, value)| match value {
@@ -718,7 +729,7 @@
         &mut self,
         now: Micros,
         user: &str,
-        standing: Option<Standing<Rc<Answer>>>,
+        standing: Option<PolledState<Rc<QueryResponse>>>,
         command: &Command,
         core: &Core,
     ) -> Result<PollInfo, Status> {
@@ -731,24 +742,24 @@
             ..FlightInfo::default()
         };
         match standing {
-            Some(Standing::Running(run)) => {
-                let progress = core.progress(Asker::Flight(run.0));
+            Some(PolledState::Running(run)) => {
+                let progress = core.progress(ResponseHandle::Flight(run.0));
                 let share = progress.map_or(0.0, |(done, all)| done as f64 / all.max(1) as f64);
                 let until = now + self.unpolled;
                 let expiration_time = Some(timestamp(until));
                 let flight_descriptor = Some(next);
                 Ok(PollInfo { info: Some(info), flight_descriptor, progress: Some(share), expiration_time })
             }
-            Some(Standing::Done(answer, until)) => {
+            Some(PolledState::Done(answer, until)) => {
                 if let Some(status) = failure(&answer) {
                     return Err(status);
                 }
-                if let Answer::Ranked(ranked) = &*answer {
+                if let QueryResponse::Ranked(ranked) = &*answer {
                     info.total_records = ranked.rows.len() as i64;
                     info.app_metadata = query::marks(ranked).to_string().into();
                     info.schema = answer::schema_message(&answer::ranked_schema()).unwrap_or_default();
                 }
-                if let Answer::Served { whole, values } = &*answer {
+                if let QueryResponse::Completed { complete: whole, values } = &*answer {
                     let rows = |value: &mallowgauge_core::Value| match value {
                         mallowgauge_core::Value::Text(_) => 1,
                         mallowgauge_core::Value::Table(table) => table.rows as i64,
@@ -767,7 +778,7 @@
                     expiration_time,
                 })
             }
-            Some(Standing::Cancelled) => Err(refusal(Why::Cancelled)),
+            Some(PolledState::Cancelled) => Err(refusal(RejectReason::Cancelled)),
             None => Err(Status::new(Code::NotFound, "it is no longer known").because("OUTCOME_FORGOTTEN")),
         }
     }
@@ -787,7 +798,7 @@
         for (index, name) in core.classes().enumerate() {
             if wanted("kind", name) && wanted("state", "class") {
                 let class = ClassId(index);
-                let told = json!({"kind": name, "state": "class", "harmless": core.is_harmless(class),
+                let told = json!({"kind": name, "state": "class", "harmless": core.is_idempotent(class),
                                   "deadline_ms": core.deadline(class) / 1000});
                 let descriptor =
                     FlightDescriptor { r#type: PATH, cmd: Bytes::new(), path: vec![name.to_owned()] };
@@ -848,18 +859,24 @@
     ) -> Result<CancelStatus, Status> {
         let mut status = CancelStatus::Cancelled;
         for (command, made) in self.about(now, info, who, core)? {
-            let key = Key { user: Rc::clone(&who.user), id: command.id.as_str().into() };
-            let done = self.flights.cancel(now, &key, |run| core.touched(Asker::Flight(run.0)));
+            let key = PolledQueryKey { user: Rc::clone(&who.user), id: command.id.as_str().into() };
+            let done =
+                self.flights.cancel(now, &key, |run| core.possibly_executed(ResponseHandle::Flight(run.0)));
             match done {
-                Cancel::Cancelled(run, callers) => {
+                CancelResult::Cancelled(run, callers) => {
                     self.give_up(run, core);
-                    self.tell(callers, &Err(refusal(Why::Cancelled)));
+                    self.tell(callers, &Err(refusal(RejectReason::Cancelled)));
                 }
-                Cancel::Already => {}
-                Cancel::TooLate => status = CancelStatus::NotCancellable,
-                Cancel::Unknown => {
-                    let effect = !core.is_harmless(command.class);
-                    let spec = Spec { body: command.fingerprint(), effect, polled: false, made: Some(made) };
+                CancelResult::AlreadyCancelled => {}
+                CancelResult::TooLate => status = CancelStatus::NotCancellable,
+                CancelResult::Unknown => {
+                    let effect = !core.is_idempotent(command.class);
+                    let spec = PolledQuerySpec {
+                        body: command.fingerprint(),
+                        effect,
+                        polled: false,
+                        made: Some(made),
+                    };
                     self.cancel_plain(&key, core);
                     self.flights.revoke(now, &key, spec).map_err(refusal)?;
                 }
@@ -878,11 +895,11 @@
         let sealed = endpoint.ticket.as_ref().ok_or_else(|| bad("no ticket"))?;
         let ticket = self.ticket(now, &sealed.ticket, who)?;
         let command = Command::read(&ticket.command, core, "x")?;
-        let key = Key { user: Rc::clone(&who.user), id: command.id.as_str().into() };
-        if matches!(self.flights.look(now, &key), Some(Standing::Cancelled)) {
-            return Err(refusal(Why::Cancelled));
+        let key = PolledQueryKey { user: Rc::clone(&who.user), id: command.id.as_str().into() };
+        if matches!(self.flights.state(now, &key), Some(PolledState::Cancelled)) {
+            return Err(refusal(RejectReason::Cancelled));
         }
-        if !core.is_harmless(command.class) && ticket.issuer != self.issuer {
+        if !core.is_idempotent(command.class) && ticket.issuer != self.issuer {
             return Err(Status::new(Code::FailedPrecondition, "it counts only where it was made")
                 .because("OTHER_ISSUER"));
         }
@@ -902,9 +919,10 @@
         let sealed = endpoint.ticket.as_ref().ok_or_else(|| bad("no ticket"))?;
         let ticket = self.ticket(now, &sealed.ticket, who)?;
         let command = Command::read(&ticket.command, core, "x")?;
-        let key = Key { user: Rc::clone(&who.user), id: command.id.as_str().into() };
-        let effect = !core.is_harmless(command.class);
-        let spec = Spec { body: command.fingerprint(), effect, polled: false, made: Some(ticket.made) };
+        let key = PolledQueryKey { user: Rc::clone(&who.user), id: command.id.as_str().into() };
+        let effect = !core.is_idempotent(command.class);
+        let spec =
+            PolledQuerySpec { body: command.fingerprint(), effect, polled: false, made: Some(ticket.made) };
         self.flights.revoke(now, &key, spec).map_err(refusal)
     }
 }
--- a/crates/edge/src/front/flight/mod.rs
+++ b/crates/edge/src/front/flight/mod.rs
@@ -24,9 +24,11 @@
 use http::{HeaderMap, Request, Response};
 use mallowgauge_core::admission::{Admission, Limits, CONNECTION_WINDOW};
 use mallowgauge_core::batch::{Phase, Why as Busy};
-use mallowgauge_core::flights::{self, Caller, Flights, Key, RunId, Spec, Standing, Verdict};
+use mallowgauge_core::flights::{
+    self, PolledQueries, PolledQueryKey, PolledQuerySpec, PolledState, RunId, Submission, WaiterId,
+};
 use mallowgauge_core::sessions::{SessionId, Sessions};
-use mallowgauge_core::{Answer, Ask, Asker, Core};
+use mallowgauge_core::{Core, QueryRequest, QueryResponse, ResponseHandle};
 use mallowgauge_flight::answer::{schema_message, text_schema};
 use mallowgauge_flight::grpc::{self, Code, Encoding, Status};
 use mallowgauge_flight::proto::HealthCheckResponse;
@@ -110,17 +112,17 @@
 /// What came of a query that a call has handed in.
 pub enum Submitted {
     /// Its outcome will come for this caller.
-    Waiting(Caller),
+    Waiting(WaiterId),
     /// It is over already.
-    Over(Result<Rc<Answer>, Status>),
+    Over(Result<Rc<QueryResponse>, Status>),
 }
 
 /// A query in the core, and who waits for it.
 struct Run {
     class: ClassId,
-    key: Key,
+    key: PolledQueryKey,
     /// Who waits, unless the flight of that key knows.
-    plain: Option<Caller>,
+    plain: Option<WaiterId>,
 }
 
 /// Where an outcome goes: a call, and which of its queries.
@@ -130,14 +132,14 @@
     id: Rc<str>,
 }
 
-type Outcome = Result<Rc<Answer>, Status>;
+type Outcome = Result<Rc<QueryResponse>, Status>;
 
 /// What all calls share.
 pub struct Office {
     admission: Admission,
-    flights: Flights<Rc<Answer>>,
+    flights: PolledQueries<Rc<QueryResponse>>,
     runs: BTreeMap<RunId, Run>,
-    callers: BTreeMap<Caller, Place>,
+    callers: BTreeMap<WaiterId, Place>,
     sessions: Sessions,
     door: Door,
     key: seal::Key,
@@ -205,30 +207,30 @@
         core: &mut Core,
         call: u64,
         tag: &str,
-        key: Key,
-        spec: Spec,
-        ask: Ask,
+        key: PolledQueryKey,
+        spec: PolledQuerySpec,
+        ask: QueryRequest,
     ) -> Submitted {
-        let (run, caller) = (RunId(self.number()), Caller(self.number()));
+        let (run, caller) = (RunId(self.number()), WaiterId(self.number()));
         let shared = spec.effect || spec.polled;
         if shared {
-            match self.flights.ask(now, &key, spec, Some(caller), run) {
-                Verdict::Run(_) => {}
-                Verdict::Join(_) => {
+            match self.flights.submit(now, &key, spec, Some(caller), run) {
+                Submission::Run(_) => {}
+                Submission::Join(_) => {
                     self.place(caller, call, tag, &key);
                     return Submitted::Waiting(caller);
                 }
-                Verdict::Tell(answer) => return Submitted::Over(Ok(answer)),
-                Verdict::Refuse(why) => return Submitted::Over(Err(refusal(why))),
+                Submission::Replay(answer) => return Submitted::Over(Ok(answer)),
+                Submission::Reject(why) => return Submitted::Over(Err(refusal(why))),
             }
-        } else if matches!(self.flights.look(now, &key), Some(Standing::Cancelled)) {
-            return Submitted::Over(Err(refusal(flights::Why::Cancelled)));
+        } else if matches!(self.flights.state(now, &key), Some(PolledState::Cancelled)) {
+            return Submitted::Over(Err(refusal(flights::RejectReason::Cancelled)));
         }
         let plain = (!shared).then_some(caller);
         self.runs.insert(run, Run { class: ask.class, key: key.clone(), plain });
         self.place(caller, call, tag, &key);
         let ask = Self::unlike(ask, core);
-        match core.ask(now, Asker::Flight(run.0), ask) {
+        match core.submit(now, ResponseHandle::Flight(run.0), ask) {
             Ok(()) => Submitted::Waiting(caller),
             Err(answer) => {
                 self.callers.remove(&caller);
@@ -240,7 +242,7 @@
     }
 
     /// Hosts tell queries apart by their ids: a ticket that is used twice at a time is given another.
-    fn unlike(mut ask: Ask, core: &Core) -> Ask {
+    fn unlike(mut ask: QueryRequest, core: &Core) -> QueryRequest {
         if core.is_open(&ask.id) {
             let short: String = ask.id.chars().take(40).collect();
             ask.id = format!("{short}~{:08x}", u32::from_le_bytes(random())).into();
@@ -248,32 +250,34 @@
         ask
     }
 
-    fn place(&mut self, caller: Caller, call: u64, tag: &str, key: &Key) {
+    fn place(&mut self, caller: WaiterId, call: u64, tag: &str, key: &PolledQueryKey) {
         let id = Rc::clone(&key.id);
         self.callers.insert(caller, Place { call, tag: tag.into(), id });
     }
 
     /// A run has its final answer: the callers that wait for it.
-    fn over(&mut self, now: Micros, run: RunId, answer: &Rc<Answer>) -> Vec<Caller> {
+    fn over(&mut self, now: Micros, run: RunId, answer: &Rc<QueryResponse>) -> Vec<WaiterId> {
         let Some(known) = self.runs.remove(&run) else { return Vec::new() };
         self.learn(known.class, answer);
         if let Some(caller) = known.plain {
             return vec![caller];
         }
         let (bytes, untouched) = match &**answer {
-            Answer::Served { values, .. } => (values.iter().map(|(_, value)| value.bytes()).sum(), false),
-            Answer::Ranked(ranked) => {
+            QueryResponse::Completed { values, .. } => {
+                (values.iter().map(|(_, value)| value.bytes()).sum(), false)
+            }
+            QueryResponse::Ranked(ranked) => {
                 (ranked.rows.iter().map(|row| row.text.len() + row.id.len()).sum(), false)
             }
-            Answer::Refused { untouched, .. } => (0, *untouched),
+            QueryResponse::Rejected { not_executed: untouched, .. } => (0, *untouched),
             // What makes no sense has not run.
-            Answer::Failed(failure) => (0, matches!(failure, mallowgauge_core::Failure::Invalid(_))),
+            QueryResponse::Failed(failure) => (0, matches!(failure, mallowgauge_core::Failure::Invalid(_))),
         };
-        self.flights.settled(now, run, Rc::clone(answer), bytes, untouched)
+        self.flights.complete(now, run, Rc::clone(answer), bytes, untouched)
     }
 
     /// Puts an outcome into the outbox for these callers.
-    fn tell(&mut self, callers: Vec<Caller>, outcome: &Outcome) {
+    fn tell(&mut self, callers: Vec<WaiterId>, outcome: &Outcome) {
         for caller in callers {
             if let Some(place) = self.callers.remove(&caller) {
                 self.outbox.push((place.call, place.tag, place.id, outcome.clone()));
@@ -284,25 +288,25 @@
     /// A run is not wanted any more.
     fn give_up(&mut self, run: RunId, core: &mut Core) {
         if self.runs.remove(&run).is_some() {
-            core.gone(Asker::Flight(run.0));
+            core.client_disconnected(ResponseHandle::Flight(run.0));
         }
     }
 
     /// Gives up what runs under this key for one call each.
-    fn cancel_plain(&mut self, key: &Key, core: &mut Core) {
+    fn cancel_plain(&mut self, key: &PolledQueryKey, core: &mut Core) {
         let of = |(run, known): (&RunId, &Run)| Some((*run, known.plain?)).filter(|_| known.key == *key);
-        let found: Vec<(RunId, Caller)> = self.runs.iter().filter_map(of).collect();
+        let found: Vec<(RunId, WaiterId)> = self.runs.iter().filter_map(of).collect();
         for (run, caller) in found {
             self.give_up(run, core);
-            self.tell(vec![caller], &Err(refusal(flights::Why::Cancelled)));
+            self.tell(vec![caller], &Err(refusal(flights::RejectReason::Cancelled)));
         }
     }
 
     /// A call no longer waits for an outcome.
-    fn leave(&mut self, caller: Caller, core: &mut Core) {
+    fn leave(&mut self, caller: WaiterId, core: &mut Core) {
         self.callers.remove(&caller);
         let plain = self.runs.iter().find(|(_, known)| known.plain == Some(caller)).map(|(&run, _)| run);
-        let run = plain.or_else(|| self.flights.leave(caller));
+        let run = plain.or_else(|| self.flights.remove_waiter(caller));
         run.into_iter().for_each(|run| self.give_up(run, core));
     }
 }
@@ -327,7 +331,7 @@
         // Without a key of the operator's, tickets and tokens count until this copy ends.
         let secret: [u8; 32] = random();
         let key = seal::Key::new(settings.key.as_deref().unwrap_or(&secret));
-        let bounds = flights::Bounds {
+        let bounds = flights::PolledQueryLimits {
             flights: limits.flights,
             bytes: limits.outcomes,
             keep: KEEP,
@@ -335,7 +339,7 @@
         };
         let office = Office {
             admission: Admission::new(*limits),
-            flights: Flights::new(bounds),
+            flights: PolledQueries::new(bounds),
             runs: BTreeMap::new(),
             callers: BTreeMap::new(),
             sessions: Sessions::new(limits.sessions, REST),
@@ -469,7 +473,7 @@
     }
 
     /// The core has decided.
-    pub fn answer(&mut self, now: Micros, run: u64, answer: Answer, core: &mut Core) {
+    pub fn answer(&mut self, now: Micros, run: u64, answer: QueryResponse, core: &mut Core) {
         let answer = Rc::new(answer);
         let callers = self.office.over(now, RunId(run), &answer);
         self.office.tell(callers, &Ok(answer));
@@ -513,12 +517,17 @@
         let calls = self.connections.values().flat_map(|c| c.calls.values());
         let idle = self.connections.values().filter_map(|c| c.idle_until(self.finishing));
         let lingering = self.lingering.values().map(|lingering| lingering.until);
-        calls.filter_map(Call::due).chain(idle).chain(lingering).chain(self.office.flights.due()).min()
+        calls
+            .filter_map(Call::due)
+            .chain(idle)
+            .chain(lingering)
+            .chain(self.office.flights.poll_timeout())
+            .min()
     }
 
     /// Looks at the clock: calls and connections whose clients have kept it waiting for too long are cut off.
     pub fn expire(&mut self, now: Micros, core: &mut Core) {
-        for run in self.office.flights.expire(now) {
+        for run in self.office.flights.handle_timeout(now) {
             self.office.give_up(run, core);
         }
         let late = |at: Option<Micros>| at.is_some_and(|at| at <= now);
@@ -835,16 +844,19 @@
             Said::Query(tag, value) => (tag, value),
             Said::Cancel(tag) => {
                 if let Some(caller) = long.batch.find(&tag) {
-                    let key = office.callers.get(&caller).map(|place| Key { user, id: Rc::clone(&place.id) });
+                    let key = office
+                        .callers
+                        .get(&caller)
+                        .map(|place| PolledQueryKey { user, id: Rc::clone(&place.id) });
                     // One with an effect that may have run is not cancelled: its outcome will come.
-                    let touched = |run: RunId| core.touched(Asker::Flight(run.0));
+                    let touched = |run: RunId| core.possibly_executed(ResponseHandle::Flight(run.0));
                     let cancel = key.as_ref().map(|key| office.flights.cancel(now, key, touched));
                     match (cancel, key) {
-                        (Some(flights::Cancel::Cancelled(run, callers)), _) => {
+                        (Some(flights::CancelResult::Cancelled(run, callers)), _) => {
                             office.give_up(run, core);
-                            office.tell(callers, &Err(refusal(flights::Why::Cancelled)));
+                            office.tell(callers, &Err(refusal(flights::RejectReason::Cancelled)));
                         }
-                        (Some(flights::Cancel::Unknown), Some(key)) => office.cancel_plain(&key, core),
+                        (Some(flights::CancelResult::Unknown), Some(key)) => office.cancel_plain(&key, core),
                         _ => {}
                     }
                 }
@@ -855,7 +867,7 @@
             call.deliver(now, &tag, id, outcome, office, core);
         };
         // The tag is taken first, so that its answer finds it.
-        match long.batch.begin(tag.clone(), Caller(0)) {
+        match long.batch.begin(tag.clone(), WaiterId(0)) {
             Ok(()) => {}
             Err(Busy::Busy) => {
                 let status = Status::new(Code::AlreadyExists, "the tag stands for an open query");
@@ -882,9 +894,9 @@
                 return Ok(());
             }
         };
-        let key = Key { user, id: command.id.as_str().into() };
-        let effect = !core.is_harmless(command.class);
-        let spec = Spec { body: command.fingerprint(), effect, polled: false, made: None };
+        let key = PolledQueryKey { user, id: command.id.as_str().into() };
+        let effect = !core.is_idempotent(command.class);
+        let spec = PolledQuerySpec { body: command.fingerprint(), effect, polled: false, made: None };
         match office.submit(now, core, call, &tag, key, spec, ask) {
             Submitted::Waiting(caller) => {
                 if let Work::Long(long) = &mut self.work {
--- a/crates/edge/src/front/http.rs
+++ b/crates/edge/src/front/http.rs
@@ -8,7 +8,7 @@
 use crate::front::query::{self, Frame};
 use crate::lifecycle::Phase;
 use crate::token;
-use mallowgauge_core::{Answer, Asker, Core, Failure};
+use mallowgauge_core::{Core, Failure, QueryResponse, ResponseHandle};
 use mallowgauge_net::{Handle, ReadEnd, Stream, Token};
 use mallowgauge_router::Micros;
 
@@ -208,7 +208,7 @@
             Next::Again => self.again.push(id),
             Next::Over => {
                 if matches!(connection.state, State::Asked) {
-                    core.gone(Asker::Http(id));
+                    core.client_disconnected(ResponseHandle::Http(id));
                 }
                 self.connections.remove(&id);
             }
@@ -216,7 +216,7 @@
     }
 
     /// The core has decided.
-    pub fn answer(&mut self, now: Micros, id: u64, answer: &Answer, core: &mut Core) {
+    pub fn answer(&mut self, now: Micros, id: u64, answer: &QueryResponse, core: &mut Core) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.answer(now, answer, self.phase);
         // What the client sent ahead is looked at now; a readiness for it will not come again.
@@ -312,7 +312,7 @@
             let end = self.stream.read(&mut self.input, if waits { LONGEST_AHEAD } else { LONGEST_INPUT });
             let (held, mut moved) = (self.input.len(), false);
             if waits && end == ReadEnd::Full {
-                core.gone(Asker::Http(id));
+                core.client_disconnected(ResponseHandle::Http(id));
                 self.refuse_input(now, Bad(413, "too much came ahead of an answer"));
                 continue;
             }
@@ -383,7 +383,7 @@
         }
     }
 
-    fn answer(&mut self, now: Micros, answer: &Answer, phase: Phase) {
+    fn answer(&mut self, now: Micros, answer: &QueryResponse, phase: Phase) {
         if matches!(self.state, State::Asked) {
             self.reply(now, render(answer), phase);
         }
@@ -443,25 +443,27 @@
 }
 
 /// What the front's wire makes of a final answer.
-fn render(answer: &Answer) -> Reply {
+fn render(answer: &QueryResponse) -> Reply {
     match answer {
-        Answer::Served { whole, values } => match query::answer(*whole, values) {
+        QueryResponse::Completed { complete: whole, values } => match query::answer(*whole, values) {
             Ok(body) => Reply(200, vec![], body.to_string()),
             Err(why) => {
                 tracing::warn!("an answer could not be written: {why}");
                 Reply(500, vec![], error("the answer could not be written"))
             }
         },
-        Answer::Ranked(ranked) => Reply(200, vec![], query::ranked(ranked).to_string()),
-        Answer::Refused { retry_after, .. } => {
+        QueryResponse::Ranked(ranked) => Reply(200, vec![], query::ranked(ranked).to_string()),
+        QueryResponse::Rejected { retry_after, .. } => {
             let seconds = *retry_after as f64 / 1e6;
             let advice = (*retry_after > 0).then(|| ("Retry-After", format!("{seconds:.3}")));
             Reply(503, advice.into_iter().collect(), error("refused"))
         }
-        Answer::Failed(Failure::Invalid(words)) => Reply(400, vec![], error(words)),
-        Answer::Failed(Failure::Parts) => Reply(502, vec![], error("parts could not be had")),
-        Answer::Failed(Failure::Room) => Reply(502, vec![], error("the tables found no room")),
-        Answer::Failed(Failure::TimeUp) => Reply(504, vec![], error("time ran out")),
+        QueryResponse::Failed(Failure::Invalid(words)) => Reply(400, vec![], error(words)),
+        QueryResponse::Failed(Failure::PartsFailed) => Reply(502, vec![], error("parts could not be had")),
+        QueryResponse::Failed(Failure::MemoryExhausted) => {
+            Reply(502, vec![], error("the tables found no room"))
+        }
+        QueryResponse::Failed(Failure::DeadlineExceeded) => Reply(504, vec![], error("time ran out")),
     }
 }
 
@@ -487,15 +489,15 @@
             method("POST")?;
             let bad = |words: &str| Reply(400, vec![], error(words));
             let ask = ask(head, body, core).map_err(bad)?;
-            core.ask(now, Asker::Http(id), ask).map_err(|answer| render(&answer))
+            core.submit(now, ResponseHandle::Http(id), ask).map_err(|answer| render(&answer))
         }
         _ => Err(Reply(404, vec![], error("there is nothing here"))),
     }
 }
 
-fn ask(head: &Head, body: &[u8], core: &Core) -> Result<mallowgauge_core::Ask, &'static str> {
+fn ask(head: &Head, body: &[u8], core: &Core) -> Result<mallowgauge_core::QueryRequest, &'static str> {
     let req_id = head.header("req-id").filter(|id| query::is_id(id)).ok_or("Req-Id is missing or odd")?;
-    let class = head.header("req-kind").and_then(|name| core.class(name)).ok_or("the class is unknown")?;
+    let class = head.header("req-kind").and_then(|name| core.class_id(name)).ok_or("the class is unknown")?;
     let digits = head.header("req-deadline-ms").filter(|ms| ms.bytes().all(|b| b.is_ascii_digit()));
     let wait = digits.and_then(|ms| ms.parse::<u32>().ok());
     let expires_in = Micros::from(wait.ok_or("Req-Deadline-Ms is missing or odd")?) * 1000;
--- a/crates/edge/src/front/query.rs
+++ b/crates/edge/src/front/query.rs
@@ -6,7 +6,7 @@
 
 use mallowgauge_core as core;
 use mallowgauge_core::phases::{Choose, Ranked, Row, Silent, Spec};
-use mallowgauge_core::{Ask, AskPart, PlanAsk};
+use mallowgauge_core::{PartRequest, PlanRequest, QueryRequest};
 use mallowgauge_flight::rows;
 use mallowgauge_router::{ClassId, Micros, ShardId};
 
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 /// Says what is wrong with it.
-pub fn read(frame: Frame, body: &Value) -> Result<Ask, &'static str> {
+pub fn read(frame: Frame, body: &Value) -> Result<QueryRequest, &'static str> {
     let ranges = body.get("ranges").and_then(Value::as_array).ok_or("ranges is missing")?;
     let mut hint = Some(0);
     let part = |value: &Value| {
@@ -45,16 +45,25 @@
         let weight = value.get("portion").and_then(Value::as_f64).ok_or("a range has no portion")?;
         let price = value.get("price").and_then(Value::as_u64);
         hint = hint.zip(price).map(|(sum, price): (Micros, _)| sum.saturating_add(price));
-        Ok(AskPart { shard: ShardId(shard), weight })
+        Ok(PartRequest { shard: ShardId(shard), weight })
     };
-    let parts: Vec<AskPart> = ranges.iter().map(part).collect::<Result<_, &'static str>>()?;
+    let parts: Vec<PartRequest> = ranges.iter().map(part).collect::<Result<_, &'static str>>()?;
     let text = body.get("predicate").and_then(Value::as_str).ok_or("predicate is missing")?;
     let Frame { id, class, expires_in, retry } = frame;
     let plan = match body.get("plan") {
         None | Some(Value::Null) => None,
         Some(plan) => Some(read_plan(plan, text)?),
     };
-    Ok(Ask { id, class, expires_in, retry, work_hint: hint, text: text.as_bytes().into(), parts, plan })
+    Ok(QueryRequest {
+        id,
+        class,
+        expires_in,
+        retry,
+        work_hint: hint,
+        body: text.as_bytes().into(),
+        parts,
+        plan,
+    })
 }
 
 /// Rows that are given where a plan does not say how many, and blocks of a wave.
@@ -65,7 +74,7 @@
 
 /// Reads a plan: `{"choose": {"best": 3} | {"share": 0.5} | "threshold" | "all", "top": 10, "wave": 4,
 /// "silent": "ask" | "skip"}`.
-fn read_plan(plan: &Value, text: &str) -> Result<PlanAsk, &'static str> {
+fn read_plan(plan: &Value, text: &str) -> Result<PlanRequest, &'static str> {
     let fields = plan.as_object().ok_or("the plan is no object")?;
     if fields.keys().any(|key| !["choose", "top", "wave", "silent"].contains(&key.as_str())) {
         return Err("a plan has choose, top, wave and silent");
@@ -92,7 +101,7 @@
         Some(_) => return Err("silent is ask or skip"),
     };
     let spec = Spec { choose, top: number("top", TOP)?, wave: number("wave", WAVE)?, silent };
-    Ok(PlanAsk { spec, scout: format!("{SCOUT}{text}").into_bytes().into() })
+    Ok(PlanRequest { spec, scout: format!("{SCOUT}{text}").into_bytes().into() })
 }
 
 /// What an answer in two phases says of itself, beside its rows.
--- a/crates/edge/src/gatherer.rs
+++ b/crates/edge/src/gatherer.rs
@@ -15,14 +15,12 @@
 use crate::upstream::flight::Terms;
 use crate::upstream::{Pool, Report};
 use mallowgauge_core::admission::Limits;
-use mallowgauge_core::budget::{self, Budget};
-use mallowgauge_core::links::{Means, Shares};
-use mallowgauge_core::{Asker, AttemptId, Core, Effect, Value};
+use mallowgauge_core::budget::{self, TableMemory};
+use mallowgauge_core::links::{ConnectionLimits, ConnectionResources};
+use mallowgauge_core::{Action, AttemptId, Core, ResponseHandle, Value};
 use mallowgauge_flight::{rows, schema};
 use mallowgauge_net::{Clock, Handle, Listener, Owner, Token};
-use mallowgauge_router::{
-    Discovery as HostLists, ListNews, Micros, Outcome, Phase as HostPhase, ServerEntry,
-};
+use mallowgauge_router::{Discovery as HostLists, Endpoint, EndpointState, EndpointUpdate, Micros, Outcome};
 use mallowgauge_settings::hosts::{parse, List};
 use mallowgauge_settings::zone;
 use mallowgauge_settings::Config;
@@ -33,7 +31,7 @@
 /// How many connections of each kind there may be, from the limits on descriptors and memory: all their
 /// buffers together, full, stay within seven eighths of the memory.
 struct Room {
-    shares: Shares,
+    shares: ConnectionLimits,
     flight: Limits,
 }
 
@@ -49,11 +47,16 @@
         let all = config.memory - of_memory;
         let offered = flight.listen.is_some() || flight.every_host || !flight.hosts.is_empty();
         let memory = if offered { all / 2 } else { all };
-        let mut shares = Shares::of(Means { sockets, memory, hosts, a_client: http::LARGEST });
+        let mut shares = ConnectionLimits::of(ConnectionResources {
+            descriptors: sockets,
+            memory,
+            backends: hosts,
+            bytes_per_client: http::LARGEST,
+        });
         if offered {
-            shares.hosts = shares.hosts.min(memory / 4 / HOST_BYTES).max(1);
+            shares.backends = shares.backends.min(memory / 4 / HOST_BYTES).max(1);
         }
-        let streams = (shares.hosts * config.links.streams).min(config.bounds.max_open);
+        let streams = (shares.backends * config.links.streams).min(config.bounds.max_open);
         let limits = Limits::of(all / 2, if offered { sockets } else { 0 }, streams);
         if flight.listen.is_some() {
             shares.clients = shares.clients.saturating_sub(limits.connections).max(1);
@@ -112,12 +115,12 @@
         let longest = settings.classes.iter().map(|class| class.deadline).max();
         // On this wire nothing comes unasked: pushed lists come on a watch too, which has to be opened. What has
         // been pushed so far counts as told from the first moment, so the saved list waits for that.
-        let pushed = std::mem::replace(&mut settings.discovery, HostLists::Ask) == HostLists::Push;
+        let pushed = std::mem::replace(&mut settings.discovery, HostLists::Poll) == HostLists::Push;
         let mut core = Core::new(config.seed, settings, config.site.classes, config.bounds)
             .map_err(|e| e.to_string())?;
-        config.phases.iter().for_each(|phases| core.set_phases(*phases));
+        config.phases.iter().for_each(|phases| core.enable_two_phase(*phases));
         if config.fleet.as_ref().is_some_and(|(fleet, _)| fleet.handover.is_some()) {
-            core.guard();
+            core.require_permits();
         }
         let listener = Listener::bind(&handle, config.listen, Token { kind: token::HTTP_LISTENER, id: 0 })
             .map_err(|e| format!("{}: {e}", config.listen))?;
@@ -125,9 +128,9 @@
         let bind = |addr| Listener::bind(&handle, addr, token).map_err(|e| format!("{addr}: {e}"));
         let flight_listener = config.flight.listen.map(bind).transpose()?;
         let limits = room.flight;
-        let bounds = budget::Bounds { total: limits.tables, most_a_call: limits.tables_a_call };
+        let bounds = budget::TableMemoryLimits { total: limits.tables, per_query: limits.tables_a_call };
         let terms = Terms {
-            budget: Budget::new(bounds),
+            budget: TableMemory::new(bounds),
             window: limits.window,
             most: limits.tables_a_call,
             streams: config.links.streams,
@@ -203,7 +206,7 @@
     /// When something is to be done without any socket's call.
     fn due(&self) -> Option<Micros> {
         let all = [
-            self.core.due(),
+            self.core.poll_timeout(),
             self.pool.due(),
             self.discovery.due(),
             self.http.due(),
@@ -239,7 +242,7 @@
             peers.expire(now, &self.handle);
         }
         self.collect(now);
-        for effect in self.core.turn(now) {
+        for effect in self.core.run_batch(now) {
             self.effect(now, effect);
         }
         self.collect(now);
@@ -253,7 +256,7 @@
             // has been taken and must be answered.
             self.http.expire(now, &mut self.core);
             self.stop_accepting();
-            let open = self.core.open() > 0 || self.listener.is_some();
+            let open = self.core.open_queries() > 0 || self.listener.is_some();
             self.lifecycle.finish(open || self.http.busy() || self.flight.busy());
         }
         if let Some(peers) = &mut self.peers {
@@ -281,7 +284,7 @@
     fn task(&mut self, now: Micros, task: Task) {
         match task {
             Task::Send(server, send) => self.pool.call(now, &self.handle, server, vec![send]),
-            Task::Reply(asker, answer) => self.effect(now, Effect::Reply(asker, answer)),
+            Task::Reply(asker, answer) => self.effect(now, Action::Respond(asker, answer)),
         }
     }
 
@@ -289,23 +292,24 @@
     fn collect(&mut self, now: Micros) {
         for report in self.pool.reports() {
             match report {
-                Report::Ended(id, Outcome::Served, Some(value)) => self.served(now, id, value),
+                Report::Ended(id, Outcome::Succeeded, Some(value)) => self.served(now, id, value),
                 Report::Ended(id, outcome, value) => {
-                    let never_ran = [Outcome::NoRoom, Outcome::NoRoute, Outcome::NeverSent];
+                    let never_ran = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent];
                     if let (true, Some(peers)) = (never_ran.contains(&outcome), &mut self.peers) {
                         self.handover.never_ran(now, id, &self.core, peers);
                     }
-                    self.core.outcome(now, id, outcome, value);
+                    self.core.attempt_completed(now, id, outcome, value);
                 }
                 // A second copy that finds no room is no loss while the first is out.
-                Report::Overrun(_, Some(id)) if self.core.has_twin(id) => {
-                    self.core.outcome(now, id, Outcome::Cancelled, None);
+                Report::Overrun(_, Some(id)) if self.core.has_other_attempt(id) => {
+                    self.core.attempt_completed(now, id, Outcome::Cancelled, None);
                 }
                 Report::Overrun(call, id) => {
-                    self.core.overrun(call);
-                    id.into_iter().for_each(|id| self.core.outcome(now, id, Outcome::Cancelled, None));
+                    self.core.memory_limit_exceeded(call);
+                    id.into_iter()
+                        .for_each(|id| self.core.attempt_completed(now, id, Outcome::Cancelled, None));
                 }
-                Report::Probed(server, passed) => self.core.probed(server, passed),
+                Report::Probed(server, passed) => self.core.health_check_completed(server, passed),
             }
         }
     }
@@ -315,57 +319,59 @@
         if let (true, Value::Table(table)) = (self.core.is_planned(id), &value) {
             // Queries in two phases rank rows, whatever form these came in.
             return match rows::json(&table.schema, &table.messages) {
-                Ok(text) => self.core.outcome(now, id, Outcome::Served, Some(text.into())),
-                Err(_) => self.core.outcome(now, id, Outcome::Cut, None),
+                Ok(text) => self.core.attempt_completed(now, id, Outcome::Succeeded, Some(text.into())),
+                Err(_) => self.core.attempt_completed(now, id, Outcome::ConnectionLost, None),
             };
         }
-        match schema::fits(self.core.value_beside(id), &value) {
-            Ok(()) => self.core.outcome(now, id, Outcome::Served, Some(value)),
+        match schema::fits(self.core.received_value(id), &value) {
+            Ok(()) => self.core.attempt_completed(now, id, Outcome::Succeeded, Some(value)),
             Err(clash) => {
                 tracing::warn!("a table does not fit its answer: {clash}");
-                self.core.outcome(now, id, Outcome::Cut, None);
+                self.core.attempt_completed(now, id, Outcome::ConnectionLost, None);
             }
         }
     }
 
-    fn effect(&mut self, now: Micros, effect: Effect) {
+    fn effect(&mut self, now: Micros, effect: Action) {
         match effect {
-            Effect::Call(server, sends) => self.pool.call(now, &self.handle, server, sends),
-            Effect::Abandon(server, attempt) => {
+            Action::SendBatch(server, sends) => self.pool.call(now, &self.handle, server, sends),
+            Action::CancelAttempt(server, attempt) => {
                 let peers = self.peers.as_mut();
                 if !peers.is_some_and(|peers| self.handover.abandon(now, attempt, peers)) {
                     self.pool.abandon(now, server, attempt);
                 }
             }
-            Effect::Withdraw(server, attempt) => {
+            Action::RevokeUnsent(server, attempt) => {
                 let peers = self.peers.as_mut();
                 if peers.is_some_and(|peers| self.handover.abandon(now, attempt, peers)) {
-                    self.core.outcome(now, attempt, Outcome::NeverSent, None);
+                    self.core.attempt_completed(now, attempt, Outcome::NotSent, None);
                 } else {
                     self.pool.withdraw(server, attempt);
                 }
             }
-            Effect::Leave(server, send) => {
+            Action::RequestPermit(server, send) => {
                 let Some(peers) = &mut self.peers else { return };
                 let tasks = self.handover.leave(now, server, send, &mut self.core, peers);
                 tasks.into_iter().for_each(|task| self.task(now, task));
             }
-            Effect::Record(recorded) => {
+            Action::ReplicateOutcome(recorded) => {
                 let Some(peers) = &mut self.peers else { return };
                 let tasks = self.handover.record(now, *recorded, peers);
                 tasks.into_iter().for_each(|task| self.task(now, task));
             }
-            Effect::Reply(Asker::Adopted(_), _) => {}
-            Effect::Probe(server) => self.pool.probe(now, &self.handle, server),
-            Effect::Reply(Asker::Http(id), answer) => self.http.answer(now, id, &answer, &mut self.core),
-            Effect::Reply(Asker::Flight(id), answer) => {
+            Action::Respond(ResponseHandle::TakenOver(_), _) => {}
+            Action::HealthCheck(server) => self.pool.probe(now, &self.handle, server),
+            Action::Respond(ResponseHandle::Http(id), answer) => {
+                self.http.answer(now, id, &answer, &mut self.core)
+            }
+            Action::Respond(ResponseHandle::Flight(id), answer) => {
                 self.flight.answer(now, id, answer, &mut self.core);
             }
-            Effect::Watch => {
+            Action::WatchEndpoints => {
                 let news = self.discovery.watch(now, &self.handle);
                 news.into_iter().for_each(|news| self.news(news));
             }
-            Effect::Fetch => {
+            Action::FetchEndpoints => {
                 let news = self.discovery.fetch(now, &self.handle);
                 news.into_iter().for_each(|news| self.news(news));
             }
@@ -378,7 +384,7 @@
                 self.use_saved();
                 self.list(list, false);
             }
-            News::Failed => self.core.list(ListNews::Failed),
+            News::Failed => self.core.endpoint_update(EndpointUpdate::Failed),
         }
     }
 
@@ -403,18 +409,24 @@
         let (hosts, gone) = self.roster.take(&list);
         for (server, host) in hosts {
             self.pool.update(server, host);
-            if host.phase != HostPhase::Ready || host.started.is_some() {
+            if host.phase != EndpointState::Ready || host.started.is_some() {
                 tracing::info!("host {} is {:?}, started {:?}", host.name, host.phase, host.started);
             }
             let zone = host.zone.as_ref().and_then(|name| zone(&self.zones, name));
             let (cell, phase, started) = (host.cell, host.phase, host.started);
-            entries.push(ServerEntry { server, cell, phase, started, zone });
+            entries.push(Endpoint {
+                backend: server,
+                ring_position: cell,
+                state: phase,
+                started_at: started,
+                zone,
+            });
         }
         gone.into_iter().for_each(|server| self.pool.forget(now, server));
-        self.core.list(match (saved, list.reset) {
-            (true, _) => ListNews::Saved(entries),
-            (false, true) => ListNews::Full(entries),
-            (false, false) => ListNews::Changes(entries),
+        self.core.endpoint_update(match (saved, list.reset) {
+            (true, _) => EndpointUpdate::CachedSnapshot(entries),
+            (false, true) => EndpointUpdate::Snapshot(entries),
+            (false, false) => EndpointUpdate::Delta(entries),
         });
     }
 
@@ -440,7 +452,7 @@
     fn terminate(&mut self) {
         let now = self.clock.now();
         self.lifecycle.terminate(now);
-        self.core.answer_by(self.lifecycle.last_answer());
+        self.core.set_answer_deadline(self.lifecycle.last_answer());
         self.http.enter(self.lifecycle.phase());
         self.flight.drain(now, &mut self.core);
         if let Some(peers) = &mut self.peers {
--- a/crates/edge/src/handover.rs
+++ b/crates/edge/src/handover.rs
@@ -5,9 +5,12 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use mallowgauge_core::{Answer, Ask, AskPart, Asker, AttemptId, Core, Failure, Recorded, Send, Value};
+use mallowgauge_core::{
+    AttemptId, AttemptRequest, CompletedQuery, Core, Failure, PartRequest, QueryRequest, QueryResponse,
+    ResponseHandle, Value,
+};
 use mallowgauge_fleet::takeover::{Ended, Request, Stands, Wish};
-use mallowgauge_router::{ClassId, Micros, Outcome, ServerId, ShardId};
+use mallowgauge_router::{BackendId, ClassId, Micros, Outcome, ShardId};
 use serde::{Deserialize, Serialize};
 
 use crate::peers::Peers;
@@ -32,43 +35,43 @@
 /// Queries too old for anything to come of them are ended without a part sent.
 const TOO_OLD: Micros = 20_000;
 
-fn parts(ask: &Ask) -> Vec<(u32, f64)> {
+fn parts(ask: &QueryRequest) -> Vec<(u32, f64)> {
     ask.parts.iter().map(|part| (part.shard.0, part.weight)).collect()
 }
 
 /// Eight bytes that tell one body from another.
-fn digest(ask: &Ask) -> [u8; 8] {
-    let body = postcard::to_stdvec(&(ask.class.0 as u32, &*ask.text, parts(ask))).unwrap_or_default();
+fn digest(ask: &QueryRequest) -> [u8; 8] {
+    let body = postcard::to_stdvec(&(ask.class.0 as u32, &*ask.body, parts(ask))).unwrap_or_default();
     mallowgauge_fleet::digest(body).to_be_bytes()
 }
 
 /// Eight bytes that tell one body from another, and then what was asked.
-fn write(ask: &Ask, left: Micros) -> Arc<[u8]> {
+fn write(ask: &QueryRequest, left: Micros) -> Arc<[u8]> {
     let parts = parts(ask);
-    let asked = Asked { class: ask.class.0 as u32, left, text: ask.text.to_vec(), parts };
+    let asked = Asked { class: ask.class.0 as u32, left, text: ask.body.to_vec(), parts };
     // Who takes over cannot plan phases anew: of these it only learns whether something may have run.
     let asked = if ask.plan.is_some() { None } else { postcard::to_stdvec(&asked).ok() };
     [&digest(ask)[..], &asked.unwrap_or_default()].concat().into()
 }
 
 /// What was asked, with what is left of its client's time.
-fn read(id: &str, asked: &[u8], age: Micros) -> Option<Ask> {
+fn read(id: &str, asked: &[u8], age: Micros) -> Option<QueryRequest> {
     let asked: Asked = postcard::from_bytes(asked.get(8..)?).ok()?;
     let left = asked.left.checked_sub(age).filter(|left| *left > TOO_OLD)?;
-    let parts = asked.parts.iter().map(|&(shard, weight)| AskPart { shard: ShardId(shard), weight });
-    Some(Ask {
+    let parts = asked.parts.iter().map(|&(shard, weight)| PartRequest { shard: ShardId(shard), weight });
+    Some(QueryRequest {
         id: id.into(),
         class: ClassId(asked.class as usize),
         expires_in: left,
         retry: true,
         work_hint: None,
-        text: asked.text.into(),
+        body: asked.text.into(),
         parts: parts.collect(),
         plan: None,
     })
 }
 
-fn ended(answer: &Answer, touched: bool, most: usize) -> Ended {
+fn ended(answer: &QueryResponse, touched: bool, most: usize) -> Ended {
     let texts = |values: &[(ShardId, Value)]| {
         let text = |(shard, value): &(ShardId, Value)| match value {
             Value::Text(text) => Some((shard.0, text.to_string())),
@@ -76,7 +79,7 @@
         };
         values.iter().map(text).collect::<Option<Vec<_>>>()
     };
-    if let Answer::Served { whole, values } = answer {
+    if let QueryResponse::Completed { complete: whole, values } = answer {
         let values =
             texts(values).and_then(|values| postcard::to_stdvec(&Served { whole: *whole, values }).ok());
         let values = values.filter(|bytes| bytes.len() <= most);
@@ -89,17 +92,17 @@
     }
 }
 
-fn answer(ended: &Ended, core: &mut Core) -> Answer {
+fn answer(ended: &Ended, core: &mut Core) -> QueryResponse {
     match ended {
         Ended::Said(bytes) => match postcard::from_bytes::<Served>(bytes) {
             Ok(Served { whole, values }) => {
                 let values = values.into_iter().map(|(shard, text)| (ShardId(shard), text.into()));
-                Answer::Served { whole, values: values.collect() }
+                QueryResponse::Completed { complete: whole, values: values.collect() }
             }
-            Err(_) => Answer::Failed(Failure::Parts),
+            Err(_) => QueryResponse::Failed(Failure::PartsFailed),
         },
-        Ended::MayHaveRun => Answer::Failed(Failure::Parts),
-        Ended::NeverRan => Answer::Refused { retry_after: core.advice(), untouched: true },
+        Ended::MayHaveRun => QueryResponse::Failed(Failure::PartsFailed),
+        Ended::NeverRan => QueryResponse::Rejected { retry_after: core.retry_after(), not_executed: true },
     }
 }
 
@@ -107,18 +110,18 @@
 #[derive(Default)]
 pub struct Handover {
     /// Attempts that wait for leave.
-    held: BTreeMap<(Rc<str>, u32, u32), (ServerId, Send)>,
+    held: BTreeMap<(Rc<str>, u32, u32), (BackendId, AttemptRequest)>,
     /// Who waits for how an id ends, once the core has done with it.
-    waiting: BTreeMap<Rc<str>, Vec<Asker>>,
+    waiting: BTreeMap<Rc<str>, Vec<ResponseHandle>>,
     adopted: u64,
 }
 
 /// What is to be done with the rest of the program.
 pub enum Task {
     /// An attempt has leave.
-    Send(ServerId, Send),
+    Send(BackendId, AttemptRequest),
     /// A final answer.
-    Reply(Asker, Answer),
+    Reply(ResponseHandle, QueryResponse),
 }
 
 impl Handover {
@@ -126,23 +129,23 @@
     pub fn leave(
         &mut self,
         now: Micros,
-        server: ServerId,
-        send: Send,
+        server: BackendId,
+        send: AttemptRequest,
         core: &mut Core,
         peers: &mut Peers,
     ) -> Vec<Task> {
-        let Some((ask, left)) = core.asked(now, &send.query) else { return Vec::new() };
+        let Some((ask, left)) = core.open_request(now, &send.query) else { return Vec::new() };
         let (id, part, attempt) = (Rc::clone(&send.query), send.shard.0, send.attempt.number);
         if peers.desk(now, |desk| desk.stands(&send.query)) == Some(Stands::Awaited) {
             // Asked again here, while its end comes from elsewhere or it is being taken over.
-            let askers = core.withdraw(&send.query);
+            let askers = core.release_query(&send.query);
             self.await_end(now, &send.query, now + left, askers, peers);
             return Vec::new();
         }
         let (asked, first) = (write(ask, left), !ask.retry);
         if asked.len() > peers.largest_record() {
-            let answer = Answer::Failed(Failure::Invalid("more is asked than other gatherers keep"));
-            let askers = core.withdraw(&send.query);
+            let answer = QueryResponse::Failed(Failure::Invalid("more is asked than other gatherers keep"));
+            let askers = core.release_query(&send.query);
             return askers.into_iter().map(|asker| Task::Reply(asker, answer.clone())).collect();
         }
         self.held.insert((Rc::clone(&id), part, attempt), (server, send));
@@ -163,18 +166,25 @@
 
     /// An attempt ended in a way that proves that it never ran.
     pub fn never_ran(&mut self, now: Micros, attempt: AttemptId, core: &Core, peers: &mut Peers) {
-        if let Some((id, shard)) = core.attempted(attempt) {
+        if let Some((id, shard)) = core.attempt_target(attempt) {
             peers.desk(now, |desk| desk.void(&id, shard.0, attempt.number));
         }
     }
 
     /// A query with an effect has ended.
-    pub fn record(&mut self, now: Micros, recorded: Recorded, peers: &mut Peers) -> Vec<Task> {
-        let Recorded { ask, end, askers, answer, touched } = recorded;
+    pub fn record(&mut self, now: Micros, recorded: CompletedQuery, peers: &mut Peers) -> Vec<Task> {
+        let CompletedQuery {
+            request: ask,
+            deadline: end,
+            response_handles: askers,
+            response: answer,
+            possibly_executed: touched,
+        } = recorded;
         self.drop_held(&ask.id);
         let stands = peers.desk(now, |desk| desk.stands(&ask.id)).unwrap_or(Stands::Unknown);
         // One that was asked before may have run elsewhere, whatever was decided here.
-        let told = matches!(answer, Answer::Served { .. } | Answer::Failed(Failure::Invalid(_)));
+        let told =
+            matches!(answer, QueryResponse::Completed { .. } | QueryResponse::Failed(Failure::Invalid(_)));
         let elsewhere = ask.retry && !told;
         if stands == Stands::Unknown && !elsewhere {
             // No attempt ever asked for leave.
@@ -182,7 +192,7 @@
         }
         let (id, most) = (Arc::from(&*ask.id), peers.largest_record());
         match stands {
-            Stands::Unknown if askers.iter().all(|asker| matches!(asker, Asker::Adopted(_))) => {}
+            Stands::Unknown if askers.iter().all(|asker| matches!(asker, ResponseHandle::TakenOver(_))) => {}
             Stands::Unknown => {
                 // Nobody is to run it: what tells its body from another is enough, however large it is.
                 let asked = digest(&ask).into();
@@ -202,9 +212,16 @@
     }
 
     /// These are told once it is known how an id ended; of one that was taken over nobody here is.
-    fn await_end(&mut self, now: Micros, id: &Rc<str>, until: Micros, askers: Vec<Asker>, peers: &mut Peers) {
-        let here = askers.into_iter().filter(|asker| !matches!(asker, Asker::Adopted(_)));
-        let here: Vec<Asker> = here.collect();
+    fn await_end(
+        &mut self,
+        now: Micros,
+        id: &Rc<str>,
+        until: Micros,
+        askers: Vec<ResponseHandle>,
+        peers: &mut Peers,
+    ) {
+        let here = askers.into_iter().filter(|asker| !matches!(asker, ResponseHandle::TakenOver(_)));
+        let here: Vec<ResponseHandle> = here.collect();
         if !here.is_empty() {
             self.waiting.entry(Rc::clone(id)).or_default().extend(here);
             peers.desk(now, |desk| desk.wait(id, until));
@@ -222,8 +239,8 @@
                 let held = self.held.remove(&(Rc::from(&*id), part, attempt));
                 let Some((server, send)) = held else { return Vec::new() };
                 if !given {
-                    core.outcome(now, send.attempt, Outcome::NeverSent, None);
-                } else if core.is_out(send.attempt) {
+                    core.attempt_completed(now, send.attempt, Outcome::NotSent, None);
+                } else if core.is_in_flight(send.attempt) {
                     return vec![Task::Send(server, send)];
                 } else {
                     peers.desk(now, |desk| desk.void(&id, part, attempt));
@@ -236,31 +253,31 @@
                 askers.into_iter().map(|asker| Task::Reply(asker, answer.clone())).collect()
             }
             Wish::Elsewhere(id) => {
-                let askers = core.withdraw(&id);
+                let askers = core.release_query(&id);
                 self.drop_held(&id);
                 self.waiting.entry(Rc::from(&*id)).or_default().extend(askers);
                 Vec::new()
             }
             Wish::Another(id) => {
-                let answer = Answer::Failed(Failure::Invalid("this id was asked with another body"));
+                let answer = QueryResponse::Failed(Failure::Invalid("this id was asked with another body"));
                 let askers = self.askers(&id, core);
                 askers.into_iter().map(|asker| Task::Reply(asker, answer.clone())).collect()
             }
             Wish::Unsure { id, untouched } => {
                 let answer = if untouched {
-                    Answer::Refused { retry_after: core.advice(), untouched }
+                    QueryResponse::Rejected { retry_after: core.retry_after(), not_executed: untouched }
                 } else {
-                    Answer::Failed(Failure::TimeUp)
+                    QueryResponse::Failed(Failure::DeadlineExceeded)
                 };
                 let askers = self.askers(&id, core);
                 askers.into_iter().map(|asker| Task::Reply(asker, answer.clone())).collect()
             }
             Wish::Adopt(id, asked, age) => {
                 self.adopted += 1;
-                let asker = Asker::Adopted(self.adopted);
-                let known = |ask: &Ask| ask.class.0 < core.classes().count();
+                let asker = ResponseHandle::TakenOver(self.adopted);
+                let known = |ask: &QueryRequest| ask.class.0 < core.classes().count();
                 let ask = read(&id, &asked, age).filter(known);
-                let taken = ask.map(|ask| core.ask(now, asker, ask));
+                let taken = ask.map(|ask| core.submit(now, asker, ask));
                 if !matches!(taken, Some(Ok(()))) {
                     peers.desk(now, |desk| desk.finish(now, &id, Ended::NeverRan));
                 }
@@ -271,10 +288,10 @@
     }
 
     /// Everybody who waits for an id here.
-    fn askers(&mut self, id: &str, core: &mut Core) -> Vec<Asker> {
+    fn askers(&mut self, id: &str, core: &mut Core) -> Vec<ResponseHandle> {
         self.drop_held(id);
         let mut askers = self.waiting.remove(id).unwrap_or_default();
-        askers.extend(core.withdraw(id));
+        askers.extend(core.release_query(id));
         askers
     }
 }
--- a/crates/edge/src/upstream/flight.rs
+++ b/crates/edge/src/upstream/flight.rs
@@ -17,9 +17,9 @@
 use bytes::Bytes;
 use h2::client::{self, ResponseFuture, SendRequest};
 use h2::{Ping, PingPong, Reason, RecvStream, SendStream};
-use mallowgauge_core::budget::{Budget, CallId, Grant, StreamId};
-use mallowgauge_core::truth::{self, End, Stage};
-use mallowgauge_core::{AttemptId, Send, Table, Value};
+use mallowgauge_core::budget::{CallId, StreamId, TableMemory, WindowGrant};
+use mallowgauge_core::truth::{self, StreamEnd, StreamStage};
+use mallowgauge_core::{AttemptId, AttemptRequest, Table, Value};
 use mallowgauge_flight::grpc::{self, Code, Deframer, Encoding};
 use mallowgauge_flight::ipc::Collector;
 use mallowgauge_flight::proto::{FlightData, Ticket};
@@ -37,7 +37,7 @@
 #[derive(Clone)]
 pub struct Terms {
     /// The budget for tables.
-    pub budget: Budget,
+    pub budget: TableMemory,
     /// The first window of a stream.
     pub window: u32,
     /// Most bytes of one part's table.
@@ -77,7 +77,7 @@
     /// Since when a message has come in part.
     partial: Option<Micros>,
     columns: Option<Collector>,
-    stage: Stage,
+    stage: StreamStage,
     window: usize,
     /// The query's tables have outgrown their bound.
     overrun: bool,
@@ -87,7 +87,7 @@
 
 /// A connection that speaks Flight.
 pub struct FlightLink {
-    server: ServerId,
+    server: BackendId,
     stream: Rc<Stream>,
     addr: SocketAddr,
     terms: Terms,
@@ -98,7 +98,7 @@
     bytes_came: Arc<AtomicBool>,
     flag: Arc<Flag>,
     waker: Waker,
-    queue: VecDeque<Vec<Send>>,
+    queue: VecDeque<Vec<AttemptRequest>>,
     calls: Vec<Call>,
     next_call: u64,
     probe: Option<(Micros, bool)>,
@@ -109,8 +109,8 @@
 }
 
 /// The ticket of a part, with the number of its call and how many parts that has.
-fn ticket(send: &Send, call: u64, parts: usize) -> Ticket {
-    let text = String::from_utf8_lossy(&send.text);
+fn ticket(send: &AttemptRequest, call: u64, parts: usize) -> Ticket {
+    let text = String::from_utf8_lossy(&send.body);
     let ticket = json!({"query": *send.query, "range": send.shard.0, "predicate": text,
                         "call": call, "parts": parts});
     Ticket { ticket: ticket.to_string().into() }
@@ -120,7 +120,7 @@
     /// A connection that is being dialled.
     #[must_use]
     pub fn new(
-        server: ServerId,
+        server: BackendId,
         stream: Stream,
         now: Micros,
         until: Micros,
@@ -167,10 +167,10 @@
     }
 
     /// Takes back those of the parts that wait here that were not handed over.
-    pub fn take_back(&mut self, which: impl Fn(&Send) -> bool, reports: &mut Vec<Report>) {
+    pub fn take_back(&mut self, which: impl Fn(&AttemptRequest) -> bool, reports: &mut Vec<Report>) {
         for sends in &mut self.queue {
             let taken = sends.extract_if(.., |send| which(send));
-            reports.extend(taken.map(|send| Report::Ended(send.attempt, Outcome::NeverSent, None)));
+            reports.extend(taken.map(|send| Report::Ended(send.attempt, Outcome::NotSent, None)));
         }
         self.queue.retain(|sends| !sends.is_empty());
     }
@@ -195,7 +195,7 @@
     }
 
     /// Sends a call; `false` when the connection is over.
-    pub fn call(&mut self, now: Micros, sends: Vec<Send>, reports: &mut Vec<Report>) -> bool {
+    pub fn call(&mut self, now: Micros, sends: Vec<AttemptRequest>, reports: &mut Vec<Report>) -> bool {
         self.used = now;
         self.queue.push_back(sends);
         self.ready(now, reports)
@@ -318,7 +318,7 @@
                         // Nothing of it was written.
                         tracing::info!("host {} takes no more here: {e}", self.server.0);
                         self.closing = true;
-                        reports.push(Report::Ended(send.attempt, Outcome::NoRoute, None));
+                        reports.push(Report::Ended(send.attempt, Outcome::ConnectFailed, None));
                     }
                 }
             }
@@ -379,7 +379,7 @@
             if !stays {
                 tracing::warn!("host {}: a message that does not become whole", server.0);
                 call.request.send_reset(Reason::CANCEL);
-                call.report(server, End::Stalled, budget, reports);
+                call.report(server, StreamEnd::Stalled, budget, reports);
             }
             stays
         });
@@ -390,10 +390,10 @@
     /// The connection is over: calls that were not begun have never run, the rest may have.
     pub fn end(&mut self, reports: &mut Vec<Report>) {
         let never = self.queue.drain(..).flatten().map(|send| send.attempt);
-        let outcome = truth::verdict(Stage::Queued, End::Broken);
+        let outcome = truth::classify(StreamStage::Queued, StreamEnd::ConnectionLost);
         reports.extend(never.map(|id| Report::Ended(id, outcome, None)));
         for mut call in self.calls.drain(..) {
-            call.report(self.server, End::Broken, &self.terms.budget, reports);
+            call.report(self.server, StreamEnd::ConnectionLost, &self.terms.budget, reports);
         }
         reports.extend(self.probe.take().map(|_| Report::Probed(self.server, false)));
     }
@@ -414,7 +414,7 @@
 
 impl Call {
     fn begin(
-        send: &Send,
+        send: &AttemptRequest,
         (call, parts): (u64, usize),
         now: Micros,
         addr: SocketAddr,
@@ -429,7 +429,7 @@
         let request = http::Request::post(format!("{scheme}://{addr}{}DoGet", grpc::SERVICE))
             .header("content-type", grpc::CONTENT_TYPE)
             .header("te", "trailers")
-            .header("grpc-timeout", grpc::write_timeout(send.left(now)))
+            .header("grpc-timeout", grpc::write_timeout(send.remaining(now)))
             .header("grpc-accept-encoding", grpc::ACCEPTED)
             .body(())
             .map_err(|_| Reason::INTERNAL_ERROR)?;
@@ -451,7 +451,7 @@
             waits: 0,
             partial: None,
             columns: Some(Collector::new(terms.most.saturating_mul(4))),
-            stage: Stage::Sent,
+            stage: StreamStage::Sent,
             window: terms.window as usize,
             overrun: false,
             why: String::new(),
@@ -467,22 +467,22 @@
         }
     }
 
-    fn poll(&mut self, cx: &mut Context<'_>, budget: &Budget) -> Poll<End> {
+    fn poll(&mut self, cx: &mut Context<'_>, budget: &TableMemory) -> Poll<StreamEnd> {
         if let Some(response) = &mut self.response {
             match Pin::new(response).poll(cx) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Err(e)) => return Poll::Ready(of_error(&e)),
                 Poll::Ready(Ok(response)) => {
                     if response.status() != http::StatusCode::OK {
-                        return Poll::Ready(End::Status);
+                        return Poll::Ready(StreamEnd::Status);
                     }
                     if let Some(end) = of_status(response.headers()) {
                         return Poll::Ready(end);
                     }
-                    self.stage = Stage::Answering;
+                    self.stage = StreamStage::Answering;
                     let encoding = response.headers().get("grpc-encoding").and_then(|v| v.to_str().ok());
                     let Some(encoding) = encoding.map_or(Some(Encoding::Identity), Encoding::named) else {
-                        return Poll::Ready(End::Spoilt);
+                        return Poll::Ready(StreamEnd::Malformed);
                     };
                     let frames = std::mem::replace(&mut self.frames, Deframer::new(0));
                     self.frames = frames.encoded(encoding);
@@ -492,7 +492,7 @@
             }
         }
         loop {
-            let Some(body) = &mut self.body else { return Poll::Ready(End::Status) };
+            let Some(body) = &mut self.body else { return Poll::Ready(StreamEnd::Status) };
             match body.poll_data(cx) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Some(Err(e))) => return Poll::Ready(of_error(&e)),
@@ -501,31 +501,31 @@
                     self.frames.push(&bytes);
                     if let Err(why) = self.take() {
                         self.why = why;
-                        return Poll::Ready(End::Spoilt);
+                        return Poll::Ready(StreamEnd::Malformed);
                     }
                     if !self.draw(budget) {
-                        return Poll::Ready(End::Spoilt);
+                        return Poll::Ready(StreamEnd::Malformed);
                     }
                 }
                 Poll::Ready(None) => break,
             }
         }
-        let Some(body) = &mut self.body else { return Poll::Ready(End::Status) };
+        let Some(body) = &mut self.body else { return Poll::Ready(StreamEnd::Status) };
         match body.poll_trailers(cx) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(Err(e)) => Poll::Ready(of_error(&e)),
             // Without trailers or with half a message the stream was cut short, whatever it held.
             Poll::Ready(Ok(map)) => Poll::Ready(match map.as_ref().and_then(of_status) {
-                Some(End::Ok) if self.frames.is_empty() => {
-                    self.stage = Stage::Whole;
-                    End::Ok
+                Some(StreamEnd::Ok) if self.frames.is_empty() => {
+                    self.stage = StreamStage::Complete;
+                    StreamEnd::Ok
                 }
-                Some(End::Ok) => {
+                Some(StreamEnd::Ok) => {
                     self.why = "it ends within a message".to_owned();
-                    End::Spoilt
+                    StreamEnd::Malformed
                 }
                 Some(end) => end,
-                None => End::Reset,
+                None => StreamEnd::Reset,
             }),
         }
     }
@@ -533,23 +533,23 @@
     /// Draws from the budget for what the host may send beyond its first window; `false` where the query's
     /// tables outgrow their bound. Nothing is drawn before half of the first window has come: most answers
     /// are smaller than that.
-    fn draw(&mut self, budget: &Budget) -> bool {
+    fn draw(&mut self, budget: &TableMemory) -> bool {
         let fresh = self.held - self.waits;
         if fresh < self.window / 2 {
             return true;
         }
-        match budget.want(self.stream, fresh) {
-            Grant::Now => {
+        match budget.request_window(self.stream, fresh) {
+            WindowGrant::Granted => {
                 // What waited before is part of the grant.
                 let all = fresh + self.waits;
                 self.release(all);
                 true
             }
-            Grant::Wait => {
+            WindowGrant::Queued => {
                 self.waits += fresh;
                 true
             }
-            Grant::Over => {
+            WindowGrant::Exceeded => {
                 self.overrun = true;
                 false
             }
@@ -567,19 +567,19 @@
     }
 
     /// Says how the part ended.
-    fn report(&mut self, server: ServerId, end: End, budget: &Budget, reports: &mut Vec<Report>) {
-        let mut outcome = truth::verdict(self.stage, end);
+    fn report(&mut self, server: BackendId, end: StreamEnd, budget: &TableMemory, reports: &mut Vec<Report>) {
+        let mut outcome = truth::classify(self.stage, end);
         let mut value = None;
-        if outcome == Outcome::Served {
+        if outcome == Outcome::Succeeded {
             match self.value(budget) {
                 Ok((said, found)) => (outcome, value) = (said, found),
                 Err(Some(why)) => {
                     tracing::warn!("host {}: no answer for shard {}: {why}", server.0, self.shard.0);
-                    outcome = Outcome::Cut;
+                    outcome = Outcome::ConnectionLost;
                 }
                 Err(None) => self.overrun = true,
             }
-        } else if end == End::Spoilt {
+        } else if end == StreamEnd::Malformed {
             // The stream goes on; nobody listens to it any more.
             self.request.send_reset(Reason::CANCEL);
             if !self.overrun {
@@ -595,7 +595,7 @@
     }
 
     /// The part's value: of the simple form, or a table that is kept as it is. `None` for no room.
-    fn value(&mut self, budget: &Budget) -> Result<(Outcome, Option<Value>), Option<String>> {
+    fn value(&mut self, budget: &TableMemory) -> Result<(Outcome, Option<Value>), Option<String>> {
         let columns = self.columns.take().ok_or_else(|| Some("nothing came".to_owned()))?;
         let simple = columns.schema().is_some_and(rows::is_simple);
         let table = columns.finish().ok_or_else(|| Some("no table came".to_owned()))?;
@@ -605,40 +605,40 @@
             if row.shard != self.shard {
                 return Err(Some("a row of another shard".to_owned()));
             }
-            let value = (row.outcome == Outcome::Served).then(|| Value::Text(Rc::clone(&row.value)));
+            let value = (row.outcome == Outcome::Succeeded).then(|| Value::Text(Rc::clone(&row.value)));
             return Ok((row.outcome, value));
         }
-        let lease = budget.keep(self.stream, table.bytes).ok_or(None)?;
+        let lease = budget.retain(self.stream, table.bytes).ok_or(None)?;
         let (schema, messages, rows) = (table.schema, table.messages, table.rows);
-        Ok((Outcome::Served, Some(Value::Table(Rc::new(Table { schema, messages, rows, lease })))))
+        Ok((Outcome::Succeeded, Some(Value::Table(Rc::new(Table { schema, messages, rows, lease })))))
     }
 }
 
 /// What a status says, if there is one. A status proves nothing about the part but where it says `LATER`.
-fn of_status(map: &http::HeaderMap) -> Option<End> {
+fn of_status(map: &http::HeaderMap) -> Option<StreamEnd> {
     let code = grpc::status_of(map)?;
     Some(if code == Code::Ok as u32 {
-        End::Ok
+        StreamEnd::Ok
     } else if code == Code::DeadlineExceeded as u32 {
-        End::Deadline
+        StreamEnd::DeadlineStatus
     } else if grpc::details_of(map).0.as_deref() == Some(grpc::LATER) {
-        End::Later
+        StreamEnd::RetryLaterStatus
     } else {
-        End::Status
+        StreamEnd::Status
     })
 }
 
 /// Only a stream that the host has refused, or one above the last that its GOAWAY names, has never run.
 /// `h2` gives the host's GOAWAY as the reason to those above it alone: it ends them while it reads the
 /// frame, and ends the others with the connection's own error.
-fn of_error(e: &h2::Error) -> End {
+fn of_error(e: &h2::Error) -> StreamEnd {
     if e.is_reset() && e.is_remote() && e.reason() == Some(Reason::REFUSED_STREAM) {
-        End::Refused
+        StreamEnd::RefusedStream
     } else if e.is_go_away() && e.is_remote() {
-        End::Above
+        StreamEnd::AboveGoAway
     } else if e.is_reset() {
-        End::Reset
+        StreamEnd::Reset
     } else {
-        End::Broken
+        StreamEnd::ConnectionLost
     }
 }
--- a/crates/edge/src/upstream/frames.rs
+++ b/crates/edge/src/upstream/frames.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use mallowgauge_core::Send;
+use mallowgauge_core::AttemptRequest;
 use mallowgauge_router::{Micros, Outcome};
 
 /// Longest frame taken from a host: a value has to fit into a body of 64 KiB.
@@ -24,22 +24,22 @@
 
 /// What a part is called on this wire.
 #[must_use]
-pub fn part_name(send: &Send) -> String {
+pub fn part_name(send: &AttemptRequest) -> String {
     format!("{}.{}", send.query, send.shard.0)
 }
 
 /// One call, written now.
 #[must_use]
-pub fn call(now: Micros, sends: &[Send]) -> Vec<u8> {
+pub fn call(now: Micros, sends: &[AttemptRequest]) -> Vec<u8> {
     let mut rest = Vec::new();
     for send in sends {
         let mut line = part_name(send);
         // The wait is rounded down: the host has to know that nobody listens any more.
-        let left = (send.left(now) / 1000).max(1);
-        let done = writeln!(line, " {} d={left} {}", send.shard.0, send.text.len());
+        let left = (send.remaining(now) / 1000).max(1);
+        let done = writeln!(line, " {} d={left} {}", send.shard.0, send.body.len());
         debug_assert!(done.is_ok(), "writing to a string cannot fail");
         rest.extend_from_slice(line.as_bytes());
-        rest.extend_from_slice(&send.text);
+        rest.extend_from_slice(&send.body);
     }
     frame(b'm', &rest)
 }
@@ -113,14 +113,14 @@
     let mut words = rest[..at].splitn(4, |&b| b == b' ').map(std::str::from_utf8);
     let part = words.next().and_then(Result::ok).ok_or(unreadable)?;
     let outcome = match words.next() {
-        Some(Ok("good")) => Outcome::Served,
-        Some(Ok("bad")) => Outcome::Fault,
-        Some(Ok("later")) => Outcome::NoRoom,
+        Some(Ok("good")) => Outcome::Succeeded,
+        Some(Ok("bad")) => Outcome::BackendError,
+        Some(Ok("later")) => Outcome::Rejected,
         _ => return Err("an answer with an unknown end"),
     };
     let score = words.next().and_then(Result::ok).is_some_and(|word| word.parse::<f64>().is_ok());
     // The report is for nobody here, so one that cannot be read takes nothing from the answer.
-    if words.next().is_none() || (outcome == Outcome::Served && !score) {
+    if words.next().is_none() || (outcome == Outcome::Succeeded && !score) {
         return Err(unreadable);
     }
     if !whole {
--- a/crates/edge/src/upstream/mod.rs
+++ b/crates/edge/src/upstream/mod.rs
@@ -7,8 +7,8 @@
 pub use pool::{Link, Pool};
 
 use mallowgauge_core::budget::CallId;
-use mallowgauge_core::{AttemptId, Send, Value};
-use mallowgauge_router::{Micros, Outcome, ServerId};
+use mallowgauge_core::{AttemptId, AttemptRequest, Value};
+use mallowgauge_router::{BackendId, Micros, Outcome};
 
 /// A frame or message that has begun to come has to be whole within this time.
 const SLOWEST_FRAME: Micros = 500_000;
@@ -21,11 +21,11 @@
     /// The tables of a query have no room in memory; where it shows at an attempt, that has ended.
     Overrun(CallId, Option<AttemptId>),
     /// A probe came back.
-    Probed(ServerId, bool),
+    Probed(BackendId, bool),
 }
 
 /// Takes out of a call that waited what may not be begun any more: that has never run.
-fn drop_late(now: Micros, sends: &mut Vec<Send>, reports: &mut Vec<Report>) {
+fn drop_late(now: Micros, sends: &mut Vec<AttemptRequest>, reports: &mut Vec<Report>) {
     let late = sends.extract_if(.., |send| !send.may_begin(now));
-    reports.extend(late.map(|send| Report::Ended(send.attempt, Outcome::NeverSent, None)));
+    reports.extend(late.map(|send| Report::Ended(send.attempt, Outcome::NotSent, None)));
 }
