--- a/crates/edge/src/upstream/pool.rs
+++ b/crates/edge/src/upstream/pool.rs
@@ -7,8 +7,11 @@
 use crate::upstream::flight::{FlightLink, Terms};
 use crate::upstream::frames::{self, Said};
 use crate::upstream::{drop_late, Report, SLOWEST_FRAME};
-use mallowgauge_core::links::{choose, fullest, gives_way, Choice, Room, Shares, View};
-use mallowgauge_core::{AttemptId, Send};
+use mallowgauge_core::links::{
+    choose, connection_to_evict, largest_connection, Choice, ConnectionCapacity, ConnectionLimits,
+    ConnectionView,
+};
+use mallowgauge_core::{AttemptId, AttemptRequest};
 use mallowgauge_net::{Handle, ReadEnd, Stream, Token};
 use mallowgauge_router::*;
 use mallowgauge_settings::hosts::Host;
@@ -39,17 +42,17 @@
 pub struct Pool {
     links: Links,
     flight: Flight,
-    hosts: BTreeMap<ServerId, Place>,
+    hosts: BTreeMap<BackendId, Place>,
     connections: BTreeMap<u64, Connection>,
     /// The connections of each host: with hundreds of hosts, a look at all for each call costs more than
     /// the call.
-    held: BTreeMap<ServerId, Vec<u64>>,
+    held: BTreeMap<BackendId, Vec<u64>>,
     /// When each connection has to be looked at, for the same reason.
     due: BTreeSet<(Micros, u64)>,
     /// What the buffers of all connections hold.
     bytes: usize,
     next: u64,
-    shares: Shares,
+    shares: ConnectionLimits,
     reports: Vec<Report>,
     terms: Terms,
 }
@@ -64,7 +67,7 @@
 }
 
 struct Connection {
-    server: ServerId,
+    server: BackendId,
     addr: SocketAddr,
     /// When its dial began.
     opened: Micros,
@@ -82,14 +85,14 @@
         }
     }
 
-    fn call(&mut self, now: Micros, sends: Vec<Send>, reports: &mut Vec<Report>) -> bool {
+    fn call(&mut self, now: Micros, sends: Vec<AttemptRequest>, reports: &mut Vec<Report>) -> bool {
         match self {
             Link::Frames(link) => link.call(now, sends, reports),
             Link::Flight(link) => link.call(now, sends, reports),
         }
     }
 
-    fn usable(&self, sends: &[Send]) -> bool {
+    fn usable(&self, sends: &[AttemptRequest]) -> bool {
         match self {
             Link::Frames(link) => link.usable(sends),
             Link::Flight(link) => link.usable(),
@@ -135,7 +138,7 @@
     }
 
     /// Takes back those of the parts that wait here of which no byte is written.
-    fn take_back(&mut self, which: impl Fn(&Send) -> bool, reports: &mut Vec<Report>) {
+    fn take_back(&mut self, which: impl Fn(&AttemptRequest) -> bool, reports: &mut Vec<Report>) {
         match self {
             Link::Frames(link) => link.take_back(which, reports),
             Link::Flight(link) => link.take_back(which, reports),
@@ -161,7 +164,7 @@
 impl Pool {
     /// A pool of as many connections as its share allows.
     #[must_use]
-    pub fn new(links: Links, flight: Flight, shares: Shares, terms: Terms) -> Self {
+    pub fn new(links: Links, flight: Flight, shares: ConnectionLimits, terms: Terms) -> Self {
         Self {
             links,
             flight,
@@ -180,10 +183,10 @@
     /// What discovery tells of a host. Where it drains or has moved, what was not begun there has to go
     /// elsewhere, however late a dial comes up or a socket has room; where it is a new process, nobody may be
     /// left to close the connections to the one before.
-    pub fn update(&mut self, server: ServerId, host: &Host) {
+    pub fn update(&mut self, server: BackendId, host: &Host) {
         let Some(addr) = host.addr else { return };
         let flight = self.flight.every_host || self.flight.hosts.contains(&host.name);
-        let (cell, ready, started) = (host.cell, host.phase == Phase::Ready, host.started);
+        let (cell, ready, started) = (host.cell, host.phase == EndpointState::Ready, host.started);
         let place = Place { addr, flight, cell, ready, started };
         let Some(before) = self.hosts.insert(server, place) else { return };
         if !place.still(&before) {
@@ -200,7 +203,7 @@
     }
 
     /// What was sent to a host and not begun never ran, and is decided about anew.
-    fn take_back(&mut self, server: ServerId) {
+    fn take_back(&mut self, server: BackendId) {
         for id in self.held_by(server) {
             self.with(id, |c, reports| {
                 c.link.take_back(|_| true, reports);
@@ -210,7 +213,7 @@
     }
 
     /// A host is gone: what is out there is waited for, and nothing else is kept of it.
-    pub fn forget(&mut self, now: Micros, server: ServerId) {
+    pub fn forget(&mut self, now: Micros, server: BackendId) {
         self.hosts.remove(&server);
         self.take_back(server);
         for id in self.held_by(server) {
@@ -220,7 +223,7 @@
         }
     }
 
-    fn held_by(&self, server: ServerId) -> Vec<u64> {
+    fn held_by(&self, server: BackendId) -> Vec<u64> {
         self.held.get(&server).cloned().unwrap_or_default()
     }
 
@@ -242,7 +245,7 @@
     }
 
     /// Sends one turn's parts to a host, in as few calls as they fit in.
-    pub fn call(&mut self, now: Micros, handle: &Handle, server: ServerId, mut sends: Vec<Send>) {
+    pub fn call(&mut self, now: Micros, handle: &Handle, server: BackendId, mut sends: Vec<AttemptRequest>) {
         while !sends.is_empty() {
             let rest = sends.split_off(sends.len().min(self.links.parts_a_call));
             // Leave to send may have come after the news that the host drains.
@@ -251,7 +254,7 @@
                 Some(id) => self.with(id, |c, reports| c.link.call(now, sends, reports)),
                 None => {
                     // The want is here: it says nothing of the host.
-                    let never = |send: Send| Report::Ended(send.attempt, Outcome::NeverSent, None);
+                    let never = |send: AttemptRequest| Report::Ended(send.attempt, Outcome::NotSent, None);
                     self.reports.extend(sends.into_iter().map(never));
                 }
             }
@@ -274,8 +277,10 @@
         if !alive {
             self.end(id);
         }
-        while self.bytes > self.shares.host_bytes {
-            let Some(id) = fullest(self.connections.iter().map(|(&id, c)| (id, c.bytes))) else { return };
+        while self.bytes > self.shares.backend_bytes {
+            let Some(id) = largest_connection(self.connections.iter().map(|(&id, c)| (id, c.bytes))) else {
+                return;
+            };
             let server = self.connections.get(&id).map_or(0, |c| c.server.0);
             tracing::warn!("host {server}: no room for what it sends");
             self.end(id);
@@ -291,7 +296,13 @@
 
     /// A connection with room for these, as `core::links` chooses it, or else a new one. What it has to say
     /// is read first: one that the host has closed must not be written to.
-    fn connection(&mut self, now: Micros, handle: &Handle, server: ServerId, sends: &[Send]) -> Option<u64> {
+    fn connection(
+        &mut self,
+        now: Micros,
+        handle: &Handle,
+        server: BackendId,
+        sends: &[AttemptRequest],
+    ) -> Option<u64> {
         let place = self.hosts.get(&server)?;
         let (addr, flight, links) = (place.addr, place.flight, self.links);
         let started = place.started.filter(|&at| at <= now).unwrap_or(0);
@@ -307,22 +318,26 @@
                 let c = self.connections.get(&id)?;
                 let load = c.link.load(now);
                 let silent = c.link.silent_since().is_some_and(|at| at + links.silent <= now);
-                Some(View { id, fits: fits(c, load), silent, load, used: c.link.used() })
+                Some(ConnectionView { id, fits: fits(c, load), silent, load, used: c.link.used() })
+            };
+            let views: Vec<ConnectionView> = held.iter().filter_map(view).collect();
+            let most = self.shares.backends;
+            let room = if self.connections.len() < most {
+                ConnectionCapacity::Available
+            } else {
+                ConnectionCapacity::Exhausted
             };
-            let views: Vec<View> = held.iter().filter_map(view).collect();
-            let most = self.shares.hosts;
-            let room = if self.connections.len() < most { Room::Free } else { Room::Crowded };
             let id = match choose(&views, most, self.hosts.len(), room) {
                 Choice::Use(id) => id,
-                Choice::Open(instead) if room == Room::Crowded => {
+                Choice::Open(instead) if room == ConnectionCapacity::Exhausted => {
                     let resting = self.connections.iter().filter(|(_, c)| c.link.rests());
-                    match (gives_way(resting.map(|(&id, c)| (id, c.link.used()))), instead) {
+                    match (connection_to_evict(resting.map(|(&id, c)| (id, c.link.used()))), instead) {
                         (None, Some(id)) => id,
                         (other, _) => break (instead, other),
                     }
                 }
                 Choice::Open(instead) => break (instead, None),
-                Choice::Nowhere => return None,
+                Choice::Unavailable => return None,
             };
             self.ready(now, id);
             if self.connections.get(&id).is_some_and(|c| fits(c, c.link.load(now))) {
@@ -332,7 +347,7 @@
         if let Some(id) = idle {
             self.remove(id);
         }
-        if self.connections.len() >= self.shares.hosts {
+        if self.connections.len() >= self.shares.backends {
             tracing::warn!("host {}: no connection to spare", server.0);
             return None;
         }
@@ -343,7 +358,7 @@
         &mut self,
         now: Micros,
         handle: &Handle,
-        server: ServerId,
+        server: BackendId,
         addr: SocketAddr,
         flight: bool,
     ) -> Option<u64> {
@@ -371,7 +386,7 @@
     }
 
     /// Nobody waits for an attempt any more.
-    pub fn abandon(&mut self, now: Micros, server: ServerId, attempt: AttemptId) {
+    pub fn abandon(&mut self, now: Micros, server: BackendId, attempt: AttemptId) {
         let silent = self.links.silent;
         for id in self.held_by(server) {
             self.with(id, |c, reports| match &mut c.link {
@@ -382,7 +397,7 @@
     }
 
     /// An attempt is not to begin any more, if it has not.
-    pub fn withdraw(&mut self, server: ServerId, attempt: AttemptId) {
+    pub fn withdraw(&mut self, server: BackendId, attempt: AttemptId) {
         for id in self.held_by(server) {
             self.with(id, |c, reports| {
                 c.link.take_back(|send| send.attempt == attempt, reports);
@@ -392,7 +407,7 @@
     }
 
     /// Probes a host.
-    pub fn probe(&mut self, now: Micros, handle: &Handle, server: ServerId) {
+    pub fn probe(&mut self, now: Micros, handle: &Handle, server: BackendId) {
         let until = now + self.links.dial;
         match self.connection(now, handle, server, &[]) {
             Some(id) => self.with(id, |c, reports| match &mut c.link {
@@ -418,10 +433,10 @@
     /// Lets hosts go on for which the budget has room again, and says which query has to give way where
     /// nothing else would bring the others on.
     pub fn replenish(&mut self, now: Micros) {
-        if !self.terms.budget.waits() {
+        if !self.terms.budget.has_waiting_streams() {
             return;
         }
-        for (stream, bytes) in self.terms.budget.granted() {
+        for (stream, bytes) in self.terms.budget.take_grants() {
             let ids: Vec<u64> = self.connections.keys().copied().collect();
             for id in ids {
                 let mut found = false;
@@ -436,7 +451,7 @@
                 }
             }
         }
-        let victim = self.terms.budget.victim();
+        let victim = self.terms.budget.query_to_evict();
         self.reports.extend(victim.map(|call| Report::Overrun(call, None)));
     }
 
@@ -466,7 +481,7 @@
 
 #[derive(Debug)]
 enum Frame {
-    Call(Vec<Send>),
+    Call(Vec<AttemptRequest>),
     GiveUp(String),
     Probe,
 }
@@ -483,7 +498,7 @@
 
 /// A connection that carries frames.
 pub struct FrameLink {
-    server: ServerId,
+    server: BackendId,
     stream: Stream,
     dialling: Option<Micros>,
     /// Frames of which no byte is written; they can be taken back.
@@ -506,7 +521,7 @@
 }
 
 impl FrameLink {
-    fn new(server: ServerId, stream: Stream, now: Micros, until: Micros) -> Self {
+    fn new(server: BackendId, stream: Stream, now: Micros, until: Micros) -> Self {
         Self {
             server,
             stream,
@@ -525,7 +540,7 @@
         }
     }
 
-    fn unwritten<'a>(&'a self) -> impl Iterator<Item = &'a Send> {
+    fn unwritten<'a>(&'a self) -> impl Iterator<Item = &'a AttemptRequest> {
         let writing = self.writing.iter().map(|(frame, _)| frame);
         let sends = |frame: &'a Frame| if let Frame::Call(sends) = frame { sends.as_slice() } else { &[] };
         writing.chain(&self.queue).flat_map(sends)
@@ -545,11 +560,11 @@
         self.dialling.is_some() && self.queue.is_empty()
     }
 
-    fn take_back(&mut self, which: impl Fn(&Send) -> bool, reports: &mut Vec<Report>) {
+    fn take_back(&mut self, which: impl Fn(&AttemptRequest) -> bool, reports: &mut Vec<Report>) {
         for frame in &mut self.queue {
             let Frame::Call(sends) = frame else { continue };
             let taken = sends.extract_if(.., |send| which(send));
-            reports.extend(taken.map(|send| Report::Ended(send.attempt, Outcome::NeverSent, None)));
+            reports.extend(taken.map(|send| Report::Ended(send.attempt, Outcome::NotSent, None)));
         }
         self.queue.retain(|frame| !matches!(frame, Frame::Call(sends) if sends.is_empty()));
     }
@@ -565,7 +580,7 @@
     /// Whether new parts may go out on this connection: it is not in the middle of a frame, and no part of
     /// the same name went out on it, whose late answer, or a second copy of it, would be taken for the new
     /// one's.
-    fn usable(&self, sends: &[Send]) -> bool {
+    fn usable(&self, sends: &[AttemptRequest]) -> bool {
         let known = |name: &String| self.out.contains_key(name) || self.done.contains(name);
         self.partial.is_none()
             && !sends.iter().any(|send| known(&frames::part_name(send)))
@@ -574,7 +589,7 @@
                 .any(|held| sends.iter().any(|s| s.query == held.query && s.shard == held.shard))
     }
 
-    fn call(&mut self, now: Micros, sends: Vec<Send>, reports: &mut Vec<Report>) -> bool {
+    fn call(&mut self, now: Micros, sends: Vec<AttemptRequest>, reports: &mut Vec<Report>) -> bool {
         self.used = now;
         self.queue.push_back(Frame::Call(sends));
         self.ready(now, reports)
@@ -623,7 +638,7 @@
     /// Nobody waits for any part of this frame any more; the word to the host waits behind it.
     fn is_given_up(&self, frame: &Frame) -> bool {
         let Frame::Call(sends) = frame else { return false };
-        let given_up = |send: &Send| {
+        let given_up = |send: &AttemptRequest| {
             let name = frames::part_name(send);
             self.queue.iter().any(|frame| matches!(frame, Frame::GiveUp(other) if *other == name))
         };
@@ -748,7 +763,7 @@
                     self.copies = 0;
                     self.is_done(name);
                     if !out.given_up {
-                        let value = (outcome == Outcome::Served).then(|| value.into());
+                        let value = (outcome == Outcome::Succeeded).then(|| value.into());
                         reports.push(Report::Ended(out.attempt, outcome, value));
                     }
                 }
@@ -819,9 +834,9 @@
     /// The connection is over: what was not written whole has never run, the rest may have.
     fn end(&mut self, reports: &mut Vec<Report>) {
         let never: Vec<AttemptId> = self.unwritten().map(|send| send.attempt).collect();
-        reports.extend(never.into_iter().map(|id| Report::Ended(id, Outcome::NoRoute, None)));
+        reports.extend(never.into_iter().map(|id| Report::Ended(id, Outcome::ConnectFailed, None)));
         let cut = std::mem::take(&mut self.out).into_values().filter(|out| !out.given_up);
-        reports.extend(cut.map(|out| Report::Ended(out.attempt, Outcome::Cut, None)));
+        reports.extend(cut.map(|out| Report::Ended(out.attempt, Outcome::ConnectionLost, None)));
         reports.extend(self.probes.drain(..).map(|_| Report::Probed(self.server, false)));
     }
 }
--- a/crates/edge/tests/bad_input.rs
+++ b/crates/edge/tests/bad_input.rs
@@ -392,7 +392,7 @@
         let first = host_frame(b'q', b"q1.3 good 17 util=0.5\nvalue", 0);
         let both = [first, spoil(second, &changes)].concat();
         let seen = said(pieces(&both, &sizes));
-        let wanted = Said::End("q1.3".to_owned(), Outcome::Served, "value".to_owned());
+        let wanted = Said::End("q1.3".to_owned(), Outcome::Succeeded, "value".to_owned());
         prop_assert_eq!(seen.0.first(), Some(&wanted));
     }
 }
@@ -636,7 +636,7 @@
         match query::read(frame, &body) {
             Ok(ask) => {
                 prop_assert_eq!(ask.parts.len(), body["ranges"].as_array().map_or(0, Vec::len));
-                prop_assert_eq!(Some(&*ask.text), body["predicate"].as_str().map(str::as_bytes));
+                prop_assert_eq!(Some(&*ask.body), body["predicate"].as_str().map(str::as_bytes));
                 for (part, range) in ask.parts.iter().zip(body["ranges"].as_array().expect("a list")) {
                     prop_assert_eq!(Some(u64::from(part.shard.0)), range["range"].as_u64());
                     prop_assert_eq!(Some(part.weight), range["portion"].as_f64());
--- a/crates/edge/tests/discovery_timing.rs
+++ b/crates/edge/tests/discovery_timing.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use calloop::EventLoop;
-use mallowgauge_core::{Bounds, Core, Effect};
+use mallowgauge_core::{Action, Core, CoreLimits};
 use mallowgauge_edge::discovery::{Discovery, News};
 use mallowgauge_net::{Handle, Owner, Token};
-use mallowgauge_router::{ListNews, Micros};
+use mallowgauge_router::{EndpointUpdate, Micros};
 use mallowgauge_settings::Site;
 use mallowgauge_testkit::hand::{accept, addr, listener, Held, Wire};
 use mallowgauge_testkit::settings;
@@ -46,9 +46,9 @@
         let events = EventLoop::try_new().expect("an event loop");
         let handle = Handle::new(events.handle());
         let Site { settings, classes, .. } = Site::read(&settings()).expect("settings");
-        let bounds = Bounds { max_open: 20, shards: 10 };
+        let bounds = CoreLimits { max_open: 20, shards: 10 };
         let mut core = Core::new(seed, settings, classes, bounds).expect("a core");
-        core.list(ListNews::Saved(Vec::new()));
+        core.endpoint_update(EndpointUpdate::CachedSnapshot(Vec::new()));
         let discovery = Discovery::new(addr(at), 1, false);
         let (ready, now) = (Ready::default(), 1_000_000);
         Self { events, handle, ready, discovery, core, now, lists: 0, failures: Vec::new() }
@@ -59,11 +59,11 @@
             match news {
                 News::List(_) => {
                     self.lists += 1;
-                    self.core.list(ListNews::Full(Vec::new()));
+                    self.core.endpoint_update(EndpointUpdate::Snapshot(Vec::new()));
                 }
                 News::Failed => {
                     self.failures.push(self.now);
-                    self.core.list(ListNews::Failed);
+                    self.core.endpoint_update(EndpointUpdate::Failed);
                 }
             }
         }
@@ -73,8 +73,8 @@
     fn settle(&mut self) {
         let expired = self.discovery.expire(self.now);
         self.take(expired);
-        for effect in self.core.turn(self.now) {
-            if effect == Effect::Watch {
+        for effect in self.core.run_batch(self.now) {
+            if effect == Action::WatchEndpoints {
                 let news = self.discovery.watch(self.now, &self.handle);
                 self.take(news);
             }
@@ -83,7 +83,7 @@
 
     /// Moves on to the next time at which something is due.
     fn step(&mut self) {
-        let due = [self.discovery.due(), self.core.due()].into_iter().flatten().min();
+        let due = [self.discovery.due(), self.core.poll_timeout()].into_iter().flatten().min();
         self.now = self.now.max(due.expect("something is always due: a call or the next one"));
         self.settle();
     }
--- a/crates/edge/tests/parts.rs
+++ b/crates/edge/tests/parts.rs
@@ -85,7 +85,7 @@
     5 ms call host 1 [1]
     100 ms a: Parts
     100 ms abandon host 1
-    2600 ms Probe(ServerId(0))
+    2600 ms Probe(BackendId(0))
     ");
 }
 
--- a/crates/flight/src/rows.rs
+++ b/crates/flight/src/rows.rs
@@ -83,9 +83,9 @@
     let blobs = column("blob")?.as_string_opt::<i32>().ok_or("blob is not utf8")?;
     let row = |((range, end), blob): ((Option<u32>, Option<&str>), Option<&str>)| {
         let outcome = match end {
-            Some("good") => Outcome::Served,
-            Some("bad") => Outcome::Fault,
-            Some("later") => Outcome::NoRoom,
+            Some("good") => Outcome::Succeeded,
+            Some("bad") => Outcome::BackendError,
+            Some("later") => Outcome::Rejected,
             _ => return Err("end is none of good, bad, later".to_owned()),
         };
         let shard = ShardId(range.ok_or("range is null")?);
--- a/crates/mallowgauge/tests/promises.rs
+++ b/crates/mallowgauge/tests/promises.rs
@@ -8,7 +8,7 @@
 use std::sync::mpsc::channel;
 
 use insta::assert_snapshot;
-use mallowgauge_core::{AttemptId, Send};
+use mallowgauge_core::{AttemptId, AttemptRequest};
 use mallowgauge_edge::upstream::frames;
 use mallowgauge_router::{PartId, ShardId};
 use mallowgauge_testkit::{config, plain, play_within, spawn, Event, Program, Query, Reply, Wire, HOSTS};
@@ -104,14 +104,14 @@
         assert_eq!(message["x-letter"], std::str::from_utf8(&bytes[4..5]).expect("a letter"), "{name}");
         jsonschema::validate(&message["payload"], &json!(rest)).unwrap_or_else(|e| panic!("{name}: {e}"));
     };
-    let send = |shard: u32| Send {
+    let send = |shard: u32| AttemptRequest {
         call: mallowgauge_core::budget::CallId(1),
         attempt: AttemptId { part: PartId(shard.into()), number: 0 },
         query: Rc::from("9b1f03aa5c7e2d41"),
         shard: ShardId(shard),
         deadline: 1_240_000,
         begin_by: 1_240_000,
-        text: b"c41e77d0".as_slice().into(),
+        body: b"c41e77d0".as_slice().into(),
     };
     fits("call", &frames::call(1_000_000, &[send(3)]));
     fits("call", &frames::call(1_000_000, &[send(3), send(4)]));
--- a/crates/router/src/interface.rs
+++ b/crates/router/src/interface.rs
@@ -17,7 +17,7 @@
 
 /// Names one server, a machine that holds replicas of some shards.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ServerId(pub u32);
+pub struct BackendId(pub u32);
 
 /// Number of a shard, from 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -33,45 +33,45 @@
 
 /// What repeating a part of a class may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Repeats are harmless.
-    Safe,
+    Idempotent,
     /// A repeat is dropped by every replica for this long after the first attempt.
     Keyed(Micros),
     /// A repeat would take effect twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// One class of query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time of arrival earns the full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The aim grows by this multiple of the query's own work, up to `deadline`.
-    pub aim_stretch: f64,
+    pub objective_per_work: f64,
     /// The longest that a client waits.
     pub deadline: Micros,
     /// Share of the worth still paid for an answer past the aim.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// What a repeat may do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Least share of the parts' weight that any answer needs.
-    pub floor: f64,
+    pub minimum_completeness: f64,
     /// Share of the first step's weight that makes a whole answer.
-    pub need: f64,
+    pub required_completeness: f64,
     /// An answer that is not whole earns this times its share of what is needed.
-    pub partial_worth: f64,
+    pub partial_value: f64,
     /// Number of parts in the second step; 0 where there is none.
-    pub second_step: u32,
+    pub second_step_parts: u32,
 }
 
 /// Which cells hold a shard, and what a call costs.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Layout {
+pub struct ShardLayout {
     /// Number of cells.
-    pub cells: u32,
+    pub ring_positions: u32,
     /// Shard `s` is held by the servers of cells `s`, `s + 1`, ... over this many, modulo `cells`.
-    pub reach: u32,
+    pub replication_factor: u32,
     /// Most parts that one call carries.
     pub parts_per_call: u32,
     /// Work that a call costs its server beside that of its parts.
@@ -80,13 +80,13 @@
 
 /// What the deployment lets a router do.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Limits {
+pub struct DeploymentLimits {
     /// Attempts may be called off.
-    pub cancel: bool,
+    pub cancellation: bool,
     /// Servers may be probed.
-    pub probes: bool,
+    pub health_checks: bool,
     /// Two attempts of one part may be out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Most attempts for one part.
     pub max_attempts: u32,
     /// Longest advice to a client on when to come back; 0 where no advice is passed on.
@@ -95,30 +95,30 @@
 
 /// Further attempts allowed in any window: `free + share * (queries and parts taken)`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Budget {
+pub struct RetryBudgetSettings {
     /// Allowed however light the traffic.
-    pub free: f64,
+    pub min_retries: f64,
     /// Allowed for each query and part taken in the window.
-    pub share: f64,
+    pub retry_ratio: f64,
     /// Length of the window.
     pub window: Micros,
 }
 
 /// Figures of the rules.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RuleFigures {
+pub struct RuleSettings {
     /// A server starts at this share of its capacity or more.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// A server is warm this long after its start at the latest.
-    pub warm_within: Micros,
+    pub warm_up_time: Micros,
     /// Work sent beyond this multiple of present capacity ...
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long makes a cold server fall over.
-    pub fall_window: Micros,
-    /// Budget for further attempts, where one is set.
-    pub budget: Option<Budget>,
+    pub overload_window: Micros,
+    /// RetryBudgetSettings for further attempts, where one is set.
+    pub retry_budget: Option<RetryBudgetSettings>,
     /// Without a subscription, the longest time between two asks for the list; 0 if not stated.
-    pub ask_within: Micros,
+    pub max_poll_interval: Micros,
 }
 
 /// How changes of the list of servers reach the router.
@@ -127,8 +127,8 @@
     /// Unasked.
     #[default]
     Push,
-    /// Only after [`Action::Subscribe`] or [`Action::FetchList`].
-    Ask,
+    /// Only after [`Action::WatchEndpoints`] or [`Action::FetchEndpoints`].
+    Poll,
 }
 
 /// Everything a router is told at its start.
@@ -137,21 +137,21 @@
     /// Number of routers that share the servers, this one included.
     pub routers: u32,
     /// Shortest time between two calls of [`Router::handle`](crate::Router::handle).
-    pub tick: Micros,
+    pub batch_interval: Micros,
     /// The classes.
     pub classes: Vec<Class>,
     /// Shards, cells and calls.
-    pub layout: Layout,
+    pub layout: ShardLayout,
     /// What is allowed.
-    pub limits: Limits,
+    pub limits: DeploymentLimits,
     /// Figures of the rules.
-    pub rules: RuleFigures,
+    pub rules: RuleSettings,
     /// How the list arrives.
     pub discovery: Discovery,
     /// The zone of this router, where there are zones.
     pub zone: Option<ZoneId>,
     /// Whether parts that cross zones are paid for.
-    pub crossing_costs: bool,
+    pub cross_zone_costs: bool,
 }
 
 /// Why settings were rejected.
@@ -187,29 +187,33 @@
         let share = |x: f64| (0.0..=1.0).contains(&x);
         check(self.routers > 0, "routers", "is zero")?;
         check(!self.classes.is_empty(), "classes", "is empty")?;
-        check(self.layout.cells > 0, "layout.cells", "is zero")?;
-        check(self.layout.reach > 0, "layout.reach", "is zero")?;
+        check(self.layout.ring_positions > 0, "layout.cells", "is zero")?;
+        check(self.layout.replication_factor > 0, "layout.reach", "is zero")?;
         check(self.layout.parts_per_call > 0, "layout.parts_per_call", "is zero")?;
         check(self.limits.max_attempts > 0, "limits.max_attempts", "is zero")?;
-        let cold = self.rules.cold_from;
+        let cold = self.rules.initial_capacity;
         check(share(cold), "rules.cold_from", "lies outside 0 to 1")?;
-        let multiple = self.rules.tip_multiple;
+        let multiple = self.rules.overload_multiple;
         check(multiple.is_finite() && multiple > 0.0, "rules.tip_multiple", "is not above zero")?;
         for (i, class) in self.classes.iter().enumerate() {
             let name = |field: &str| format!("classes[{i}].{field}");
-            check(class.aim > 0, &name("aim"), "is zero")?;
-            check(class.aim <= class.deadline, &name("aim"), "lies beyond the deadline")?;
-            check(share(class.floor), &name("floor"), "lies outside 0 to 1")?;
-            check(share(class.need), &name("need"), "lies outside 0 to 1")?;
-            check(class.floor <= class.need, &name("floor"), "lies above the need")?;
-            check(share(class.late_worth), &name("late_worth"), "lies outside 0 to 1")?;
-            check(share(class.partial_worth), &name("partial_worth"), "lies outside 0 to 1")?;
-            let stretch = class.aim_stretch;
+            check(class.latency_objective > 0, &name("aim"), "is zero")?;
+            check(class.latency_objective <= class.deadline, &name("aim"), "lies beyond the deadline")?;
+            check(share(class.minimum_completeness), &name("floor"), "lies outside 0 to 1")?;
+            check(share(class.required_completeness), &name("need"), "lies outside 0 to 1")?;
+            check(
+                class.minimum_completeness <= class.required_completeness,
+                &name("floor"),
+                "lies above the need",
+            )?;
+            check(share(class.late_value), &name("late_worth"), "lies outside 0 to 1")?;
+            check(share(class.partial_value), &name("partial_worth"), "lies outside 0 to 1")?;
+            let stretch = class.objective_per_work;
             check(stretch.is_finite() && stretch >= 0.0, &name("aim_stretch"), "is not a share")?;
         }
-        if let Some(budget) = &self.rules.budget {
-            check(budget.free >= 0.0, "rules.budget.free", "is negative")?;
-            check(budget.share >= 0.0, "rules.budget.share", "is negative")?;
+        if let Some(budget) = &self.rules.retry_budget {
+            check(budget.min_retries >= 0.0, "rules.budget.free", "is negative")?;
+            check(budget.retry_ratio >= 0.0, "rules.budget.share", "is negative")?;
             check(budget.window > 0, "rules.budget.window", "is zero")?;
         }
         Ok(())
@@ -218,47 +222,47 @@
 
 /// What the list says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Phase {
+pub enum EndpointState {
     /// Takes parts.
     Ready,
     /// Finishes what it has; nothing new may be sent.
     Draining,
     /// Withdrawn.
     #[default]
-    Gone,
+    Removed,
 }
 
 /// One entry of the list of servers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ServerEntry {
+pub struct Endpoint {
     /// The server.
-    pub server: ServerId,
+    pub backend: BackendId,
     /// Its cell, which says what shards it holds.
-    pub cell: u32,
+    pub ring_position: u32,
     /// Its state.
-    pub phase: Phase,
+    pub state: EndpointState,
     /// When it last started; `None` for a long time ago.
-    pub started: Option<Micros>,
+    pub started_at: Option<Micros>,
     /// Its zone, where that is known.
     pub zone: Option<ZoneId>,
 }
 
 /// News of the list of servers.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ListNews {
+pub enum EndpointUpdate {
     /// The whole list; a server that is missing is gone.
-    Full(Vec<ServerEntry>),
+    Snapshot(Vec<Endpoint>),
     /// Changed entries only.
-    Changes(Vec<ServerEntry>),
+    Delta(Vec<Endpoint>),
     /// The whole list as last seen before this router started; it may be stale.
-    Saved(Vec<ServerEntry>),
+    CachedSnapshot(Vec<Endpoint>),
     /// An ask failed or the subscription dropped; the old list holds.
     Failed,
 }
 
-/// A query arrives. Its parts follow in the same batch as [`Event::Part`].
+/// A query arrives. Its parts follow in the same batch as [`Event::PartArrived`].
 #[derive(Clone, Debug, PartialEq)]
-pub struct Arrival {
+pub struct QueryArrival {
     /// The query.
     pub query: QueryId,
     /// Its class.
@@ -270,7 +274,7 @@
     /// Marked as a client's further try; `false` where clients do not mark them.
     pub retry: bool,
     /// Somebody else decides which parts it needs and when it is answered: parts come one by one
-    /// ([`Event::Part`]), a lost one is told ([`Action::Lost`]), and its end comes as [`Event::Settled`].
+    /// ([`Event::PartArrived`]), a lost one is told ([`Action::PartFailed`]), and its end comes as [`Event::QueryCompleted`].
     pub planned: bool,
 }
 
@@ -286,54 +290,54 @@
     /// Its weight; those of a step sum to 1.
     pub weight: f64,
     /// It may be repeated whatever its class says.
-    pub harmless: bool,
+    pub idempotent: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Answered.
-    Served,
+    Succeeded,
     /// The server reported an error; the part may have run.
-    Fault,
+    BackendError,
     /// Turned away unseen; it never ran.
-    NoRoom,
+    Rejected,
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection in time; it never ran.
-    NoRoute,
+    ConnectFailed,
     /// The connection dropped; it may have run.
-    Cut,
+    ConnectionLost,
     /// Called off; it may have run.
     Cancelled,
     /// Never sent; it never ran.
-    NeverSent,
+    NotSent,
 }
 
 /// One thing that happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the list of servers.
-    List(ListNews),
+    EndpointUpdate(EndpointUpdate),
     /// A query arrived.
-    Query(Arrival),
+    QueryArrived(QueryArrival),
     /// A part arrived.
-    Part(PartArrival),
+    PartArrived(PartArrival),
     /// A wake-up that was asked for is due.
-    Wake,
+    TimerExpired,
     /// Nobody needs this part of a planned query any more.
-    Drop(PartId),
+    PartCancelled(PartId),
     /// A planned query has had its final answer.
-    Settled {
+    QueryCompleted {
         /// The query.
         query: QueryId,
         /// It was answered; otherwise it was refused or failed.
         answered: bool,
     },
     /// The client of a query left.
-    Left(QueryId),
+    ClientDisconnected(QueryId),
     /// An attempt ended.
-    Outcome {
+    AttemptCompleted {
         /// The part.
         part: PartId,
         /// Number of the attempt, from 0 in the order sent.
@@ -344,9 +348,9 @@
         took: Micros,
     },
     /// A probe came back.
-    Probed {
+    HealthCheckCompleted {
         /// The server probed.
-        server: ServerId,
+        backend: BackendId,
         /// Whether it passed.
         passed: bool,
     },
@@ -356,7 +360,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// A part of a planned query can never come in.
-    Lost {
+    PartFailed {
         /// The part.
         part: PartId,
     },
@@ -365,7 +369,7 @@
         /// The part.
         part: PartId,
         /// Where to.
-        server: ServerId,
+        backend: BackendId,
         /// Its time-out.
         timeout: Micros,
         /// It must not begin later than this from now, however long it waits for a connection; at most the
@@ -381,14 +385,14 @@
     },
     /// Answer a query from the parts that are in. In a class with a second step, the first answer
     /// brings that step's parts.
-    Answer {
+    Respond {
         /// The query.
         query: QueryId,
         /// Whether the answer is whole.
-        whole: bool,
+        complete: bool,
     },
     /// Turn a query away; trying again is harmless.
-    Refuse {
+    Reject {
         /// The query.
         query: QueryId,
         /// Advice on when to come back; 0 for none.
@@ -399,29 +403,29 @@
         /// The query.
         query: QueryId,
     },
-    /// Ask for [`Event::Wake`] after so long.
-    WakeIn(Micros),
+    /// Ask for [`Event::TimerExpired`] after so long.
+    SetTimer(Micros),
     /// Ask for changes of the list from now on.
-    Subscribe,
+    WatchEndpoints,
     /// Ask for the whole list once.
-    FetchList,
+    FetchEndpoints,
     /// Probe a server.
-    Probe(ServerId),
+    HealthCheck(BackendId),
     /// A line for the operators' log.
     Log(String),
 }
 
 /// What a router makes of one server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ServerView {
+pub struct BackendView {
     /// The server.
-    pub server: ServerId,
+    pub backend: BackendId,
     /// What the list says of it.
-    pub phase: Phase,
+    pub state: EndpointState,
     /// Whether it is passed over while others can serve.
-    pub suspect: bool,
+    pub ejected: bool,
     /// Whether it may still be cold.
-    pub cold: bool,
+    pub warming_up: bool,
     /// Our parts out on it.
-    pub parts_out: u32,
+    pub parts_in_flight: u32,
 }
--- a/crates/router/src/rules.rs
+++ b/crates/router/src/rules.rs
@@ -53,7 +53,8 @@
 const POISON: usize = 2; // A query with whose parts so many servers fell is not sent to another
 
 /// Cap on further attempts where the settings state none: slow everywhere is no time for copies.
-const OWN_BUDGET: Budget = Budget { free: 4.0, share: 0.1, window: 5 * SECOND };
+const OWN_BUDGET: RetryBudgetSettings =
+    RetryBudgetSettings { min_retries: 4.0, retry_ratio: 0.1, window: 5 * SECOND };
 /// Share of the budget that copies of overdue parts may use; the rest waits for failed attempts.
 const COPY_SHARE: f64 = 0.5;
 
@@ -75,7 +76,7 @@
     End(QueryId),         // The time of a query is about to run out
     Overdue(PartId, u32), // An attempt may be overdue
     Resend(PartId),       // A part waits for a server
-    Trial(ServerId),      // A suspect may be tried again
+    Trial(BackendId),     // A suspect may be tried again
     Ask,                  // The list is to be asked for
 }
 
@@ -108,7 +109,7 @@
 
 #[derive(Debug, Default)]
 struct Attempt {
-    server: ServerId,
+    server: BackendId,
     call: u64,
     sent: Micros,
     ended: Option<Outcome>, // How it ended; `None` while it is out
@@ -122,7 +123,7 @@
 
     /// Proved never to have run.
     fn never_ran(&self) -> bool {
-        matches!(self.ended, Some(Outcome::NoRoom | Outcome::NoRoute | Outcome::NeverSent))
+        matches!(self.ended, Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent))
     }
 }
 
@@ -130,7 +131,7 @@
 struct Server {
     cell: u32,
     zone: Option<ZoneId>,
-    phase: Phase,
+    phase: EndpointState,
     started: Option<Micros>, // When it started, if it may still be cold
     /// Our calls out, oldest first, each with when it was sent and its parts out.
     calls: BTreeMap<u64, (Micros, u32)>,
@@ -185,8 +186,8 @@
     began: Micros, // When the first events came
     queries: BTreeMap<QueryId, Query>,
     parts: BTreeMap<PartId, Part>,
-    servers: BTreeMap<ServerId, Server>,
-    cells: Vec<Vec<ServerId>>,           // The ready servers of each cell
+    backends: BTreeMap<BackendId, Server>,
+    cells: Vec<Vec<BackendId>>,          // The ready servers of each cell
     ready: f64,                          // How many they are, at least one
     answers: VecDeque<(Micros, Micros)>, // When the parts last answered were sent, and what they took
     agenda: BTreeSet<(Micros, Task)>,
@@ -210,9 +211,10 @@
     /// Settings that make no sense are rejected with the field's name.
     pub fn new(seed: u64, settings: Settings) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let guess = |class: &Class| Load { low: class.aim as f64 * FIRST_GUESS, ..Load::default() };
+        let guess =
+            |class: &Class| Load { low: class.latency_objective as f64 * FIRST_GUESS, ..Load::default() };
         let loads = settings.classes.iter().map(guess).collect();
-        let cells = vec![Vec::new(); settings.layout.cells as usize];
+        let cells = vec![Vec::new(); settings.layout.ring_positions as usize];
         let rng = Some(fastrand::Rng::with_seed(seed));
         Ok(Self { settings, rng, loads, cells, back_off: BACK_OFF_FIRST, ..Self::default() })
     }
@@ -229,21 +231,21 @@
         self.begun.retain(|&at| at > from);
         for event in events {
             match event {
-                Event::List(news) => self.list(news),
-                Event::Query(arrival) => self.arrive(&arrival),
-                Event::Part(part) => self.arrive_part(&part),
-                Event::Outcome { part, attempt, outcome, took } => {
+                Event::EndpointUpdate(news) => self.list(news),
+                Event::QueryArrived(arrival) => self.arrive(&arrival),
+                Event::PartArrived(part) => self.arrive_part(&part),
+                Event::AttemptCompleted { part, attempt, outcome, took } => {
                     self.outcome(part, attempt, outcome, took);
                 }
-                Event::Left(query) => self.end_query(query),
-                Event::Drop(part) => self.drop_parts(&[part]),
-                Event::Settled { query, answered } => {
+                Event::ClientDisconnected(query) => self.end_query(query),
+                Event::PartCancelled(part) => self.drop_parts(&[part]),
+                Event::QueryCompleted { query, answered } => {
                     let inside = answered && self.queries.get(&query).is_some_and(|q| now <= q.aim);
                     self.count(query, inside);
                     self.end_query(query);
                 }
-                Event::Probed { server, passed } => self.probed(server, passed),
-                Event::Wake => {}
+                Event::HealthCheckCompleted { backend: server, passed } => self.probed(server, passed),
+                Event::TimerExpired => {}
             }
         }
         while let Some(&(at, task)) = self.agenda.first() {
@@ -257,7 +259,7 @@
                 Task::Overdue(part, attempt) => self.at_overdue(part, attempt),
                 Task::Resend(part) => self.to_send.push(part),
                 Task::Trial(server) => self.at_trial(server),
-                Task::Ask => self.out.extend((!self.subscribed).then_some(Action::Subscribe)),
+                Task::Ask => self.out.extend((!self.subscribed).then_some(Action::WatchEndpoints)),
             }
         }
         let unsent = |q: &Query| self.parts_of(q).filter(|p| p.attempts.is_empty()).count();
@@ -275,7 +277,7 @@
         let Some(&(first, _)) = self.agenda.first() else { return };
         if self.wake_at.is_none_or(|at| at <= self.now || at > first) {
             self.wake_at = Some(first);
-            self.out.push(Action::WakeIn(first.saturating_sub(self.now).max(1)));
+            self.out.push(Action::SetTimer(first.saturating_sub(self.now).max(1)));
         }
     }
 
@@ -289,46 +291,47 @@
 
     // ---- the list ----
 
-    fn list(&mut self, news: ListNews) {
+    fn list(&mut self, news: EndpointUpdate) {
         let (entries, whole, saved) = match news {
-            ListNews::Failed => {
+            EndpointUpdate::Failed => {
                 self.subscribed = false;
                 let wait = self.back_off + self.rng.as_mut().map_or(0, |rng| rng.u64(0..=self.back_off));
                 self.back_off = (self.back_off * 2).min(BACK_OFF_LAST);
                 self.agenda.insert((self.now + wait, Task::Ask));
                 return;
             }
-            ListNews::Changes(entries) => (entries, false, false),
-            ListNews::Full(entries) => (entries, true, false),
-            ListNews::Saved(entries) => (entries, true, true),
+            EndpointUpdate::Delta(entries) => (entries, false, false),
+            EndpointUpdate::Snapshot(entries) => (entries, true, false),
+            EndpointUpdate::CachedSnapshot(entries) => (entries, true, true),
         };
         if whole {
-            self.servers.values_mut().for_each(|server| server.phase = Phase::Gone);
+            self.backends.values_mut().for_each(|server| server.phase = EndpointState::Removed);
         }
         for entry in entries {
-            let server = self.servers.entry(entry.server).or_default();
-            server.phase = entry.phase;
-            if entry.phase != Phase::Gone {
-                (server.cell, server.zone) = (entry.cell, entry.zone);
+            let server = self.backends.entry(entry.backend).or_default();
+            server.phase = entry.state;
+            if entry.state != EndpointState::Removed {
+                (server.cell, server.zone) = (entry.ring_position, entry.zone);
             }
-            if entry.started > server.started {
+            if entry.started_at > server.started {
                 // A new process: what was held against the old one is void.
-                server.started = entry.started;
+                server.started = entry.started_at;
                 server.suspicion = 0.0;
                 server.trials = 0;
             }
         }
         // A server that is gone is forgotten, or a long day would fill the memory with those replaced.
-        let (now, window) = (self.now, self.settings.rules.fall_window);
-        self.servers.values_mut().for_each(|s| s.sent.retain(|(at, _)| at + window >= now));
-        self.servers.retain(|_, s| s.phase != Phase::Gone || !s.calls.is_empty() || !s.sent.is_empty());
+        let (now, window) = (self.now, self.settings.rules.overload_window);
+        self.backends.values_mut().for_each(|s| s.sent.retain(|(at, _)| at + window >= now));
+        self.backends
+            .retain(|_, s| s.phase != EndpointState::Removed || !s.calls.is_empty() || !s.sent.is_empty());
         self.cells.iter_mut().for_each(Vec::clear);
-        for (id, server) in self.servers.iter().filter(|(_, s)| s.phase == Phase::Ready) {
+        for (id, server) in self.backends.iter().filter(|(_, s)| s.phase == EndpointState::Ready) {
             let cell = server.cell as usize % self.cells.len().max(1);
             self.cells.get_mut(cell).into_iter().for_each(|held| held.push(*id));
         }
         self.ready = self.cells.iter().map(Vec::len).sum::<usize>().max(1) as f64;
-        if saved && self.settings.discovery == Discovery::Ask {
+        if saved && self.settings.discovery == Discovery::Poll {
             self.agenda.insert((self.now, Task::Ask));
         } else {
             self.subscribed = true;
@@ -358,12 +361,12 @@
         }
     }
 
-    fn arrive(&mut self, arrival: &Arrival) {
+    fn arrive(&mut self, arrival: &QueryArrival) {
         let Some(class) = self.settings.classes.get(arrival.class.0) else {
             return self.refuse(arrival.query);
         };
-        let stretch = class.aim_stretch * arrival.work_hint.unwrap_or(0) as f64;
-        let aim = (class.aim + stretch as Micros).min(class.deadline);
+        let stretch = class.objective_per_work * arrival.work_hint.unwrap_or(0) as f64;
+        let aim = (class.latency_objective + stretch as Micros).min(class.deadline);
         let end = self.now.saturating_add(arrival.expires_in);
         let load = &mut self.loads[arrival.class.0];
         // A further try's aim runs from the first one, as its client sees it. It comes with all that is
@@ -387,7 +390,8 @@
         if query.admitted {
             self.to_send.push(arrival.part);
         }
-        let (class, shard, weight, harmless) = (query.class, arrival.shard, arrival.weight, arrival.harmless);
+        let (class, shard, weight, harmless) =
+            (query.class, arrival.shard, arrival.weight, arrival.idempotent);
         let part = Part { query: arrival.query, class, shard, weight, harmless, ..Part::default() };
         self.parts.insert(arrival.part, part);
     }
@@ -398,7 +402,7 @@
             let Some(query) = self.queries.get(&id) else { continue };
             let rate = self.loads[query.class.0].rate;
             // Past its aim on arrival it earns nothing, or too little while others are refused.
-            let past = query.aim <= self.now && (rate > 0.0 || self.class(query.class).late_worth == 0.0);
+            let past = query.aim <= self.now && (rate > 0.0 || self.class(query.class).late_value == 0.0);
             let mut shed = || rate > 0.0 && self.rng.as_mut().is_some_and(|rng| rng.f64() < rate);
             let shed = past || shed();
             if !shed {
@@ -409,7 +413,7 @@
                 self.refuse(id);
                 continue;
             }
-            let (need, mut parts) = (self.class(query.class).need, query.parts.clone());
+            let (need, mut parts) = (self.class(query.class).required_completeness, query.parts.clone());
             let mut enough = parts.len();
             if need < 1.0 && !query.planned {
                 // Parts that a whole answer can do without, but for one to spare, are work that nobody
@@ -444,14 +448,14 @@
         let limit = DOOMED * (query.aim.min(query.end) - query.arrived) as f64;
         let lost = |part: &&Part| self.best_wait(part).is_some_and(|wait| wait > limit);
         let lost: f64 = self.parts_of(query).filter(lost).map(|p| p.weight).sum();
-        lost > 1.0 - self.class(query.class).floor + ROUNDING
+        lost > 1.0 - self.class(query.class).minimum_completeness + ROUNDING
     }
 
     /// The shortest wait to expect at any holder, as recent ones after the oldest call out; none ends
     /// where the rules leave no room.
     fn best_wait(&self, part: &Part) -> Option<f64> {
         let fade = self.fade();
-        let wait = |(_, server): (ServerId, &Server)| {
+        let wait = |(_, server): (BackendId, &Server)| {
             let oldest = server.calls.values().next().map_or(0, |(sent, _)| self.now - sent);
             let wait = server.recent_now(self.now, fade) + oldest as f64;
             wait.max(if self.cold_room(server, part, false) { 0.0 } else { f64::INFINITY })
@@ -465,7 +469,7 @@
 
     fn refuse(&mut self, id: QueryId) {
         let retry_after = self.retry_after();
-        self.out.push(Action::Refuse { query: id, retry_after });
+        self.out.push(Action::Reject { query: id, retry_after });
         self.end_query(id);
     }
 
@@ -488,7 +492,7 @@
             if !first && !self.may_repeat(part, false) {
                 match (out, query.planned, part.query) {
                     (true, ..) => {}
-                    (_, true, _) => self.out.push(Action::Lost { part: id }),
+                    (_, true, _) => self.out.push(Action::PartFailed { part: id }),
                     (.., query) => self.lost_part(query),
                 }
                 continue;
@@ -503,10 +507,10 @@
     }
 
     /// The design's replica rule, among the servers that health and the rules leave.
-    fn choose(&self, part: &Part, open: &BTreeMap<ServerId, (u64, u32)>) -> Option<ServerId> {
+    fn choose(&self, part: &Part, open: &BTreeMap<BackendId, (u64, u32)>) -> Option<BackendId> {
         let layout = &self.settings.layout;
         let hash = mix(part.query, part.shard);
-        let rank = |(id, server): &(ServerId, &Server)| {
+        let rank = |(id, server): &(BackendId, &Server)| {
             let tried = part.attempts.iter().any(|a| a.server == *id);
             // Among suspects the least doubtful: the rule alone would feed the one that fails fastest.
             let suspect = server.is_suspect() && !server.on_trial;
@@ -517,7 +521,7 @@
             let out = if by_call { server.calls.len() - this_turn } else { server.parts_out() as usize };
             // Ties go to the own zone where crossing is paid for, but one call a server and turn, or a
             // query's neighbouring parts would all meet in the third of the servers that are near.
-            let far = self.settings.crossing_costs && (this_turn > 0 || server.zone != self.settings.zone);
+            let far = self.settings.cross_zone_costs && (this_turn > 0 || server.zone != self.settings.zone);
             // Ties go by hash, to cold servers as often as what they can do stands to the others.
             let tie = -(-unit(mix2(hash, id.0))).ln_1p() / self.warmth(server, self.now);
             (doubt, tried, out, far, tie.to_bits())
@@ -532,14 +536,20 @@
     }
 
     /// The ready servers that hold a shard.
-    fn holders(&self, shard: ShardId) -> impl Iterator<Item = (ServerId, &Server)> {
-        let reach = (self.settings.layout.reach as usize).min(self.cells.len());
+    fn holders(&self, shard: ShardId) -> impl Iterator<Item = (BackendId, &Server)> {
+        let reach = (self.settings.layout.replication_factor as usize).min(self.cells.len());
         (0..reach)
             .flat_map(move |j| &self.cells[(shard.0 as usize + j) % self.cells.len()])
-            .filter_map(|id| Some((*id, self.servers.get(id)?)))
+            .filter_map(|id| Some((*id, self.backends.get(id)?)))
     }
 
-    fn send(&mut self, id: PartId, to: ServerId, overdue: Micros, open: &mut BTreeMap<ServerId, (u64, u32)>) {
+    fn send(
+        &mut self,
+        id: PartId,
+        to: BackendId,
+        overdue: Micros,
+        open: &mut BTreeMap<BackendId, (u64, u32)>,
+    ) {
         let shared = open.get(&to).is_some_and(|(_, parts)| *parts < self.settings.layout.parts_per_call);
         let work = self.parts.get(&id).map_or(0.0, |part| self.work(part.class, shared));
         if !shared {
@@ -551,12 +561,12 @@
         let call = *call;
         let extra = self.parts.get(&id).is_some_and(|part| self.is_extra(part));
         let begin_by = self.parts.get(&id).map_or(0, |part| self.repeat_by(part));
-        let (Some(part), Some(server)) = (self.parts.get_mut(&id), self.servers.get_mut(&to)) else {
+        let (Some(part), Some(server)) = (self.parts.get_mut(&id), self.backends.get_mut(&to)) else {
             return;
         };
         let Some(query) = self.queries.get(&part.query) else { return };
         let class = &self.settings.classes[query.class.0];
-        server.sent.retain(|(at, _)| *at + self.settings.rules.fall_window >= self.now);
+        server.sent.retain(|(at, _)| *at + self.settings.rules.overload_window >= self.now);
         server.sent.push_back((self.now, work));
         server.calls.entry(call).or_insert((self.now, 0)).1 += 1;
         let trial = std::mem::take(&mut server.on_trial) && server.is_suspect();
@@ -566,10 +576,10 @@
         let number = part.attempts.len() as u32;
         part.attempts.push(Attempt { server: to, call, sent: self.now, ..Attempt::default() });
         // Work that can no longer earn anything should not be begun.
-        let useful_end = if class.late_worth > 0.0 { query.end } else { query.aim.min(query.end) };
+        let useful_end = if class.late_value > 0.0 { query.end } else { query.aim.min(query.end) };
         let timeout = useful_end.saturating_sub(self.now).max(1);
         let begin_within = timeout.min(begin_by.saturating_sub(self.now));
-        self.out.push(Action::Send { part: id, server: to, timeout, begin_within });
+        self.out.push(Action::Send { part: id, backend: to, timeout, begin_within });
         self.agenda.insert((overdue, Task::Overdue(id, number)));
         if trial {
             self.next_trial(to);
@@ -587,19 +597,20 @@
         attempt.ended = Some(outcome);
         let (server, call, sent, overdue) = (attempt.server, attempt.call, attempt.sent, attempt.overdue);
         let (class, query, over, harmless) = (part.class, part.query, part.over, part.harmless);
-        let useful = outcome == Outcome::Served && !part.served && !over;
+        let useful = outcome == Outcome::Succeeded && !part.served && !over;
         part.served |= useful;
         let waits = !over && !part.served && !part.is_out();
         if over && !part.is_out() {
             self.parts.remove(&id);
         }
         let fade = self.fade();
-        if let Some(server) = self.servers.get_mut(&server) {
-            if matches!(outcome, Outcome::Served | Outcome::NoRoom) {
-                let (faded, aim) = (server.recent_now(self.now, fade), self.settings.classes[class.0].aim);
+        if let Some(server) = self.backends.get_mut(&server) {
+            if matches!(outcome, Outcome::Succeeded | Outcome::Rejected) {
+                let (faded, aim) =
+                    (server.recent_now(self.now, fade), self.settings.classes[class.0].latency_objective);
                 let served = faded + RECENT_GAIN * (took as f64 - faded);
                 // A full queue is a wait beyond the aim.
-                server.recent = if outcome == Outcome::Served { served } else { faded.max(aim as f64) };
+                server.recent = if outcome == Outcome::Succeeded { served } else { faded.max(aim as f64) };
                 server.recent_at = self.now;
             }
             if let Some((_, parts)) = server.calls.get_mut(&call) {
@@ -610,7 +621,7 @@
             }
         }
         match outcome {
-            Outcome::Served => {
+            Outcome::Succeeded => {
                 // Scouts are quicker than what they scout for, which would look overdue beside them.
                 if !harmless {
                     self.answers.push_back((self.now.saturating_sub(took), took));
@@ -620,16 +631,17 @@
                     load.low += above * if above > 0.0 { LOW_RISE } else { LOW_FALL };
                 }
                 if !overdue {
-                    let trial = self.servers.get(&server).is_some_and(|s| s.is_suspect() && sent > s.doubted);
+                    let trial =
+                        self.backends.get(&server).is_some_and(|s| s.is_suspect() && sent > s.doubted);
                     self.sign(server, 0.0, if trial { SIGN_SOFT } else { SIGN_GOOD });
                 }
             }
-            Outcome::Fault | Outcome::NoRoute => self.sign(server, 1.0, SIGN_HARD),
-            Outcome::Cut | Outcome::NoRoom => self.sign(server, 1.0, SIGN_SOFT),
+            Outcome::BackendError | Outcome::ConnectFailed => self.sign(server, 1.0, SIGN_HARD),
+            Outcome::ConnectionLost | Outcome::Rejected => self.sign(server, 1.0, SIGN_SOFT),
             Outcome::TimedOut if !overdue => self.sign(server, 1.0, SIGN_SOFT),
-            Outcome::TimedOut | Outcome::Cancelled | Outcome::NeverSent => {}
+            Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => {}
         }
-        if outcome == Outcome::Cut && waits && self.is_poison(query) {
+        if outcome == Outcome::ConnectionLost && waits && self.is_poison(query) {
             self.give_up(query);
         } else if useful {
             self.cancel_rest(id);
@@ -647,14 +659,15 @@
         let (server, sent, query) = (attempt.server, attempt.sent, part.query);
         // Once it has been out for twice as long, it is looked at again.
         let again = (self.now + (self.now - sent).max(STEP_EVERY), Task::Overdue(id, number));
-        let peers = self.answers.iter().filter(|(peer, _)| *peer + self.settings.tick >= sent).count();
+        let peers =
+            self.answers.iter().filter(|(peer, _)| *peer + self.settings.batch_interval >= sent).count();
         if peers < FRESH || self.now - sent < self.overdue_after() {
             // All are slow now; one that is stuck will stand out once the others answer.
             self.agenda.insert(again);
             return;
         }
         // A server that still answers, if slowly, does the work in any case: moving it does it twice.
-        let silent = self.servers.get(&server).is_some_and(|s| s.recent_at < sent);
+        let silent = self.backends.get(&server).is_some_and(|s| s.recent_at < sent);
         let suspect = self.is_suspect(server);
         self.sign(server, 1.0, if silent { SIGN_HARD } else { SIGN_SOFT });
         self.release(query);
@@ -667,9 +680,9 @@
         if busy || !self.budget_left(COPY_SHARE) || !self.may_repeat(part, true) {
             return;
         }
-        if self.settings.limits.second_copies {
+        if self.settings.limits.hedging {
             self.to_send.push(id);
-        } else if suspect && silent && self.settings.limits.cancel {
+        } else if suspect && silent && self.settings.limits.cancellation {
             // Never two at once: called off here, sent elsewhere once that is confirmed.
             self.out.push(Action::Cancel { part: id, attempt: number });
         } else {
@@ -681,12 +694,15 @@
     /// Could harm a sound query whose servers died of something else first; its client comes back.
     fn is_poison(&self, id: QueryId) -> bool {
         let Some(query) = self.queries.get(&id) else { return false };
-        let fell = self.parts_of(query).flat_map(|p| &p.attempts).filter(|a| a.ended == Some(Outcome::Cut));
+        let fell = self
+            .parts_of(query)
+            .flat_map(|p| &p.attempts)
+            .filter(|a| a.ended == Some(Outcome::ConnectionLost));
         fell.map(|a| a.server).collect::<BTreeSet<_>>().len() >= POISON && self.weight_in(query) == 0.0
     }
 
     fn cancel_rest(&mut self, id: PartId) {
-        let Some(part) = self.parts.get(&id).filter(|_| self.settings.limits.cancel) else { return };
+        let Some(part) = self.parts.get(&id).filter(|_| self.settings.limits.cancellation) else { return };
         let out = part.attempts.iter().enumerate().filter(|(_, attempt)| attempt.is_out());
         self.out.extend(out.map(|(number, _)| Action::Cancel { part: id, attempt: number as u32 }));
     }
@@ -694,9 +710,9 @@
     // ---- health ----
 
     /// Moves the suspicion of a server towards what a sign says: 0 sound, 1 sick.
-    fn sign(&mut self, id: ServerId, says: f64, weight: f64) {
+    fn sign(&mut self, id: BackendId, says: f64, weight: f64) {
         let first = self.first_trial();
-        let Some(server) = self.servers.get_mut(&id) else { return };
+        let Some(server) = self.backends.get_mut(&id) else { return };
         if says > 0.0 && std::mem::replace(&mut server.signed, self.now) == self.now {
             return;
         }
@@ -719,30 +735,30 @@
     /// Not long before this router would come by the server again in any case: with hundreds of routers
     /// one trial of each is all the traffic that a sound server gets.
     fn first_trial(&self) -> Micros {
-        let aim = self.settings.classes.iter().map(|class| class.aim).min().unwrap_or(SECOND);
+        let aim = self.settings.classes.iter().map(|class| class.latency_objective).min().unwrap_or(SECOND);
         (aim as f64 * TRIAL_FIRST).max((TRIAL_ROUND * self.round()).min(FADE_LAST)) as Micros
     }
 
     /// The way back: a probe where probes are allowed, and when it passes one part as a trial.
-    fn at_trial(&mut self, id: ServerId) {
-        let Some(server) = self.servers.get_mut(&id) else { return };
-        if server.is_suspect() && server.phase != Phase::Gone {
-            server.on_trial = !self.settings.limits.probes;
-            self.out.extend(self.settings.limits.probes.then_some(Action::Probe(id)));
+    fn at_trial(&mut self, id: BackendId) {
+        let Some(server) = self.backends.get_mut(&id) else { return };
+        if server.is_suspect() && server.phase != EndpointState::Removed {
+            server.on_trial = !self.settings.limits.health_checks;
+            self.out.extend(self.settings.limits.health_checks.then_some(Action::HealthCheck(id)));
         }
     }
 
-    fn probed(&mut self, id: ServerId, passed: bool) {
-        let Some(server) = self.servers.get_mut(&id).filter(|s| s.is_suspect()) else { return };
+    fn probed(&mut self, id: BackendId, passed: bool) {
+        let Some(server) = self.backends.get_mut(&id).filter(|s| s.is_suspect()) else { return };
         server.on_trial = passed;
         if !passed {
             self.next_trial(id);
         }
     }
 
-    fn next_trial(&mut self, id: ServerId) {
+    fn next_trial(&mut self, id: BackendId) {
         let first = self.first_trial();
-        let Some(server) = self.servers.get_mut(&id) else { return };
+        let Some(server) = self.backends.get_mut(&id) else { return };
         server.trials = (server.trials + 1).min(TRIAL_DOUBLINGS);
         self.agenda.insert((self.now + (first << server.trials), Task::Trial(id)));
     }
@@ -757,15 +773,16 @@
         self.round().clamp(FADE_FIRST, FADE_LAST)
     }
 
-    fn is_suspect(&self, id: ServerId) -> bool {
-        self.servers.get(&id).is_some_and(Server::is_suspect)
+    fn is_suspect(&self, id: BackendId) -> bool {
+        self.backends.get(&id).is_some_and(Server::is_suspect)
     }
 
     /// When a part waits long beside the last answers of any server, however long ago each server was
     /// met; where all are slow, neither doubt nor copies help. Never so short that chance explains it
     /// and the aim is in no danger.
     fn overdue_after(&self) -> Micros {
-        let guess = self.settings.classes.iter().map(|class| class.aim as f64 * FIRST_GUESS).next();
+        let guess =
+            self.settings.classes.iter().map(|class| class.latency_objective as f64 * FIRST_GUESS).next();
         let mut waits: Vec<Micros> = self.answers.iter().map(|(_, took)| *took).collect();
         waits.sort_unstable();
         let median = waits.get(waits.len() / 2).map(|&wait| wait as f64);
@@ -774,7 +791,7 @@
 
     /// No overload: all that is missing waits at suspects, stands out, or waits for one it may go to.
     fn excused(&self, query: &Query) -> bool {
-        let full = |a: &Attempt| a.ended == Some(Outcome::NoRoom);
+        let full = |a: &Attempt| a.ended == Some(Outcome::Rejected);
         let waits = |p: &Part| !p.is_out() && !p.attempts.iter().any(full);
         let mut missing = self.parts_of(query).filter(|p| !p.served).peekable();
         missing.peek().is_some()
@@ -793,15 +810,15 @@
         if query.second {
             return query.parts.iter().all(|p| self.parts.get(p).is_some_and(|p| p.served));
         }
-        self.weight_in(query) >= self.class(query.class).need - ROUNDING
+        self.weight_in(query) >= self.class(query.class).required_completeness - ROUNDING
     }
 
     /// Whether an answer that is not whole may be given now.
     fn has_floor(&self, query: &Query) -> bool {
         let class = self.class(query.class);
         !query.planned
-            && class.floor < class.need
-            && self.weight_in(query) >= class.floor - ROUNDING
+            && class.minimum_completeness < class.required_completeness
+            && self.weight_in(query) >= class.minimum_completeness - ROUNDING
             && !query.parts.is_empty()
     }
 
@@ -814,8 +831,8 @@
 
     fn answer(&mut self, id: QueryId, whole: bool) {
         let Some(query) = self.queries.get_mut(&id) else { return };
-        self.out.push(Action::Answer { query: id, whole });
-        if self.settings.classes[query.class.0].second_step > 0 && !query.second {
+        self.out.push(Action::Respond { query: id, complete: whole });
+        if self.settings.classes[query.class.0].second_step_parts > 0 && !query.second {
             (query.second, query.first_whole) = (true, whole);
             let parts = std::mem::take(&mut query.parts);
             self.drop_parts(&parts);
@@ -843,12 +860,12 @@
     fn at_aim(&mut self, id: QueryId) {
         let Some(query) = self.queries.get(&id) else { return };
         let class = self.class(query.class);
-        let share = self.weight_in(query) / class.need.max(ROUNDING);
-        if self.has_floor(query) && class.partial_worth * share > class.late_worth {
+        let share = self.weight_in(query) / class.required_completeness.max(ROUNDING);
+        if self.has_floor(query) && class.partial_value * share > class.late_value {
             self.answer(id, false);
             return;
         }
-        let worthless = class.late_worth == 0.0 && !query.planned;
+        let worthless = class.late_value == 0.0 && !query.planned;
         self.count(id, false);
         if worthless {
             self.give_up(id);
@@ -857,7 +874,7 @@
 
     fn at_end(&mut self, id: QueryId) {
         let Some(query) = self.queries.get(&id) else { return };
-        if self.has_floor(query) && (query.second || self.class(query.class).second_step == 0) {
+        if self.has_floor(query) && (query.second || self.class(query.class).second_step_parts == 0) {
             self.answer(id, false);
         } else {
             self.count(id, false);
@@ -871,7 +888,7 @@
         let alive = |p: &&Part| p.served || p.is_out() || self.may_repeat(p, false);
         let hope: f64 = self.parts_of(query).filter(alive).map(|p| p.weight).sum();
         let class = self.class(query.class);
-        let least = if query.second { 1.0 } else { class.floor };
+        let least = if query.second { 1.0 } else { class.minimum_completeness };
         if hope < least - ROUNDING {
             self.give_up(id);
         }
@@ -881,8 +898,8 @@
     fn give_up(&mut self, id: QueryId) {
         let Some(query) = self.queries.get(&id) else { return };
         let never_ran = |part: &Part| part.harmless || part.attempts.iter().all(Attempt::never_ran);
-        let harmless =
-            self.class(query.class).effect != Effect::Unsafe || self.parts_of(query).all(never_ran);
+        let harmless = self.class(query.class).idempotency != Idempotency::NonIdempotent
+            || self.parts_of(query).all(never_ran);
         if harmless && !query.second {
             self.refuse(id);
         } else {
@@ -912,7 +929,7 @@
     /// Whether a further attempt would be harmless and allowed. `asked_off`: the one out is called off.
     fn may_repeat(&self, part: &Part, asked_off: bool) -> bool {
         let limits = &self.settings.limits;
-        let one_out = part.is_out() && !limits.second_copies && !asked_off;
+        let one_out = part.is_out() && !limits.hedging && !asked_off;
         if one_out || part.attempts.len() >= limits.max_attempts as usize {
             return false;
         }
@@ -922,9 +939,9 @@
     /// Until when one more attempt may begin without a second effect.
     fn repeat_by(&self, part: &Part) -> Micros {
         let first_risk = part.attempts.iter().filter(|a| !a.never_ran()).map(|a| a.sent).min();
-        match (self.class(part.class).effect, first_risk) {
-            (Effect::Keyed(window), Some(first)) if !part.harmless => first + window,
-            (Effect::Unsafe, Some(_)) if !part.harmless => 0,
+        match (self.class(part.class).idempotency, first_risk) {
+            (Idempotency::Keyed(window), Some(first)) if !part.harmless => first + window,
+            (Idempotency::NonIdempotent, Some(_)) if !part.harmless => 0,
             _ => Micros::MAX,
         }
     }
@@ -934,25 +951,25 @@
     fn is_extra(&self, part: &Part) -> bool {
         let turned_away =
             part.attempts.iter().all(Attempt::never_ran) && self.loads[part.class.0].rate == 0.0;
-        !(part.attempts.is_empty() || turned_away && self.settings.rules.budget.is_none())
+        !(part.attempts.is_empty() || turned_away && self.settings.rules.retry_budget.is_none())
     }
 
-    fn budget(&self) -> &Budget {
-        self.settings.rules.budget.as_ref().unwrap_or(&OWN_BUDGET)
+    fn budget(&self) -> &RetryBudgetSettings {
+        self.settings.rules.retry_budget.as_ref().unwrap_or(&OWN_BUDGET)
     }
 
     /// Whether one more attempt beyond a first fits into this share of the budget.
     fn budget_left(&self, share: f64) -> bool {
         let budget = self.budget();
         let (made, taken) = (self.extra.len() as f64, self.taken.len() as f64);
-        made + 1.0 <= share * (budget.free + budget.share * taken)
+        made + 1.0 <= share * (budget.min_retries + budget.retry_ratio * taken)
     }
 
     /// The share of its capacity that a server has on the slowest ramp that the rules allow.
     fn warmth(&self, server: &Server, at: Micros) -> f64 {
         let (rules, Some(started)) = (&self.settings.rules, server.started) else { return 1.0 };
-        let age = at.saturating_sub(started) as f64 / rules.warm_within.max(1) as f64;
-        (rules.cold_from + (1.0 - rules.cold_from) * age).clamp(0.01, 1.0)
+        let age = at.saturating_sub(started) as f64 / rules.warm_up_time.max(1) as f64;
+        (rules.initial_capacity + (1.0 - rules.initial_capacity) * age).clamp(0.01, 1.0)
     }
 
     /// Whether a server that may be cold can take one more part from this router.
@@ -963,12 +980,12 @@
     fn cold_room(&self, server: &Server, part: &Part, in_call: bool) -> bool {
         let rules = &self.settings.rules;
         // As it stood at the start of the window; one core of warm speed assumed.
-        let warmth = self.warmth(server, self.now.saturating_sub(rules.fall_window));
+        let warmth = self.warmth(server, self.now.saturating_sub(rules.overload_window));
         if warmth >= 1.0 {
             return true;
         }
-        let room = COLD_USE * rules.tip_multiple * warmth * rules.fall_window as f64;
-        let recent = server.sent.iter().filter(|(at, _)| *at + rules.fall_window >= self.now);
+        let room = COLD_USE * rules.overload_multiple * warmth * rules.overload_window as f64;
+        let recent = server.sent.iter().filter(|(at, _)| *at + rules.overload_window >= self.now);
         let sent: f64 = recent.map(|(_, work)| work).sum();
         let (work, ours) = (self.work(part.class, in_call), room / f64::from(self.settings.routers));
         if self.work(part.class, false) <= ours || (sent > 0.0 && sent + work > COLD_ONE * room) {
@@ -976,8 +993,8 @@
         }
         // Parts of ours in one window that would go to this server, at the pace of the last seconds: the
         // last window alone holds one query or none where traffic is thin.
-        let span = (self.now - self.began).max(rules.fall_window).min(self.budget().window).max(1);
-        let met = (self.begun.len() as f64 * rules.fall_window as f64 / span as f64).max(1.0);
+        let span = (self.now - self.began).max(rules.overload_window).min(self.budget().window).max(1);
+        let met = (self.begun.len() as f64 * rules.overload_window as f64 / span as f64).max(1.0);
         // Those that wait come beside them: all that a lost zone has left waiting would go in one window.
         let crowd = 1.0 + self.waiting as f64 / met;
         let (mut holders, mut warm) = (0.0, 0.0);
@@ -986,7 +1003,7 @@
         }
         let picked = met * holders / self.ready * self.warmth(server, self.now) / warm;
         // Caution while the own pace is not known yet: a herd of routers may have started together.
-        let known = (self.now - self.began) as f64 / rules.fall_window.max(1) as f64;
+        let known = (self.now - self.began) as f64 / rules.overload_window.max(1) as f64;
         let drawn = unit(mix(part.query, ShardId(u32::MAX))) * crowd / COLD_DRAWN;
         drawn < warm / holders || drawn * work * picked < ours * known.clamp(COLD_START, 1.0)
     }
@@ -1005,22 +1022,22 @@
     }
 
     /// How much is kept, for tests that count whether all of it comes back to its base.
-    pub fn census(&self) -> [usize; 8] {
-        let sum = |of: fn(&Server) -> usize| self.servers.values().map(of).sum::<usize>();
+    pub fn resource_counts(&self) -> [usize; 8] {
+        let sum = |of: fn(&Server) -> usize| self.backends.values().map(of).sum::<usize>();
         let (calls, sent) = (sum(|server| server.calls.len()), sum(|server| server.sent.len()));
         let windows = self.taken.len() + self.begun.len() + self.extra.len();
-        let (queries, parts, servers) = (self.queries.len(), self.parts.len(), self.servers.len());
+        let (queries, parts, servers) = (self.queries.len(), self.parts.len(), self.backends.len());
         [queries, parts, servers, calls, sent, self.answers.len(), self.agenda.len(), windows]
     }
 
     /// What this router makes of each server that it knows.
-    pub fn servers(&self) -> impl Iterator<Item = ServerView> + '_ {
-        self.servers.iter().map(|(id, server)| ServerView {
-            server: *id,
-            phase: server.phase,
-            suspect: server.is_suspect(),
-            cold: server.started.is_some_and(|at| self.now < at + self.settings.rules.warm_within),
-            parts_out: server.parts_out(),
+    pub fn servers(&self) -> impl Iterator<Item = BackendView> + '_ {
+        self.backends.iter().map(|(id, server)| BackendView {
+            backend: *id,
+            state: server.phase,
+            ejected: server.is_suspect(),
+            warming_up: server.started.is_some_and(|at| self.now < at + self.settings.rules.warm_up_time),
+            parts_in_flight: server.parts_out(),
         })
     }
 }
--- a/crates/router/tests/cold_ramp.rs
+++ b/crates/router/tests/cold_ramp.rs
@@ -74,15 +74,20 @@
     }
 
     fn settings(&self) -> Settings {
-        let mut s = settings(vec![class(Effect::Safe)]);
-        (s.routers, s.tick) = (self.told, TICK);
-        s.layout = Layout { cells: SERVERS, reach: 3, parts_per_call: 16, call_work: self.call_work };
-        (s.classes[0].aim, s.classes[0].deadline) = (self.aim, 4 * SECOND);
+        let mut s = settings(vec![class(Idempotency::Idempotent)]);
+        (s.routers, s.batch_interval) = (self.told, TICK);
+        s.layout = ShardLayout {
+            ring_positions: SERVERS,
+            replication_factor: 3,
+            parts_per_call: 16,
+            call_work: self.call_work,
+        };
+        (s.classes[0].latency_objective, s.classes[0].deadline) = (self.aim, 4 * SECOND);
         s.limits.max_attempts = 3;
-        s.rules.cold_from = COLD_FROM;
-        s.rules.warm_within = WARM_WITHIN;
-        s.rules.fall_window = WINDOW;
-        s.rules.tip_multiple = TIP;
+        s.rules.initial_capacity = COLD_FROM;
+        s.rules.warm_up_time = WARM_WITHIN;
+        s.rules.overload_window = WINDOW;
+        s.rules.overload_multiple = TIP;
         s
     }
 }
@@ -158,8 +163,8 @@
             starts.iter().for_each(|id| _ = list.remove(id));
         }
         let entries = |list: &BTreeMap<u32, Option<Micros>>| {
-            let all = list.iter().map(|(id, started)| entry(*id, Phase::Ready, *started)).collect();
-            Event::List(ListNews::Full(all))
+            let all = list.iter().map(|(id, started)| entry(*id, EndpointState::Ready, *started)).collect();
+            Event::EndpointUpdate(EndpointUpdate::Snapshot(all))
         };
         let herd = self.case.scene == Scene::Herd;
         for at in (0..self.case.routers).filter(|_| !herd) {
@@ -233,12 +238,14 @@
             let mut calls: BTreeMap<u32, u32> = BTreeMap::new();
             for action in actions {
                 match action {
-                    Action::Send { part, server, .. } => self.send(now, at, part, server.0, &mut calls),
-                    Action::WakeIn(after) => {
-                        self.due.entry((Self::turn(now + after), at)).or_default().push(Event::Wake);
+                    Action::Send { part, backend: server, .. } => {
+                        self.send(now, at, part, server.0, &mut calls)
+                    }
+                    Action::SetTimer(after) => {
+                        self.due.entry((Self::turn(now + after), at)).or_default().push(Event::TimerExpired);
                     }
-                    Action::Probe(server) => {
-                        let passed = Event::Probed { server, passed: true };
+                    Action::HealthCheck(server) => {
+                        let passed = Event::HealthCheckCompleted { backend: server, passed: true };
                         self.due.entry((now + TICK, at)).or_default().push(passed);
                     }
                     _ => {}
@@ -260,7 +267,7 @@
         // A cold server does as much less in the same time.
         let speed = self.started.get(&server).map_or(1.0, |&started| warmth(now.saturating_sub(started)));
         let took = ((part_work + call_work) * self.case.seen / speed) as Micros;
-        let ended = Event::Outcome { part, attempt: *number, outcome: Outcome::Served, took };
+        let ended = Event::AttemptCompleted { part, attempt: *number, outcome: Outcome::Succeeded, took };
         *number += 1;
         self.due.entry((Self::turn(now + took.max(1)), at)).or_default().push(ended);
     }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -8,17 +8,17 @@
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: Idempotency) -> Class {
     Class {
-        aim: 2 * SECOND,
-        aim_stretch: 0.0,
+        latency_objective: 2 * SECOND,
+        objective_per_work: 0.0,
         deadline: 6 * SECOND,
-        late_worth: 0.1,
-        effect,
-        floor: 1.0,
-        need: 1.0,
-        partial_worth: 0.9,
-        second_step: 0,
+        late_value: 0.1,
+        idempotency: effect,
+        minimum_completeness: 1.0,
+        required_completeness: 1.0,
+        partial_value: 0.9,
+        second_step_parts: 0,
     }
 }
 
@@ -26,37 +26,43 @@
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings {
         routers: 2,
-        tick: 5 * MS,
+        batch_interval: 5 * MS,
         classes,
-        layout: Layout { cells: 6, reach: 2, parts_per_call: 1, call_work: 0 },
-        limits: Limits {
-            cancel: true,
-            probes: true,
-            second_copies: true,
+        layout: ShardLayout { ring_positions: 6, replication_factor: 2, parts_per_call: 1, call_work: 0 },
+        limits: DeploymentLimits {
+            cancellation: true,
+            health_checks: true,
+            hedging: true,
             max_attempts: 4,
             max_retry_after: SECOND,
         },
-        rules: RuleFigures {
-            cold_from: 0.2,
-            warm_within: 10 * SECOND,
-            tip_multiple: 3.0,
-            fall_window: 2 * SECOND,
-            budget: None,
-            ask_within: 0,
+        rules: RuleSettings {
+            initial_capacity: 0.2,
+            warm_up_time: 10 * SECOND,
+            overload_multiple: 3.0,
+            overload_window: 2 * SECOND,
+            retry_budget: None,
+            max_poll_interval: 0,
         },
         discovery: Discovery::Push,
         zone: None,
-        crossing_costs: false,
+        cross_zone_costs: false,
     }
 }
 
-pub fn entry(server: u32, phase: Phase, started: Option<Micros>) -> ServerEntry {
-    ServerEntry { server: ServerId(server), cell: server, phase, started, zone: None }
+pub fn entry(server: u32, phase: EndpointState, started: Option<Micros>) -> Endpoint {
+    Endpoint {
+        backend: BackendId(server),
+        ring_position: server,
+        state: phase,
+        started_at: started,
+        zone: None,
+    }
 }
 
 /// Servers 0 to 5, one in each cell.
-pub fn everyone() -> ListNews {
-    ListNews::Full((0..6).map(|s| entry(s, Phase::Ready, None)).collect())
+pub fn everyone() -> EndpointUpdate {
+    EndpointUpdate::Snapshot((0..6).map(|s| entry(s, EndpointState::Ready, None)).collect())
 }
 
 /// A router with its clock. Attempts that are called off or time out end as they would in service.
@@ -77,14 +83,14 @@
     /// A driver that knows all six servers.
     pub fn ready(settings: Settings) -> Self {
         let mut driver = Self::new(settings);
-        driver.give(vec![Event::List(everyone())]);
+        driver.give(vec![Event::EndpointUpdate(everyone())]);
         driver
     }
 
     pub fn give(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
         for event in &events {
-            if let Event::Outcome { part, attempt, .. } = event {
+            if let Event::AttemptCompleted { part, attempt, .. } = event {
                 self.out.remove(&(*part, *attempt));
             }
         }
@@ -116,14 +122,14 @@
             self.now += 5 * MS;
             let due = self.out.iter().filter(|(_, (at, ..))| *at <= self.now);
             let mut events: Vec<_> = due
-                .map(|((part, attempt), (_, outcome, sent))| Event::Outcome {
+                .map(|((part, attempt), (_, outcome, sent))| Event::AttemptCompleted {
                     part: *part,
                     attempt: *attempt,
                     outcome: *outcome,
                     took: self.now - sent,
                 })
                 .collect();
-            events.push(Event::Wake);
+            events.push(Event::TimerExpired);
             all.extend(self.give(events));
         }
         all
@@ -135,11 +141,11 @@
     }
 
     pub fn served(&mut self, part: PartId, attempt: u32, took: Micros) -> Vec<Action> {
-        self.ended(part, attempt, Outcome::Served, took)
+        self.ended(part, attempt, Outcome::Succeeded, took)
     }
 
     pub fn ended(&mut self, part: PartId, attempt: u32, outcome: Outcome, took: Micros) -> Vec<Action> {
-        self.give(vec![Event::Outcome { part, attempt, outcome, took }])
+        self.give(vec![Event::AttemptCompleted { part, attempt, outcome, took }])
     }
 
     /// Lets queries pass that are answered at once, so that latencies are known to be short.
@@ -160,7 +166,7 @@
 }
 
 pub fn arrival(query: u128, class: usize, shards: &[u32]) -> Vec<Event> {
-    let mut events = vec![Event::Query(Arrival {
+    let mut events = vec![Event::QueryArrived(QueryArrival {
         query: QueryId(query),
         class: ClassId(class),
         expires_in: 6 * SECOND,
@@ -169,22 +175,22 @@
         planned: false,
     })];
     for (index, &shard) in shards.iter().enumerate() {
-        events.push(Event::Part(PartArrival {
+        events.push(Event::PartArrived(PartArrival {
             query: QueryId(query),
             part: part_id(query, index),
             shard: ShardId(shard),
             weight: 1.0 / shards.len() as f64,
-            harmless: false,
+            idempotent: false,
         }));
     }
     events
 }
 
-pub fn sends(actions: &[Action]) -> Vec<(PartId, ServerId)> {
+pub fn sends(actions: &[Action]) -> Vec<(PartId, BackendId)> {
     actions
         .iter()
         .filter_map(|a| match a {
-            Action::Send { part, server, .. } => Some((*part, *server)),
+            Action::Send { part, backend: server, .. } => Some((*part, *server)),
             _ => None,
         })
         .collect()
@@ -192,6 +198,6 @@
 
 pub fn finals(actions: &[Action]) -> Vec<&Action> {
     let is_final =
-        |a: &&Action| matches!(a, Action::Answer { .. } | Action::Refuse { .. } | Action::Fail { .. });
+        |a: &&Action| matches!(a, Action::Respond { .. } | Action::Reject { .. } | Action::Fail { .. });
     actions.iter().filter(is_final).collect()
 }
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -17,12 +17,12 @@
     next: u128,
     shards: u32,
     /// When and to which server each part went.
-    sent: Vec<(Micros, ServerId)>,
+    sent: Vec<(Micros, BackendId)>,
     /// Parts that are out, by when their answers come.
-    out: BTreeMap<(Micros, usize, PartId, u32), (Micros, ServerId)>,
+    out: BTreeMap<(Micros, usize, PartId, u32), (Micros, BackendId)>,
     attempts: BTreeMap<(usize, PartId), u32>,
     /// A server that fails each part at once, though it passes probes.
-    sick: Option<ServerId>,
+    sick: Option<BackendId>,
     probes: usize,
     asked: usize,
     refused: usize,
@@ -35,15 +35,24 @@
         let heavy = |i: usize| if i.is_multiple_of(10) { 4.0 } else { 1.0 };
         let all: f64 = (0..routers).map(heavy).sum();
         let router = |i: usize| {
-            let mut s = settings(vec![class(Effect::Safe)]);
+            let mut s = settings(vec![class(Idempotency::Idempotent)]);
             s.routers = routers as u32;
-            s.tick = MS;
-            s.layout = Layout { cells: servers, reach: 3, parts_per_call: 16, call_work: 6 * MS };
-            s.classes[0].aim = 400 * MS;
+            s.batch_interval = MS;
+            s.layout = ShardLayout {
+                ring_positions: servers,
+                replication_factor: 3,
+                parts_per_call: 16,
+                call_work: 6 * MS,
+            };
+            s.classes[0].latency_objective = 400 * MS;
             s.classes[0].deadline = 1_300 * MS;
             s.limits.max_attempts = 3;
-            s.rules =
-                RuleFigures { cold_from: 0.16, warm_within: 17 * SECOND, fall_window: SECOND, ..s.rules };
+            s.rules = RuleSettings {
+                initial_capacity: 0.16,
+                warm_up_time: 17 * SECOND,
+                overload_window: SECOND,
+                ..s.rules
+            };
             (Driver::new(s), rate * heavy(i) / all)
         };
         Self {
@@ -62,9 +71,9 @@
         }
     }
 
-    fn tell(&mut self, entries: &[ServerEntry]) {
+    fn tell(&mut self, entries: &[Endpoint]) {
         for at in 0..self.routers.len() {
-            self.give(at, vec![Event::List(ListNews::Full(entries.to_vec()))]);
+            self.give(at, vec![Event::EndpointUpdate(EndpointUpdate::Snapshot(entries.to_vec()))]);
         }
     }
 
@@ -73,15 +82,17 @@
         let mut probed = Vec::new();
         for action in self.routers[at].0.give(events) {
             match action {
-                Action::Probe(server) => probed.push(Event::Probed { server, passed: true }),
-                Action::Send { part, server, .. } => {
+                Action::HealthCheck(server) => {
+                    probed.push(Event::HealthCheckCompleted { backend: server, passed: true })
+                }
+                Action::Send { part, backend: server, .. } => {
                     let number = self.attempts.entry((at, part)).or_default();
                     self.sent.push((self.now, server));
                     let after = if self.sick == Some(server) { 3 * MS } else { 30 * MS };
                     self.out.insert((self.now + after, at, part, *number), (self.now, server));
                     *number += 1;
                 }
-                Action::Refuse { .. } => self.refused += 1,
+                Action::Reject { .. } => self.refused += 1,
                 _ => {}
             }
         }
@@ -102,8 +113,9 @@
                 }
                 self.out.remove(&(due, at, part, number));
                 let took = self.now - sent;
-                let outcome = if self.sick == Some(server) { Outcome::Fault } else { Outcome::Served };
-                self.give(at, vec![Event::Outcome { part, attempt: number, outcome, took }]);
+                let outcome =
+                    if self.sick == Some(server) { Outcome::BackendError } else { Outcome::Succeeded };
+                self.give(at, vec![Event::AttemptCompleted { part, attempt: number, outcome, took }]);
             }
             for at in 0..self.routers.len() {
                 if self.rng.f64() < self.routers[at].1 / 1_000.0 {
@@ -120,7 +132,7 @@
 
     /// The most work that a server was sent in a second, beside what it could do at the second's start, and
     /// how many parts it was sent in all. Servers have two cores: warm ones bear nearly so much here.
-    fn worst(&self, server: ServerId, started: Micros) -> (f64, usize) {
+    fn worst(&self, server: BackendId, started: Micros) -> (f64, usize) {
         let times: Vec<Micros> =
             self.sent.iter().filter(|(_, to)| *to == server).map(|(at, _)| *at).collect();
         let ratio = |from: usize| {
@@ -134,11 +146,11 @@
 
 fn fleet_with_cold(cold: impl Fn(u32) -> bool, rate: f64, seed: u64) -> (Fleet, Micros) {
     let mut fleet = Fleet::new(100, 30, rate, seed);
-    let all: Vec<ServerEntry> = (0..30).map(|s| entry(s, Phase::Ready, None)).collect();
+    let all: Vec<Endpoint> = (0..30).map(|s| entry(s, EndpointState::Ready, None)).collect();
     fleet.tell(&all);
     fleet.play(6 * SECOND);
     let started = fleet.now;
-    let entries = (0..30).map(|s| entry(s, Phase::Ready, cold(s).then_some(started)));
+    let entries = (0..30).map(|s| entry(s, EndpointState::Ready, cold(s).then_some(started)));
     fleet.tell(&entries.collect::<Vec<_>>());
     fleet.sent.clear();
     (fleet, started)
@@ -159,7 +171,7 @@
     let share = parts(true) / parts(false);
     assert!((0.2..0.45).contains(&share), "a cold server got {share} of a warm one's parts");
     for server in (0..30).step_by(5) {
-        let (worst, _) = fleet.worst(ServerId(server), started);
+        let (worst, _) = fleet.worst(BackendId(server), started);
         assert!(worst < 3.0, "server {server} was sent {worst} times what it could do");
     }
 }
@@ -171,7 +183,7 @@
     let (mut fleet, started) = fleet_with_cold(|_| true, 120.0, 2);
     fleet.play(5 * SECOND);
     for server in 0..30 {
-        let (worst, parts) = fleet.worst(ServerId(server), started);
+        let (worst, parts) = fleet.worst(BackendId(server), started);
         assert!(worst < 3.0, "server {server} was sent {worst} times what it could do");
         assert!(parts > 10, "server {server} was hardly used: {parts} parts");
     }
@@ -183,11 +195,12 @@
 fn a_herd_of_new_routers_does_not_push_over_a_cold_server() {
     let mut fleet = Fleet::new(100, 30, 120.0, 3);
     let started = fleet.now;
-    let entries: Vec<_> = (0..30).map(|s| entry(s, Phase::Ready, (s % 3 > 0).then_some(started))).collect();
+    let entries: Vec<_> =
+        (0..30).map(|s| entry(s, EndpointState::Ready, (s % 3 > 0).then_some(started))).collect();
     fleet.tell(&entries);
     fleet.play(4 * SECOND);
     for server in (0..30).filter(|s| s % 3 > 0) {
-        let (worst, _) = fleet.worst(ServerId(server), started);
+        let (worst, _) = fleet.worst(BackendId(server), started);
         assert!(worst < 3.0, "server {server} was sent {worst} times what it could do");
     }
 }
@@ -197,10 +210,10 @@
 #[test]
 fn a_hundred_routers_leave_a_sick_server_nearly_alone() {
     let mut fleet = Fleet::new(100, 30, 60.0, 4);
-    let all: Vec<ServerEntry> = (0..30).map(|s| entry(s, Phase::Ready, None)).collect();
+    let all: Vec<Endpoint> = (0..30).map(|s| entry(s, EndpointState::Ready, None)).collect();
     fleet.tell(&all);
     fleet.play(6 * SECOND);
-    fleet.sick = Some(ServerId(7));
+    fleet.sick = Some(BackendId(7));
     fleet.play(15 * SECOND);
     (fleet.probes, fleet.sent) = (0, Vec::new());
     fleet.play(15 * SECOND);
--- a/crates/router/tests/rules.rs
+++ b/crates/router/tests/rules.rs
@@ -6,13 +6,13 @@
 use mallowgauge_router::*;
 
 fn safe() -> Settings {
-    settings(vec![class(Effect::Safe)])
+    settings(vec![class(Idempotency::Idempotent)])
 }
 
 /// A warmed-up router that may have only one attempt of a part out.
 fn one_copy() -> Driver {
     let mut s = safe();
-    s.limits.second_copies = false;
+    s.limits.hedging = false;
     let mut d = Driver::ready(s);
     d.warm_up(0, 40);
     d
@@ -31,7 +31,7 @@
     assert!(finals(&d.served(sent[0].0, 0, 100 * MS)).is_empty());
     assert!(finals(&d.served(sent[1].0, 0, 100 * MS)).is_empty());
     let actions = d.served(sent[2].0, 0, 100 * MS);
-    assert_eq!(finals(&actions), [&Action::Answer { query: QueryId(1), whole: true }]);
+    assert_eq!(finals(&actions), [&Action::Respond { query: QueryId(1), complete: true }]);
 }
 
 #[test]
@@ -62,17 +62,19 @@
 fn nothing_is_sent_after_the_final_answer() {
     let mut d = Driver::ready(safe());
     let sent = sends(&d.query(1, 0, &[0, 1]));
-    d.give(vec![Event::Left(QueryId(1))]);
+    d.give(vec![Event::ClientDisconnected(QueryId(1))]);
     for (part, _) in sent {
-        assert!(sends(&d.ended(part, 0, Outcome::Cut, 10 * MS)).is_empty());
+        assert!(sends(&d.ended(part, 0, Outcome::ConnectionLost, 10 * MS)).is_empty());
     }
     assert!(sends(&d.pass(7 * SECOND)).is_empty());
 }
 
 #[test]
 fn an_unsafe_part_is_repeated_only_if_it_never_ran() {
-    for (outcome, again) in [(Outcome::NoRoute, true), (Outcome::NoRoom, true), (Outcome::Fault, false)] {
-        let mut d = Driver::ready(settings(vec![class(Effect::Unsafe)]));
+    for (outcome, again) in
+        [(Outcome::ConnectFailed, true), (Outcome::Rejected, true), (Outcome::BackendError, false)]
+    {
+        let mut d = Driver::ready(settings(vec![class(Idempotency::NonIdempotent)]));
         let (part, _) = sends(&d.query(1, 0, &[0]))[0];
         let actions = d.ended(part, 0, outcome, 5 * MS);
         assert_eq!(!sends(&actions).is_empty(), again, "{outcome:?}");
@@ -86,10 +88,10 @@
 #[test]
 fn a_keyed_part_is_repeated_only_inside_its_window() {
     for (wait, again) in [(100 * MS, true), (1_200 * MS, false)] {
-        let mut d = Driver::ready(settings(vec![class(Effect::Keyed(SECOND))]));
+        let mut d = Driver::ready(settings(vec![class(Idempotency::Keyed(SECOND))]));
         let (part, _) = sends(&d.query(1, 0, &[0]))[0];
         d.now += wait;
-        let actions = d.ended(part, 0, Outcome::Fault, wait);
+        let actions = d.ended(part, 0, Outcome::BackendError, wait);
         assert_eq!(!sends(&actions).is_empty(), again, "after {wait}");
     }
 }
@@ -112,14 +114,14 @@
 #[test]
 fn drained_and_gone_servers_get_nothing() {
     let mut d = Driver::ready(safe());
-    let gone = [entry(0, Phase::Draining, None), entry(1, Phase::Gone, None)];
-    d.give(vec![Event::List(ListNews::Changes(gone.to_vec()))]);
+    let gone = [entry(0, EndpointState::Draining, None), entry(1, EndpointState::Removed, None)];
+    d.give(vec![Event::EndpointUpdate(EndpointUpdate::Delta(gone.to_vec()))]);
     for i in 0..50 {
         let to = sends(&d.query(i, 0, &[5, 1, 0]));
         assert!(to.iter().all(|(_, s)| s.0 > 1), "{to:?}");
     }
     // A server that a whole list leaves out is gone as well.
-    d.give(vec![Event::List(ListNews::Full(vec![entry(2, Phase::Ready, None)]))]);
+    d.give(vec![Event::EndpointUpdate(EndpointUpdate::Snapshot(vec![entry(2, EndpointState::Ready, None)]))]);
     assert!(sends(&d.query(99, 0, &[3, 4])).is_empty());
 }
 
@@ -127,7 +129,11 @@
 fn a_cold_server_gets_no_more_than_its_share_of_the_budget() {
     let mut d = Driver::new(safe());
     let started = d.now;
-    d.give(vec![Event::List(ListNews::Full(vec![entry(0, Phase::Ready, Some(started))]))]);
+    d.give(vec![Event::EndpointUpdate(EndpointUpdate::Snapshot(vec![entry(
+        0,
+        EndpointState::Ready,
+        Some(started),
+    )]))]);
     let mut sent = 0;
     for i in 0..100 {
         sent += sends(&d.query(i, 0, &[0])).len();
@@ -141,72 +147,74 @@
 
 #[test]
 fn a_partial_answer_is_given_before_the_aim_and_is_not_marked_whole() {
-    let mut c = class(Effect::Safe);
-    c.floor = 0.5;
+    let mut c = class(Idempotency::Idempotent);
+    c.minimum_completeness = 0.5;
     let mut d = Driver::ready(settings(vec![c]));
     let sent = sends(&d.query(1, 0, &[0, 2, 4]));
     d.served(sent[0].0, 0, 50 * MS);
     d.served(sent[1].0, 0, 50 * MS);
     let actions = d.pass(2 * SECOND);
-    assert_eq!(finals(&actions), [&Action::Answer { query: QueryId(1), whole: false }]);
+    assert_eq!(finals(&actions), [&Action::Respond { query: QueryId(1), complete: false }]);
 }
 
 #[test]
 fn no_answer_is_given_below_the_floor() {
-    let mut c = class(Effect::Safe);
-    c.floor = 0.5;
+    let mut c = class(Idempotency::Idempotent);
+    c.minimum_completeness = 0.5;
     let mut d = Driver::ready(settings(vec![c]));
     let sent = sends(&d.query(1, 0, &[0, 2, 4]));
     d.served(sent[0].0, 0, 50 * MS);
     let actions = d.pass(6 * SECOND);
     assert_eq!(finals(&actions).len(), 1);
-    assert!(!matches!(finals(&actions)[0], Action::Answer { .. }));
+    assert!(!matches!(finals(&actions)[0], Action::Respond { .. }));
 }
 
 #[test]
 fn a_share_of_the_parts_makes_a_whole_answer_where_the_class_says_so() {
-    let mut c = class(Effect::Safe);
-    (c.need, c.floor) = (0.6, 0.6);
+    let mut c = class(Idempotency::Idempotent);
+    (c.required_completeness, c.minimum_completeness) = (0.6, 0.6);
     let mut d = Driver::ready(settings(vec![c]));
     let sent = sends(&d.query(1, 0, &[0, 1, 2, 3, 4]));
     assert_eq!(sent.len(), 4, "three are needed and one is spare; the fifth waits");
     d.served(sent[0].0, 0, 50 * MS);
     d.served(sent[1].0, 0, 50 * MS);
     let actions = d.served(sent[2].0, 0, 50 * MS);
-    assert_eq!(finals(&actions), [&Action::Answer { query: QueryId(1), whole: true }]);
+    assert_eq!(finals(&actions), [&Action::Respond { query: QueryId(1), complete: true }]);
     // The part that waited goes out when one of the others is lost.
     let sent = sends(&d.query(2, 0, &[0, 1, 2, 3, 4]));
-    let after: Vec<_> = sends(&d.ended(sent[0].0, 0, Outcome::Fault, 5 * MS)).iter().map(|s| s.0).collect();
+    let after: Vec<_> =
+        sends(&d.ended(sent[0].0, 0, Outcome::BackendError, 5 * MS)).iter().map(|s| s.0).collect();
     assert!(after.iter().any(|part| sent.iter().all(|(p, _)| p != part)), "{after:?}");
 }
 
 #[test]
 fn a_second_step_needs_all_its_parts() {
-    let mut c = class(Effect::Safe);
-    c.second_step = 2;
+    let mut c = class(Idempotency::Idempotent);
+    c.second_step_parts = 2;
     let mut d = Driver::ready(settings(vec![c]));
     let (part, _) = sends(&d.query(1, 0, &[0]))[0];
     let first = d.served(part, 0, 50 * MS);
     assert_eq!(finals(&first).len(), 1);
     let second = |i: u128| {
         let (query, part) = (QueryId(1), PartId(50 + i));
-        Event::Part(PartArrival { query, part, shard: ShardId(0), weight: 0.5, harmless: false })
+        Event::PartArrived(PartArrival { query, part, shard: ShardId(0), weight: 0.5, idempotent: false })
     };
     assert_eq!(sends(&d.give(vec![second(0), second(1)])).len(), 2);
     assert!(finals(&d.served(PartId(50), 0, 50 * MS)).is_empty());
     let done = d.served(PartId(51), 0, 50 * MS);
-    assert_eq!(finals(&done), [&Action::Answer { query: QueryId(1), whole: true }]);
+    assert_eq!(finals(&done), [&Action::Respond { query: QueryId(1), complete: true }]);
 }
 
 #[test]
 fn further_attempts_stay_within_the_budget() {
     let mut s = safe();
-    s.rules.budget = Some(Budget { free: 2.0, share: 0.1, window: 5 * SECOND });
+    s.rules.retry_budget =
+        Some(RetryBudgetSettings { min_retries: 2.0, retry_ratio: 0.1, window: 5 * SECOND });
     let mut d = Driver::ready(s);
     let mut extra = 0;
     for i in 0..30 {
         for (part, _) in sends(&d.query(i, 0, &[0])) {
-            extra += sends(&d.ended(part, 0, Outcome::Fault, 5 * MS)).len();
+            extra += sends(&d.ended(part, 0, Outcome::BackendError, 5 * MS)).len();
         }
     }
     // 30 queries of one part are 60 taken: 2 + 6.
@@ -241,7 +249,7 @@
     let mut advice = Vec::new();
     for i in 0..60 {
         let actions = d.query(100 + i, 0, &[0, 2, 4]);
-        if let Some(Action::Refuse { retry_after, .. }) = finals(&actions).first() {
+        if let Some(Action::Reject { retry_after, .. }) = finals(&actions).first() {
             assert!(sends(&actions).is_empty());
             advice.push(*retry_after);
         }
@@ -258,9 +266,9 @@
     let mut d = Driver::ready(safe());
     d.warm_up(0, 30);
     let (part, sick) = sends(&d.query(1, 0, &[0]))[0];
-    assert_eq!(sends(&d.ended(part, 0, Outcome::Fault, 2 * MS)).len(), 1);
+    assert_eq!(sends(&d.ended(part, 0, Outcome::BackendError, 2 * MS)).len(), 1);
     d.served(part, 1, 50 * MS);
-    let suspect = |d: &Driver| d.router.servers().any(|s| s.server == sick && s.suspect);
+    let suspect = |d: &Driver| d.router.servers().any(|s| s.backend == sick && s.ejected);
     assert!(suspect(&d));
     for i in 10..20 {
         let sent = sends(&d.query(i, 0, &[0]));
@@ -268,8 +276,8 @@
         d.served(sent[0].0, 0, 50 * MS);
     }
     let probes = d.pass(1_500 * MS);
-    assert!(probes.contains(&Action::Probe(sick)));
-    d.give(vec![Event::Probed { server: sick, passed: true }]);
+    assert!(probes.contains(&Action::HealthCheck(sick)));
+    d.give(vec![Event::HealthCheckCompleted { backend: sick, passed: true }]);
     let all: Vec<_> = (20..30).flat_map(|i| sends(&d.query(i, 0, &[0]))).collect();
     let trials: Vec<_> = all.into_iter().filter(|(_, s)| *s == sick).collect();
     assert_eq!(trials.len(), 1, "one part is the trial");
@@ -282,10 +290,10 @@
     let mut d = Driver::ready(safe());
     for i in 0..6 {
         for (part, _) in sends(&d.query(i, 0, &[0])) {
-            d.ended(part, 0, Outcome::Fault, 2 * MS);
+            d.ended(part, 0, Outcome::BackendError, 2 * MS);
         }
     }
-    assert_eq!(d.router.servers().filter(|s| s.suspect).count(), 2);
+    assert_eq!(d.router.servers().filter(|s| s.ejected).count(), 2);
     d.pass(8 * SECOND);
     assert_eq!(sends(&d.query(50, 0, &[0])).len(), 1);
 }
@@ -299,7 +307,7 @@
     // Everyone is as slow for a while ...
     let slow: Vec<_> = (0..10).flat_map(|i| sends(&d.query(10 + i, 0, &[1, 2, 3, 4]))).collect();
     d.pass(400 * MS);
-    assert!(!d.router.servers().any(|s| s.suspect));
+    assert!(!d.router.servers().any(|s| s.ejected));
     // ... then the others answer and go on quickly.
     for (part, to) in slow {
         if to != server {
@@ -326,7 +334,7 @@
     d.query(2, 0, &[0]);
     d.pass(1_500 * MS);
     let doomed = d.query(3, 0, &[0]);
-    assert!(matches!(finals(&doomed)[..], [Action::Refuse { .. }]));
+    assert!(matches!(finals(&doomed)[..], [Action::Reject { .. }]));
     // Others are not refused for it.
     assert_eq!(sends(&d.query(4, 0, &[3])).len(), 1);
 }
@@ -339,7 +347,7 @@
     let mut hit = 0;
     for i in 0..20 {
         for (part, to) in sends(&d.query(100 + i, 0, &[0])) {
-            if to == ServerId(0) {
+            if to == BackendId(0) {
                 hit += 1; // It never answers.
             } else {
                 d.served(part, 0, 50 * MS);
@@ -393,8 +401,8 @@
     }
     d.pass(3 * SECOND);
     let started = d.now;
-    let cold = [entry(0, Phase::Ready, Some(started)), entry(1, Phase::Gone, None)];
-    d.give(vec![Event::List(ListNews::Changes(cold.to_vec()))]);
+    let cold = [entry(0, EndpointState::Ready, Some(started)), entry(1, EndpointState::Removed, None)];
+    d.give(vec![Event::EndpointUpdate(EndpointUpdate::Delta(cold.to_vec()))]);
     let sent: usize = (100..104).map(|i| sends(&d.query(i, 0, &[0])).len()).sum();
     assert!(sent >= 3, "{sent}");
 }
@@ -402,15 +410,19 @@
 #[test]
 fn where_the_list_must_be_asked_for_a_failure_is_retried() {
     let mut s = safe();
-    s.discovery = Discovery::Ask;
+    s.discovery = Discovery::Poll;
     let mut d = Driver::new(s);
-    let first = d.give(vec![Event::List(ListNews::Saved(vec![entry(0, Phase::Ready, None)]))]);
-    assert!(first.contains(&Action::Subscribe));
-    assert!(!d.pass(5 * SECOND).contains(&Action::Subscribe), "one ask is out already");
-    d.give(vec![Event::List(ListNews::Failed)]);
-    assert!(d.pass(2 * SECOND).contains(&Action::Subscribe));
-    d.give(vec![Event::List(everyone())]);
-    assert!(!d.pass(20 * SECOND).contains(&Action::Subscribe));
+    let first = d.give(vec![Event::EndpointUpdate(EndpointUpdate::CachedSnapshot(vec![entry(
+        0,
+        EndpointState::Ready,
+        None,
+    )]))]);
+    assert!(first.contains(&Action::WatchEndpoints));
+    assert!(!d.pass(5 * SECOND).contains(&Action::WatchEndpoints), "one ask is out already");
+    d.give(vec![Event::EndpointUpdate(EndpointUpdate::Failed)]);
+    assert!(d.pass(2 * SECOND).contains(&Action::WatchEndpoints));
+    d.give(vec![Event::EndpointUpdate(everyone())]);
+    assert!(!d.pass(20 * SECOND).contains(&Action::WatchEndpoints));
 }
 
 #[test]
@@ -418,9 +430,9 @@
     type Spoil = fn(&mut Settings);
     let cases: [(&str, Spoil); 5] = [
         ("classes", |s| s.classes.clear()),
-        ("layout.cells", |s| s.layout.cells = 0),
-        ("classes[0].floor", |s| s.classes[0].floor = 1.5),
-        ("rules.cold_from", |s| s.rules.cold_from = -0.1),
+        ("layout.cells", |s| s.layout.ring_positions = 0),
+        ("classes[0].floor", |s| s.classes[0].minimum_completeness = 1.5),
+        ("rules.cold_from", |s| s.rules.initial_capacity = -0.1),
         ("routers", |s| s.routers = 0),
     ];
     for (field, spoil) in cases {
@@ -434,11 +446,11 @@
 fn news_of_things_no_longer_held_is_harmless() {
     let mut d = Driver::ready(safe());
     d.give(vec![
-        Event::Left(QueryId(5)),
-        Event::Wake,
-        Event::Outcome { part: PartId(9), attempt: 3, outcome: Outcome::Served, took: 1 },
-        Event::Probed { server: ServerId(77), passed: true },
-        Event::List(ListNews::Full(Vec::new())),
+        Event::ClientDisconnected(QueryId(5)),
+        Event::TimerExpired,
+        Event::AttemptCompleted { part: PartId(9), attempt: 3, outcome: Outcome::Succeeded, took: 1 },
+        Event::HealthCheckCompleted { backend: BackendId(77), passed: true },
+        Event::EndpointUpdate(EndpointUpdate::Snapshot(Vec::new())),
     ]);
     assert_eq!(d.give(Vec::new()), []);
 }
@@ -469,7 +481,7 @@
     let mut to_sick = 0;
     for i in 0..40 {
         for (part, to) in sends(&d.query(i, 0, &[0])) {
-            let outcome = if to.0 == 0 || i < 2 { Outcome::Fault } else { Outcome::Served };
+            let outcome = if to.0 == 0 || i < 2 { Outcome::BackendError } else { Outcome::Succeeded };
             to_sick += u32::from(to.0 == 0);
             d.now += 5 * MS;
             d.ended(part, 0, outcome, 20 * MS);
@@ -482,7 +494,8 @@
 #[test]
 fn no_copies_go_out_while_the_class_is_shed() {
     for shed in [false, true] {
-        let mut d = Driver::ready(settings(vec![class(Effect::Safe), class(Effect::Safe)]));
+        let mut d =
+            Driver::ready(settings(vec![class(Idempotency::Idempotent), class(Idempotency::Idempotent)]));
         d.warm_up(0, 30);
         d.warm_up(1, 30);
         if shed {
@@ -514,15 +527,15 @@
 /// A query whose client has so much time left.
 fn arrival_left(query: u128, shards: &[u32], retry: bool, left: Micros) -> Vec<Event> {
     let mut events = arrival(query, 0, shards);
-    let Event::Query(arrival) = &mut events[0] else { panic!("the query comes first") };
+    let Event::QueryArrived(arrival) = &mut events[0] else { panic!("the query comes first") };
     (arrival.retry, arrival.expires_in) = (retry, left);
     events
 }
 
 /// Drives one query of a class whose late answers earn nothing, with so much time left.
 fn worthless_late(retry: bool, left: Micros) -> Vec<Action> {
-    let mut c = class(Effect::Safe);
-    c.late_worth = 0.0;
+    let mut c = class(Idempotency::Idempotent);
+    c.late_value = 0.0;
     let mut d = Driver::ready(settings(vec![c]));
     d.warm_up(0, 5);
     d.give(arrival_left(1, &[0, 2], retry, left))
@@ -568,7 +581,7 @@
             d.served(part, 0, 900 * MS);
         }
         d.pass(4_100 * MS);
-        assert!(!d.router.servers().any(|s| s.suspect), "query {i}");
+        assert!(!d.router.servers().any(|s| s.ejected), "query {i}");
     }
 }
 
@@ -586,7 +599,7 @@
         }
         d.pass(5 * SECOND);
     }
-    let suspects: Vec<_> = d.router.servers().filter(|s| s.suspect).map(|s| s.server.0).collect();
+    let suspects: Vec<_> = d.router.servers().filter(|s| s.ejected).map(|s| s.backend.0).collect();
     assert_eq!(suspects, [2]);
 }
 
@@ -595,16 +608,16 @@
 fn a_query_with_which_two_servers_fell_goes_no_further() {
     let mut d = Driver::ready(safe());
     let sent = sends(&d.query(1, 0, &[0, 3]));
-    let first = d.ended(sent[0].0, 0, Outcome::Cut, 20 * MS);
+    let first = d.ended(sent[0].0, 0, Outcome::ConnectionLost, 20 * MS);
     assert_eq!(sends(&first).len(), 1, "one fall may be chance");
-    let second = d.ended(sent[1].0, 0, Outcome::Cut, 20 * MS);
+    let second = d.ended(sent[1].0, 0, Outcome::ConnectionLost, 20 * MS);
     assert!(sends(&second).is_empty());
-    assert!(matches!(finals(&second)[..], [Action::Refuse { .. }]));
+    assert!(matches!(finals(&second)[..], [Action::Reject { .. }]));
     // A query some part of which was answered did not kill.
     let sent = sends(&d.query(2, 0, &[1, 2, 4]));
     d.served(sent[0].0, 0, 50 * MS);
-    d.ended(sent[1].0, 0, Outcome::Cut, 20 * MS);
-    assert_eq!(sends(&d.ended(sent[2].0, 0, Outcome::Cut, 20 * MS)).len(), 1);
+    d.ended(sent[1].0, 0, Outcome::ConnectionLost, 20 * MS);
+    assert_eq!(sends(&d.ended(sent[2].0, 0, Outcome::ConnectionLost, 20 * MS)).len(), 1);
 }
 
 /// Found after falls: queries whose shard had only cold holders held parts of others and were shed for.
@@ -614,8 +627,8 @@
     s.routers = 600;
     let mut d = Driver::new(s);
     let started = d.now;
-    let entries = (0..6).map(|s| entry(s, Phase::Ready, (s < 2).then_some(started))).collect();
-    d.give(vec![Event::List(ListNews::Full(entries))]);
+    let entries = (0..6).map(|s| entry(s, EndpointState::Ready, (s < 2).then_some(started))).collect();
+    d.give(vec![Event::EndpointUpdate(EndpointUpdate::Snapshot(entries))]);
     let mut refused = 0;
     for i in 0..30 {
         let sent = sends(&d.query(1 + i, 0, &[0, 3]));
@@ -634,23 +647,23 @@
 fn odd_input_is_refused_or_served_without_a_panic() {
     // Hundreds of routers and servers, and a query of a hundred parts.
     let mut s = safe();
-    (s.routers, s.layout.cells) = (500, 300);
+    (s.routers, s.layout.ring_positions) = (500, 300);
     let mut d = Driver::new(s);
-    let entries: Vec<_> = (0..300).map(|s| entry(s, Phase::Ready, None)).collect();
-    d.give(vec![Event::List(ListNews::Full(entries.clone()))]);
+    let entries: Vec<_> = (0..300).map(|s| entry(s, EndpointState::Ready, None)).collect();
+    d.give(vec![Event::EndpointUpdate(EndpointUpdate::Snapshot(entries.clone()))]);
     let shards: Vec<u32> = (0..100).collect();
     assert_eq!(sends(&d.query(1, 0, &shards)).len(), 100);
     // A list that names a server twice, and one that empties.
     let twice = vec![entries[0].clone(), entries[0].clone()];
-    d.give(vec![Event::List(ListNews::Full(twice))]);
+    d.give(vec![Event::EndpointUpdate(EndpointUpdate::Snapshot(twice))]);
     assert_eq!(sends(&d.query(2, 0, &[0])).len(), 1);
-    d.give(vec![Event::List(ListNews::Full(vec![]))]);
+    d.give(vec![Event::EndpointUpdate(EndpointUpdate::Snapshot(vec![]))]);
     assert!(sends(&d.query(3, 0, &[0])).is_empty());
     d.pass(7 * SECOND);
     // No time left, all the time there is, and a class that the settings do not have.
     for (id, class, expires_in) in [(4, 0, 0), (5, 0, Micros::MAX), (6, 9, SECOND)] {
         let retry = id == 4;
-        let query = Arrival {
+        let query = QueryArrival {
             query: QueryId(id),
             class: ClassId(class),
             expires_in,
@@ -658,7 +671,7 @@
             retry,
             planned: false,
         };
-        let mut actions = d.give(vec![Event::Query(query)]);
+        let mut actions = d.give(vec![Event::QueryArrived(query)]);
         actions.extend(d.pass(7 * SECOND));
         assert_eq!(finals(&actions).len(), usize::from(id != 5), "query {id}: {actions:?}");
     }
@@ -669,10 +682,10 @@
 fn ties_stay_in_the_own_zone_where_crossing_is_paid_for() {
     for (costs, known) in [(true, true), (false, true), (true, false)] {
         let mut s = safe();
-        (s.zone, s.crossing_costs) = (known.then_some(ZoneId(0)), costs);
+        (s.zone, s.cross_zone_costs) = (known.then_some(ZoneId(0)), costs);
         let mut d = Driver::new(s);
-        let zoned = |s: u32| ServerEntry { zone: Some(ZoneId(s % 2)), ..entry(s, Phase::Ready, None) };
-        d.give(vec![Event::List(ListNews::Full((0..6).map(zoned).collect()))]);
+        let zoned = |s: u32| Endpoint { zone: Some(ZoneId(s % 2)), ..entry(s, EndpointState::Ready, None) };
+        d.give(vec![Event::EndpointUpdate(EndpointUpdate::Snapshot((0..6).map(zoned).collect()))]);
         let mut near = 0;
         for i in 0..40 {
             let sent = sends(&d.query(i, 0, &[(i % 6) as u32]));
@@ -690,8 +703,8 @@
 /// Found on a day with a few crowded holders: their misses shed queries that never touched them.
 #[test]
 fn misses_at_a_part_that_stands_out_do_not_shed_the_rest() {
-    let mut s = settings(vec![class(Effect::Safe), class(Effect::Safe)]);
-    s.layout.reach = 1;
+    let mut s = settings(vec![class(Idempotency::Idempotent), class(Idempotency::Idempotent)]);
+    s.layout.replication_factor = 1;
     let mut d = Driver::ready(s);
     d.warm_up(1, 40);
     // The only holder answers one part and not the other: it is no suspect by that alone.
@@ -703,7 +716,7 @@
         let others = sends(&d.query(1_000 + j, 1, &[0, 4]));
         d.pass(75 * MS);
         others.iter().for_each(|(part, _)| drop(d.served(*part, 0, 75 * MS)));
-        assert!(!d.router.servers().any(|s| s.suspect));
+        assert!(!d.router.servers().any(|s| s.ejected));
         assert_eq!(d.router.drop_rate(ClassId(0)), Some(0.0), "query {j}");
     }
 }
@@ -715,14 +728,14 @@
 fn a_broken_connection_now_and_then_makes_no_suspect() {
     let mut d = Driver::ready(safe());
     d.warm_up(0, 30);
-    let suspects = |d: &Driver| d.router.servers().filter(|s| s.suspect).count();
+    let suspects = |d: &Driver| d.router.servers().filter(|s| s.ejected).count();
     let mut query = 0;
     let mut run = |d: &mut Driver, cut: bool| {
         let sent: Vec<_> = (0..4).flat_map(|_| (query += 1, sends(&d.query(query, 0, &[0]))).1).collect();
         let first = sent[0].1;
-        let end = |&(part, to): &(PartId, ServerId)| {
-            let outcome = if cut && to == first { Outcome::Cut } else { Outcome::Served };
-            Event::Outcome { part, attempt: 0, outcome, took: 50 * MS }
+        let end = |&(part, to): &(PartId, BackendId)| {
+            let outcome = if cut && to == first { Outcome::ConnectionLost } else { Outcome::Succeeded };
+            Event::AttemptCompleted { part, attempt: 0, outcome, took: 50 * MS }
         };
         d.now += 50 * MS;
         let again = sends(&d.give(sent.iter().map(end).collect()));
@@ -745,19 +758,20 @@
 fn servers_that_are_gone_are_forgotten() {
     let mut d = Driver::ready(safe());
     let (part, server) = sends(&d.query(1, 0, &[0]))[0];
-    let gone = |id: ServerId| ServerEntry { server: id, ..entry(0, Phase::Gone, None) };
+    let gone = |id: BackendId| Endpoint { backend: id, ..entry(0, EndpointState::Removed, None) };
     for fresh in 6..100 {
-        let known: Vec<ServerId> = d.router.servers().map(|s| s.server).collect();
-        let list = known.iter().map(|id| gone(*id)).chain([entry(fresh, Phase::Ready, None)]).collect();
-        d.give(vec![Event::List(ListNews::Changes(list))]);
+        let known: Vec<BackendId> = d.router.servers().map(|s| s.backend).collect();
+        let list =
+            known.iter().map(|id| gone(*id)).chain([entry(fresh, EndpointState::Ready, None)]).collect();
+        d.give(vec![Event::EndpointUpdate(EndpointUpdate::Delta(list))]);
         d.now += 10 * MS;
     }
-    let known = |d: &Driver| d.router.servers().map(|s| s.server).collect::<Vec<_>>();
-    assert_eq!(known(&d), [server, ServerId(99)], "a part is out on the first");
+    let known = |d: &Driver| d.router.servers().map(|s| s.backend).collect::<Vec<_>>();
+    assert_eq!(known(&d), [server, BackendId(99)], "a part is out on the first");
     d.served(part, 0, SECOND);
     d.pass(3 * SECOND);
-    d.give(vec![Event::List(ListNews::Changes(Vec::new()))]);
-    assert_eq!(known(&d), [ServerId(99)]);
+    d.give(vec![Event::EndpointUpdate(EndpointUpdate::Delta(Vec::new()))]);
+    assert_eq!(known(&d), [BackendId(99)]);
 }
 
 /// A query whose parts somebody else chooses, with its first parts.
@@ -765,8 +779,8 @@
     let mut events = arrival(query, 0, shards);
     for event in &mut events {
         match event {
-            Event::Query(arrival) => arrival.planned = true,
-            Event::Part(part) => part.harmless = harmless,
+            Event::QueryArrived(arrival) => arrival.planned = true,
+            Event::PartArrived(part) => part.idempotent = harmless,
             _ => {}
         }
     }
@@ -777,12 +791,12 @@
 // itself, and a later part goes out without another chance of refusal.
 #[test]
 fn a_planned_query_is_answered_by_whoever_planned_it() {
-    let mut d = Driver::ready(settings(vec![class(Effect::Unsafe)]));
+    let mut d = Driver::ready(settings(vec![class(Idempotency::NonIdempotent)]));
     let scouts = sends(&planned(&mut d, 1, &[0, 2], true));
     assert_eq!(scouts.len(), 2);
     d.now += 50 * MS;
     // A scout that failed is asked again, though its class has an effect.
-    let again = sends(&d.ended(scouts[0].0, 0, Outcome::Fault, 50 * MS));
+    let again = sends(&d.ended(scouts[0].0, 0, Outcome::BackendError, 50 * MS));
     assert_eq!(again.len(), 1);
     assert!(finals(&d.served(scouts[1].0, 0, 50 * MS)).is_empty());
     assert!(finals(&d.served(scouts[0].0, 1, 50 * MS)).is_empty());
@@ -791,13 +805,13 @@
         part: part_id(1, 7),
         shard: ShardId(4),
         weight: 0.5,
-        harmless: false,
+        idempotent: false,
     };
-    assert_eq!(sends(&d.give(vec![Event::Part(late)])).len(), 1);
+    assert_eq!(sends(&d.give(vec![Event::PartArrived(late)])).len(), 1);
     // What has an effect is not asked again, and its loss is told.
-    let lost = d.ended(part_id(1, 7), 0, Outcome::Cut, 50 * MS);
-    assert_eq!(lost, [Action::Lost { part: part_id(1, 7) }]);
-    let settled = d.give(vec![Event::Settled { query: QueryId(1), answered: false }]);
+    let lost = d.ended(part_id(1, 7), 0, Outcome::ConnectionLost, 50 * MS);
+    assert_eq!(lost, [Action::PartFailed { part: part_id(1, 7) }]);
+    let settled = d.give(vec![Event::QueryCompleted { query: QueryId(1), answered: false }]);
     assert!(finals(&settled).is_empty());
     assert!(finals(&d.pass(8 * SECOND)).is_empty(), "nothing more is said of it");
 }
@@ -813,20 +827,20 @@
                 for more in 3..6 {
                     let (query, part) = (QueryId(query), part_id(query, more));
                     let shard = ShardId(more as u32);
-                    d.give(vec![Event::Part(PartArrival {
+                    d.give(vec![Event::PartArrived(PartArrival {
                         query,
                         part,
                         shard,
                         weight: 0.1,
-                        harmless: false,
+                        idempotent: false,
                     })]);
                 }
                 d.pass(3 * SECOND);
-                d.give(vec![Event::Settled { query: QueryId(query), answered: true }]);
+                d.give(vec![Event::QueryCompleted { query: QueryId(query), answered: true }]);
             } else {
                 d.query(query, 0, &[0]);
                 d.pass(3 * SECOND);
-                d.give(vec![Event::Left(QueryId(query))]);
+                d.give(vec![Event::ClientDisconnected(QueryId(query))]);
             }
         }
         d.router.drop_rate(ClassId(0)).expect("a class")
@@ -839,7 +853,7 @@
 fn a_dropped_part_is_called_off_and_not_sent_again() {
     let mut d = Driver::ready(safe());
     let sent = sends(&planned(&mut d, 1, &[0, 2], true));
-    let actions = d.give(vec![Event::Drop(sent[0].0)]);
+    let actions = d.give(vec![Event::PartCancelled(sent[0].0)]);
     assert_eq!(actions, [Action::Cancel { part: sent[0].0, attempt: 0 }]);
     assert!(sends(&d.pass(SECOND)).iter().all(|(part, _)| *part != sent[0].0));
 }
@@ -854,7 +868,7 @@
         // Queries that miss their aim, one after the other.
         d.query(number, 0, &[0]);
         d.pass(3 * SECOND);
-        d.give(vec![Event::Left(QueryId(number))]);
+        d.give(vec![Event::ClientDisconnected(QueryId(number))]);
         number += 1;
         assert!(number < 2_000, "the rate does not rise");
     }
@@ -863,15 +877,19 @@
         let plans = round % 2 == 0;
         let query = 1_000_000 + round;
         let actions = if plans { planned(&mut d, query, &[1, 3], true) } else { d.query(query, 0, &[1, 3]) };
-        let turned_away = actions.iter().any(|a| matches!(a, Action::Refuse { .. }));
+        let turned_away = actions.iter().any(|a| matches!(a, Action::Reject { .. }));
         refused[usize::from(plans)] += u32::from(turned_away);
         assert_eq!(turned_away, sends(&actions).is_empty(), "refused before any part, or all parts sent");
         if plans && !turned_away {
             let (query, part) = (QueryId(query), part_id(query, 5));
-            let late = PartArrival { query, part, shard: ShardId(4), weight: 0.5, harmless: false };
-            assert_eq!(sends(&d.give(vec![Event::Part(late)])).len(), 1, "a later part is not refused");
+            let late = PartArrival { query, part, shard: ShardId(4), weight: 0.5, idempotent: false };
+            assert_eq!(
+                sends(&d.give(vec![Event::PartArrived(late)])).len(),
+                1,
+                "a later part is not refused"
+            );
         }
-        d.give(vec![Event::Left(QueryId(query))]);
+        d.give(vec![Event::ClientDisconnected(QueryId(query))]);
     }
     assert!(refused.iter().all(|&count| count > 5), "{refused:?} of 50 each");
 }
@@ -884,13 +902,18 @@
     let sent = sends(&d.query(1, 0, &(0..12).collect::<Vec<_>>()));
     assert_eq!(sent.len(), 12);
     let away = |outcome| {
-        move |(part, _): &(PartId, ServerId)| Event::Outcome { part: *part, attempt: 0, outcome, took: MS }
+        move |(part, _): &(PartId, BackendId)| Event::AttemptCompleted {
+            part: *part,
+            attempt: 0,
+            outcome,
+            took: MS,
+        }
     };
-    let again = d.give(sent.iter().map(away(Outcome::NoRoom)).collect());
+    let again = d.give(sent.iter().map(away(Outcome::Rejected)).collect());
     assert_eq!(sends(&again).len(), 12);
     // What may have run draws on it: four, and a tenth of what was taken.
     let mut d = Driver::ready(safe());
     let sent = sends(&d.query(1, 0, &(0..12).collect::<Vec<_>>()));
-    let again = d.give(sent.iter().map(away(Outcome::Fault)).collect());
+    let again = d.give(sent.iter().map(away(Outcome::BackendError)).collect());
     assert!((4..=6).contains(&sends(&again).len()), "{}", sends(&again).len());
 }
--- a/crates/settings/src/config.rs
+++ b/crates/settings/src/config.rs
@@ -7,7 +7,7 @@
 use crate::fleet::Fleet;
 use crate::operator::{self, Flight, LogFormat, Operator};
 use crate::site::{Section, Site};
-use mallowgauge_core::{Bounds, PhasesSetup};
+use mallowgauge_core::{CoreLimits, TwoPhaseSettings};
 use mallowgauge_fleet::links::Room;
 use mallowgauge_router::Micros;
 
@@ -40,8 +40,8 @@
     pub seed: u64,
     /// The settings.
     pub site: Site,
-    /// Bounds of the core.
-    pub bounds: Bounds,
+    /// CoreLimits of the core.
+    pub bounds: CoreLimits,
     /// Figures for connections.
     pub links: Links,
     /// The memory that the process may use, in bytes.
@@ -51,7 +51,7 @@
     /// The second front.
     pub flight: Flight,
     /// Queries in two phases, where they are taken.
-    pub phases: Option<PhasesSetup>,
+    pub phases: Option<TwoPhaseSettings>,
     /// The other gatherers, and what links to them may hold.
     pub fleet: Option<(Fleet, Room)>,
 }
@@ -151,7 +151,7 @@
         if sockets < FEWEST_SOCKETS {
             return Err(format!("limits.sockets is below {FEWEST_SOCKETS}"));
         }
-        let aim = site.settings.classes.iter().map(|class| class.aim).min().unwrap_or_default();
+        let aim = site.settings.classes.iter().map(|class| class.latency_objective).min().unwrap_or_default();
         let seed = all.get("seed").and_then(Value::as_str).ok_or("seed is missing")?;
         let known = all.get("known").ok_or("known is missing")?;
         crate::hosts::parse(known).map_err(|e| format!("known: {e}"))?;
@@ -160,7 +160,7 @@
             listen: address(&text("listen", "RELAY_LISTEN")?, "listen")?,
             discovery: address(&text("discovery", "RELAY_DISCOVERY")?, "discovery")?,
             seed: u64::from_str_radix(seed, 16).map_err(|_| "seed is not hex digits")?,
-            bounds: Bounds { max_open: small("Limits", "MaxOpen")?, shards },
+            bounds: CoreLimits { max_open: small("Limits", "MaxOpen")?, shards },
             links: Links {
                 idle: inner("Limits", "ConnIdleUs")?,
                 dial: inner("Limits", "DialTimeoutUs")?,
--- a/crates/settings/src/hosts.rs
+++ b/crates/settings/src/hosts.rs
@@ -17,7 +17,7 @@
     /// Its cell.
     pub cell: u32,
     /// Its state.
-    pub phase: Phase,
+    pub phase: EndpointState,
     /// Its last start, in Unix time.
     pub started: Option<Micros>,
 }
@@ -49,14 +49,14 @@
         let text = |key| entry.get(key).and_then(Value::as_str);
         let name = text("instanceId").ok_or("an instance has no instanceId")?.to_owned();
         let phase = match text("lifecycle") {
-            Some("active") => Phase::Ready,
-            Some("leaving") => Phase::Draining,
-            Some("left") => Phase::Gone,
+            Some("active") => EndpointState::Ready,
+            Some("leaving") => EndpointState::Draining,
+            Some("left") => EndpointState::Removed,
             _ => return Err(format!("{name}: lifecycle is none of active, leaving, left")),
         };
         let addr = text("hostPort").and_then(|addr| addr.parse().ok());
         let cell = entry.get("cell").and_then(crate::site::small);
-        if phase != Phase::Gone && (addr.is_none() || cell.is_none()) {
+        if phase != EndpointState::Removed && (addr.is_none() || cell.is_none()) {
             return Err(format!("{name}: hostPort or cell makes no sense"));
         }
         let started = entry.get("startedAtMs").and_then(Value::as_u64).filter(|&at| at > 0);
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -17,7 +17,7 @@
 use std::path::Path;
 
 use mallowgauge_core::phases::{Rule, SketchBounds};
-use mallowgauge_core::PhasesSetup;
+use mallowgauge_core::TwoPhaseSettings;
 use mallowgauge_router::Micros;
 use serde_json::{Map, Value};
 
@@ -97,7 +97,7 @@
     /// Flight.
     pub flight: Flight,
     /// Queries in two phases; not taken where there is none.
-    pub phases: Option<PhasesSetup>,
+    pub phases: Option<TwoPhaseSettings>,
     /// The gatherers that are linked to each other; none where there is none.
     pub fleet: Option<Fleet>,
     /// How the log is written.
@@ -127,7 +127,7 @@
 const SKETCHES: u64 = 10_000;
 const SKETCH_MS: u64 = 2_000;
 
-fn phases(value: &Value, path: &str) -> Result<PhasesSetup, String> {
+fn phases(value: &Value, path: &str) -> Result<TwoPhaseSettings, String> {
     let part = Part::new(value, path, "phases", &["rule", "sketches", "sketch_ms"])?;
     let rule = match part.fields.get("rule") {
         None => Rule::Learned,
@@ -147,7 +147,7 @@
     };
     let entries = number("sketches", SKETCHES, 1_000_000)? as usize;
     let age = number("sketch_ms", SKETCH_MS, 600_000)? * 1000;
-    Ok(PhasesSetup { rule, sketches: SketchBounds { entries, age } })
+    Ok(TwoPhaseSettings { rule, sketches: SketchBounds { entries, age } })
 }
 
 /// A section of the file, with its place in words.
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -143,27 +143,27 @@
             let class = Section { value, path: format!("Classes[{i}].") };
             names.push(class.text("Name")?.to_owned());
             classes.push(Class {
-                aim: class.int("AimUs")?,
-                aim_stretch: class.number("AimStretch").unwrap_or(0.0),
+                latency_objective: class.int("AimUs")?,
+                objective_per_work: class.number("AimStretch").unwrap_or(0.0),
                 deadline: class.int("DeadlineUs")?,
-                late_worth: class.number("LateValue")?,
-                effect: match class.text("Semantics")? {
-                    "free" => Effect::Safe,
-                    "guarded" => Effect::Keyed(class.int("WindowUs")?),
-                    "single_shot" => Effect::Unsafe,
+                late_value: class.number("LateValue")?,
+                idempotency: match class.text("Semantics")? {
+                    "free" => Idempotency::Idempotent,
+                    "guarded" => Idempotency::Keyed(class.int("WindowUs")?),
+                    "single_shot" => Idempotency::NonIdempotent,
                     _ => return Err(class.bad("Semantics", "one of free, guarded, single_shot")),
                 },
-                floor: floor[i],
-                need: need[i],
-                partial_worth: partial[i],
-                second_step: second[i] as u32,
+                minimum_completeness: floor[i],
+                required_completeness: need[i],
+                partial_value: partial[i],
+                second_step_parts: second[i] as u32,
             });
         }
         let budget = match rules.value.get("LookBackUs") {
             Some(Value::Number(_)) if rules.value.get("ResendRatio").is_some_and(Value::is_number) => {
-                Some(Budget {
-                    free: rules.number("BudgetFree").unwrap_or(0.0),
-                    share: rules.number("ResendRatio")?,
+                Some(RetryBudgetSettings {
+                    min_retries: rules.number("BudgetFree").unwrap_or(0.0),
+                    retry_ratio: rules.number("ResendRatio")?,
                     window: rules.int("LookBackUs")?,
                 })
             }
@@ -171,36 +171,36 @@
         };
         let settings = Settings {
             zone: env.value.get("Az").and_then(Value::as_str).and_then(|name| zone(&zones, name)),
-            crossing_costs: env
+            cross_zone_costs: env
                 .sub("Charges")
                 .is_ok_and(|c| c.number("CrossZone").is_ok_and(|price| price > 0.0)),
             routers: env.int32("Instances")?,
-            tick: env.int("TickUs")?,
+            batch_interval: env.int("TickUs")?,
             classes,
-            layout: Layout {
-                cells: family.int32("Places")?,
-                reach: family.int32("Width")?,
+            layout: ShardLayout {
+                ring_positions: family.int32("Places")?,
+                replication_factor: family.int32("Width")?,
                 parts_per_call: family.int32("PartsACall")?,
                 call_work: family.int("OverheadUs")?,
             },
-            limits: Limits {
-                cancel: limits.flag("Cancel")?,
-                probes: limits.flag("Probing")?,
-                second_copies: limits.flag("SecondCopies")?,
+            limits: DeploymentLimits {
+                cancellation: limits.flag("Cancel")?,
+                health_checks: limits.flag("Probing")?,
+                hedging: limits.flag("SecondCopies")?,
                 max_attempts: limits.int32("MaxAttempts")?,
                 max_retry_after: if limits.flag("RetryAfter")? { limits.int("MaxRetryAfterUs")? } else { 0 },
             },
-            rules: RuleFigures {
-                cold_from: rules.number("ColdFrom")?,
-                warm_within: rules.int("WarmWithinUs")?,
-                tip_multiple: rules.number("TipMultiple")?,
-                fall_window: rules.int("FallUs")?,
-                budget,
-                ask_within: rules.int("AskWithinUs").unwrap_or(0),
+            rules: RuleSettings {
+                initial_capacity: rules.number("ColdFrom")?,
+                warm_up_time: rules.int("WarmWithinUs")?,
+                overload_multiple: rules.number("TipMultiple")?,
+                overload_window: rules.int("FallUs")?,
+                retry_budget: budget,
+                max_poll_interval: rules.int("AskWithinUs").unwrap_or(0),
             },
             discovery: match env.text("MembershipMode")? {
                 "automatic" => Discovery::Push,
-                "subscribe" => Discovery::Ask,
+                "subscribe" => Discovery::Poll,
                 _ => return Err(env.bad("MembershipMode", "one of automatic, subscribe")),
             },
         };
--- a/crates/settings/tests/bad_input.rs
+++ b/crates/settings/tests/bad_input.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-use mallowgauge_router::Phase;
+use mallowgauge_router::EndpointState;
 use mallowgauge_settings::hosts;
 use mallowgauge_settings::{Config, Site};
 use proptest::prelude::*;
@@ -173,8 +173,13 @@
     let (settings, classes) = (&config.site.settings, &config.site.classes);
     prop_assert!(settings.validate().is_ok());
     prop_assert_eq!(settings.classes.len(), classes.len());
-    prop_assert!(settings.layout.cells > 0 && settings.layout.reach > 0 && settings.routers > 0);
-    prop_assert!(settings.classes.iter().all(|class| class.aim > 0 && class.aim <= class.deadline));
+    prop_assert!(
+        settings.layout.ring_positions > 0 && settings.layout.replication_factor > 0 && settings.routers > 0
+    );
+    prop_assert!(settings
+        .classes
+        .iter()
+        .all(|class| class.latency_objective > 0 && class.latency_objective <= class.deadline));
     prop_assert!(hosts::parse(&config.known).is_ok());
     Ok(())
 }
@@ -218,7 +223,7 @@
                 prop_assert_eq!(Some(read.reset), value["reset"].as_bool());
                 prop_assert_eq!(read.hosts.len(), value["instances"].as_array().expect("a list").len());
                 for host in &read.hosts {
-                    prop_assert!(host.phase == Phase::Gone || host.addr.is_some());
+                    prop_assert!(host.phase == EndpointState::Removed || host.addr.is_some());
                 }
             }
             Err(words) => check_words(&words)?,
--- a/crates/testkit/src/inner.rs
+++ b/crates/testkit/src/inner.rs
@@ -3,8 +3,10 @@
 
 use std::collections::BTreeMap;
 
-use mallowgauge_core::{Answer, Ask, AskPart, Asker, AttemptId, Bounds, Core, Effect};
-use mallowgauge_router::{ListNews, Outcome, Phase, ServerEntry, ServerId, ShardId};
+use mallowgauge_core::{
+    Action, AttemptId, Core, CoreLimits, PartRequest, QueryRequest, QueryResponse, ResponseHandle,
+};
+use mallowgauge_router::{BackendId, Endpoint, EndpointState, EndpointUpdate, Outcome, ShardId};
 use mallowgauge_settings::Site;
 
 use super::{settings, transcript, HOSTS};
@@ -14,38 +16,38 @@
 struct Inner {
     core: Core,
     now: u64,
-    clients: BTreeMap<Asker, String>,
+    clients: BTreeMap<ResponseHandle, String>,
     out: BTreeMap<u32, AttemptId>,
     seen: Vec<String>,
 }
 
-fn told(answer: &Answer) -> String {
+fn told(answer: &QueryResponse) -> String {
     match answer {
-        Answer::Served { whole, values } => {
+        QueryResponse::Completed { complete: whole, values } => {
             let values = values.iter().map(|(shard, value)| format!(" {}={value}", shard.0));
             format!("{}{}", if *whole { "whole" } else { "partial" }, values.collect::<String>())
         }
-        Answer::Ranked(ranked) => format!("{ranked:?}"),
-        Answer::Refused { untouched, .. } => {
+        QueryResponse::Ranked(ranked) => format!("{ranked:?}"),
+        QueryResponse::Rejected { not_executed: untouched, .. } => {
             format!("refused{}", if *untouched { ", untouched" } else { "" })
         }
-        Answer::Failed(failure) => format!("{failure:?}"),
+        QueryResponse::Failed(failure) => format!("{failure:?}"),
     }
 }
 
 impl Inner {
     fn run(&mut self, until: u64) {
-        while let Some(due) = self.core.due().filter(|&due| due <= until) {
+        while let Some(due) = self.core.poll_timeout().filter(|&due| due <= until) {
             self.now = self.now.max(due);
-            for effect in self.core.turn(self.now) {
+            for effect in self.core.run_batch(self.now) {
                 let text = match effect {
-                    Effect::Call(host, sends) => {
+                    Action::SendBatch(host, sends) => {
                         self.out.extend(sends.iter().map(|send| (send.shard.0, send.attempt)));
                         let shards: Vec<u32> = sends.iter().map(|send| send.shard.0).collect();
                         format!("call host {} {shards:?}", host.0)
                     }
-                    Effect::Reply(asker, answer) => format!("{}: {}", self.clients[&asker], told(&answer)),
-                    Effect::Abandon(host, _) => format!("abandon host {}", host.0),
+                    Action::Respond(asker, answer) => format!("{}: {}", self.clients[&asker], told(&answer)),
+                    Action::CancelAttempt(host, _) => format!("abandon host {}", host.0),
                     other => format!("{other:?}"),
                 };
                 self.see(&text);
@@ -63,36 +65,36 @@
         match words[..] {
             ["send", "part", shard, end, ..] => {
                 let (outcome, value) = match end {
-                    "good" => (Outcome::Served, Some(words[4].into())),
-                    "bad" => (Outcome::Fault, None),
-                    "later" => (Outcome::NoRoom, None),
+                    "good" => (Outcome::Succeeded, Some(words[4].into())),
+                    "bad" => (Outcome::BackendError, None),
+                    "later" => (Outcome::Rejected, None),
                     _ => panic!("no such end: {line}"),
                 };
                 let attempt = self.out[&shard.parse().expect("a shard")];
-                self.core.outcome(self.now, attempt, outcome, value);
+                self.core.attempt_completed(self.now, attempt, outcome, value);
             }
             ["send", name, kind, ms, ..] => {
-                let asker = Asker::Http(self.clients.len() as u64);
+                let asker = ResponseHandle::Http(self.clients.len() as u64);
                 self.clients.insert(asker, name.to_owned());
                 let shards = words[4..].iter().map(|s| ShardId(s.parse().expect("a shard")));
                 let weight = 1.0 / shards.len() as f64;
-                let ask = Ask {
+                let ask = QueryRequest {
                     id: name.into(),
-                    class: self.core.class(kind).expect("a class"),
+                    class: self.core.class_id(kind).expect("a class"),
                     expires_in: ms.parse::<u64>().expect("a number") * 1000,
                     retry: false,
                     work_hint: None,
-                    text: b"text".as_slice().into(),
-                    parts: shards.map(|shard| AskPart { shard, weight }).collect(),
+                    body: b"text".as_slice().into(),
+                    parts: shards.map(|shard| PartRequest { shard, weight }).collect(),
                     plan: None,
                 };
-                if let Err(answer) = self.core.ask(self.now, asker, ask) {
+                if let Err(answer) = self.core.submit(self.now, asker, ask) {
                     self.see(&format!("{name}: {}", told(&answer)));
                 }
             }
             ["close", name] => {
                 let asker = self.clients.iter().find(|(_, held)| *held == name).expect("a client").0;
-                self.core.gone(*asker);
+                self.core.client_disconnected(*asker);
             }
             ["wait", ms] => self.run(self.now + ms.parse::<u64>().expect("a number") * 1000),
             ["expect"] => return Some(std::mem::take(&mut self.seen).join("\n")),
@@ -105,15 +107,21 @@
 /// Plays a scenario against the core.
 pub fn inside(scenario: &str) -> String {
     let site = Site::read(&settings()).expect("settings");
-    let core = Core::new(0, site.settings, site.classes, Bounds { max_open: 20, shards: 10 })
+    let core = Core::new(0, site.settings, site.classes, CoreLimits { max_open: 20, shards: 10 })
         .expect("sound settings");
     let (clients, out, seen) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
     let mut inner = Inner { core, now: START, clients, out, seen };
     let entry = |i: usize| {
-        let (server, cell) = (ServerId(i as u32), i as u32);
-        ServerEntry { server, cell, phase: Phase::Ready, started: None, zone: None }
+        let (server, cell) = (BackendId(i as u32), i as u32);
+        Endpoint {
+            backend: server,
+            ring_position: cell,
+            state: EndpointState::Ready,
+            started_at: None,
+            zone: None,
+        }
     };
-    inner.core.list(ListNews::Saved((0..HOSTS).map(entry).collect()));
+    inner.core.endpoint_update(EndpointUpdate::CachedSnapshot((0..HOSTS).map(entry).collect()));
     inner.run(START);
     transcript(scenario, |line| inner.step(line))
 }
