--- a/Makefile
+++ b/Makefile
@@ -42,7 +42,7 @@
 
 # The plan against its model, in 100,000 random cases.
 test-phases:
-	PHASES_CASES=100000 cargo test --release --locked -p mallowgauge-core --test phases
+	PHASES_CASES=100000 cargo test --release --locked -p mallowgauge-core --test two_phase
 
 # Several real processes with faults between them: every plan file; takes about two minutes.
 trial: build
@@ -62,8 +62,8 @@
 
 # The register of a query under every order of events: a fleet of one owner and a rival whole, others by random walks.
 test-register:
-	REGISTER_WALKS=200 cargo test --release --locked -p mallowgauge-fleet --test register_model -- --include-ignored --nocapture
-	TAKEOVER_SEEDS=20000 cargo test --release --locked -p mallowgauge-fleet --test takeover
+	REGISTER_WALKS=200 cargo test --release --locked -p mallowgauge-cluster --test register_model -- --include-ignored --nocapture
+	TAKEOVER_SEEDS=20000 cargo test --release --locked -p mallowgauge-cluster --test takeover
 
 # Five processes, 2,000 kills, halts and cuts under load, 100,000 holds counted at the hosts; takes about a quarter of an hour.
 trial-handover: build
--- a/crates/fleet/tests/members.rs
+++ b/crates/cluster/tests/members.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use mallowgauge_fleet::flow::{Bundle, Intake, Queue, Worth};
-use mallowgauge_fleet::links::{latest, Dials, Refusal, Register, Room};
-use mallowgauge_fleet::members::{Claim, Grade, Members, Message, Note, Order, Pace, State};
-use mallowgauge_fleet::{Incarnation, PeerId};
+use mallowgauge_cluster::flow::{Bundle, Intake, Queue, Worth};
+use mallowgauge_cluster::links::{latest, Dials, Refusal, Register, Room};
+use mallowgauge_cluster::members::{Claim, Grade, Members, Message, Note, Order, Pace, State};
+use mallowgauge_cluster::{Incarnation, PeerId};
 use proptest::prelude::*;
 
 /// The message that is written next.
--- a/crates/fleet/tests/register.rs
+++ b/crates/cluster/tests/register.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use mallowgauge_fleet::register::{
+use mallowgauge_cluster::register::{
     keepers, Abstains, Actor, Ballot, Bounds, Id, Keeper, Lives, Meeting, Opened, Order, Word, Written,
 };
-use mallowgauge_fleet::{Incarnation, PeerId};
+use mallowgauge_cluster::{Incarnation, PeerId};
 
 const LIFE: u64 = 1_000_000;
 const BOUNDS: Bounds = Bounds { records: 4, bytes: 1 << 20, life: LIFE };
--- a/crates/fleet/tests/register_model.rs
+++ b/crates/cluster/tests/register_model.rs
@@ -8,10 +8,10 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use mallowgauge_fleet::register::{
+use mallowgauge_cluster::register::{
     Actor, Ballot, Bounds, Id, Keeper, Mark, Meeting, Opened, Order, Standing, Word,
 };
-use mallowgauge_fleet::{Incarnation, PeerId};
+use mallowgauge_cluster::{Incarnation, PeerId};
 use stateright::{Checker, Model, Property};
 
 const BOUNDS: Bounds = Bounds { records: 100, bytes: 1 << 20, life: 1_000_000 };
--- a/crates/fleet/tests/takeover.rs
+++ b/crates/cluster/tests/takeover.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use mallowgauge_fleet::register::{Bounds, Id, Order};
-use mallowgauge_fleet::takeover::{Desk, Ended, Note, Request, Setup, Wish};
-use mallowgauge_fleet::{Incarnation, PeerId};
+use mallowgauge_cluster::register::{Bounds, Id, Order};
+use mallowgauge_cluster::takeover::{Desk, Ended, Note, Request, Setup, Wish};
+use mallowgauge_cluster::{Incarnation, PeerId};
 
 const MS: u64 = 1000;
 const LIFE: u64 = 4_000 * MS;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -4,18 +4,18 @@
 //! gathers these until the next turn, gives them to the [`Router`] in one call and turns the router's
 //! actions into [`Action`]s. Every time is an argument.
 
-pub mod admission;
 pub mod batch;
-pub mod budget;
-pub mod flights;
-pub mod links;
-pub mod phases;
+pub mod connection_limits;
+pub mod polled_queries;
 pub mod sessions;
-pub mod truth;
+pub mod stream_admission;
+pub mod stream_outcome;
+pub mod table_memory;
+pub mod two_phase;
 mod value;
 
-use budget::CallId;
-use phases::{Choose, Clock, Lost, Plan, Ranked, Rule, SketchBounds, Sketches, Spec, Want};
+use table_memory::CallId;
+use two_phase::{Choose, Clock, Lost, Plan, Ranked, Rule, SketchBounds, Sketches, Spec, Want};
 pub use value::{Message, Table, Value};
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -592,7 +592,8 @@
                 Choose::Share(share) => !(0.0..=1.0).contains(&share),
                 Choose::Threshold | Choose::All => false,
             };
-            if odd || !(1..=phases::MOST_TOP).contains(&top) || !(1..=phases::MOST_TOP).contains(&wave) {
+            if odd || !(1..=two_phase::MOST_TOP).contains(&top) || !(1..=two_phase::MOST_TOP).contains(&wave)
+            {
                 return invalid("the plan makes no sense");
             }
         }
@@ -657,7 +658,7 @@
             Choose::All => open.ask.parts.len().div_ceil(ask.spec.wave),
             Choose::Threshold | Choose::Share(_) => 2,
         };
-        let setup = phases::Setup {
+        let setup = two_phase::Setup {
             blocks: open.ask.parts.iter().map(|part| (part.shard, part.weight)).collect(),
             known: open.ask.parts.iter().map(known).collect(),
             spec: ask.spec,
@@ -753,7 +754,7 @@
         let effect = !self.harmless[open.ask.class.0];
         let wants = match (slot.scout, text) {
             (true, Some(text)) => {
-                let Ok(sketch) = phases::sketch(text) else { return false };
+                let Ok(sketch) = two_phase::sketch(text) else { return false };
                 let predicate = predicate_of(&open.ask.body);
                 if let Some(phases) = &mut self.phases {
                     phases.sketches.put(now, predicate, shard, sketch);
@@ -763,7 +764,7 @@
             (true, None) => plan.scouted(now, slot.at, Err(lost)),
             (false, Some(text)) if effect => plan.held(now, slot.at, Rc::clone(text)),
             (false, Some(text)) => {
-                let Ok(rows) = phases::rows(shard, text) else { return false };
+                let Ok(rows) = two_phase::rows(shard, text) else { return false };
                 plan.fetched(now, slot.at, Ok(rows))
             }
             (false, None) => plan.fetched(now, slot.at, Err(lost)),
--- a/crates/core/src/value.rs
+++ b/crates/core/src/value.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 
-use crate::budget::TableLease;
+use crate::table_memory::TableLease;
 
 /// One message of a table, as it came: its header (a flatbuffer) and its body. Neither is copied on the way.
 #[derive(Clone, PartialEq, Eq)]
--- a/crates/core/tests/links.rs
+++ b/crates/core/tests/connection_limits.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use mallowgauge_core::links::{
+use mallowgauge_core::connection_limits::{
     choose, connection_to_evict, largest_connection, Choice, ConnectionCapacity, ConnectionLimits,
     ConnectionResources, ConnectionView,
 };
--- a/crates/core/tests/flights.rs
+++ b/crates/core/tests/polled_queries.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use mallowgauge_core::flights::{
+use mallowgauge_core::polled_queries::{
     CancelResult, PolledQueries, PolledQueryKey, PolledQueryLimits, PolledQuerySpec, RejectReason, RunId,
     Submission, WaiterId,
 };
--- a/crates/core/tests/census.rs
+++ b/crates/core/tests/resource_counts.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use mallowgauge_core::phases::{Choose, Rule, Silent, SketchBounds, Spec};
+use mallowgauge_core::two_phase::{Choose, Rule, Silent, SketchBounds, Spec};
 use mallowgauge_core::*;
 use mallowgauge_router::{
     BackendId, Class, ClassId, DeploymentLimits, Discovery, Endpoint, EndpointState, EndpointUpdate,
--- a/crates/core/tests/streams.rs
+++ b/crates/core/tests/streams.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeMap;
 
-use mallowgauge_core::admission::{Admission, Limits, Reader, STALL};
 use mallowgauge_core::batch::{Batch, Bounds, Phase, Why};
 use mallowgauge_core::sessions::{Bad, Compression, Options, SessionId, Sessions, Setting};
-use mallowgauge_core::truth::{classify, not_executed, StreamEnd, StreamStage};
+use mallowgauge_core::stream_admission::{Admission, Limits, Reader, STALL};
+use mallowgauge_core::stream_outcome::{classify, not_executed, StreamEnd, StreamStage};
 use mallowgauge_router::Outcome;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/crates/core/tests/budget.rs
+++ b/crates/core/tests/table_memory.rs
@@ -3,7 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use mallowgauge_core::budget::{CallId, StreamId, TableLease, TableMemory, TableMemoryLimits, WindowGrant};
+use mallowgauge_core::table_memory::{
+    CallId, StreamId, TableLease, TableMemory, TableMemoryLimits, WindowGrant,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/core/tests/phases.rs
+++ b/crates/core/tests/two_phase.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 
-use mallowgauge_core::phases::*;
+use mallowgauge_core::two_phase::*;
 use mallowgauge_router::ShardId;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/crates/edge/src/front/flight/call.rs
+++ b/crates/edge/src/front/flight/call.rs
@@ -8,7 +8,7 @@
 use h2::server::SendResponse;
 use h2::{Reason, RecvStream, SendStream};
 use http::{HeaderMap, HeaderValue, Request, Response};
-use mallowgauge_core::admission::Reader;
+use mallowgauge_core::stream_admission::Reader;
 use mallowgauge_flight::answer;
 use mallowgauge_flight::grpc::{self, Code, Deframer, Encoding, Status};
 use mallowgauge_router::Micros;
--- a/crates/edge/src/front/flight/long.rs
+++ b/crates/edge/src/front/flight/long.rs
@@ -4,9 +4,9 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use mallowgauge_core::admission::Limits;
 use mallowgauge_core::batch::{Batch, Bounds, Phase};
-use mallowgauge_core::flights::WaiterId;
+use mallowgauge_core::polled_queries::WaiterId;
+use mallowgauge_core::stream_admission::Limits;
 use mallowgauge_core::{Failure, Message, QueryResponse};
 use mallowgauge_flight::grpc::{Code, Status};
 use mallowgauge_flight::ipc::Collector;
--- a/crates/edge/src/front/flight/methods.rs
+++ b/crates/edge/src/front/flight/methods.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use mallowgauge_core::flights::{
+use mallowgauge_core::polled_queries::{
     CancelResult, PolledQueryKey, PolledQuerySpec, PolledState, RejectReason, WaiterId,
 };
 use mallowgauge_core::sessions::{Bad, Options, Setting};
--- a/crates/edge/src/front/flight/mod.rs
+++ b/crates/edge/src/front/flight/mod.rs
@@ -22,12 +22,12 @@
 use h2::server::{self, SendResponse};
 use h2::RecvStream;
 use http::{HeaderMap, Request, Response};
-use mallowgauge_core::admission::{Admission, Limits, CONNECTION_WINDOW};
 use mallowgauge_core::batch::{Phase, Why as Busy};
-use mallowgauge_core::flights::{
+use mallowgauge_core::polled_queries::{
     self, PolledQueries, PolledQueryKey, PolledQuerySpec, PolledState, RunId, Submission, WaiterId,
 };
 use mallowgauge_core::sessions::{SessionId, Sessions};
+use mallowgauge_core::stream_admission::{Admission, Limits, CONNECTION_WINDOW};
 use mallowgauge_core::{Core, QueryRequest, QueryResponse, ResponseHandle};
 use mallowgauge_flight::answer::{schema_message, text_schema};
 use mallowgauge_flight::grpc::{self, Code, Encoding, Status};
@@ -224,7 +224,7 @@
                 Submission::Reject(why) => return Submitted::Over(Err(refusal(why))),
             }
         } else if matches!(self.flights.state(now, &key), Some(PolledState::Cancelled)) {
-            return Submitted::Over(Err(refusal(flights::RejectReason::Cancelled)));
+            return Submitted::Over(Err(refusal(polled_queries::RejectReason::Cancelled)));
         }
         let plain = (!shared).then_some(caller);
         self.runs.insert(run, Run { class: ask.class, key: key.clone(), plain });
@@ -298,7 +298,7 @@
         let found: Vec<(RunId, WaiterId)> = self.runs.iter().filter_map(of).collect();
         for (run, caller) in found {
             self.give_up(run, core);
-            self.tell(vec![caller], &Err(refusal(flights::RejectReason::Cancelled)));
+            self.tell(vec![caller], &Err(refusal(polled_queries::RejectReason::Cancelled)));
         }
     }
 
@@ -331,7 +331,7 @@
         // Without a key of the operator's, tickets and tokens count until this copy ends.
         let secret: [u8; 32] = random();
         let key = seal::Key::new(settings.key.as_deref().unwrap_or(&secret));
-        let bounds = flights::PolledQueryLimits {
+        let bounds = polled_queries::PolledQueryLimits {
             flights: limits.flights,
             bytes: limits.outcomes,
             keep: KEEP,
@@ -852,11 +852,13 @@
                     let touched = |run: RunId| core.possibly_executed(ResponseHandle::Flight(run.0));
                     let cancel = key.as_ref().map(|key| office.flights.cancel(now, key, touched));
                     match (cancel, key) {
-                        (Some(flights::CancelResult::Cancelled(run, callers)), _) => {
+                        (Some(polled_queries::CancelResult::Cancelled(run, callers)), _) => {
                             office.give_up(run, core);
-                            office.tell(callers, &Err(refusal(flights::RejectReason::Cancelled)));
+                            office.tell(callers, &Err(refusal(polled_queries::RejectReason::Cancelled)));
+                        }
+                        (Some(polled_queries::CancelResult::Unknown), Some(key)) => {
+                            office.cancel_plain(&key, core)
                         }
-                        (Some(flights::CancelResult::Unknown), Some(key)) => office.cancel_plain(&key, core),
                         _ => {}
                     }
                 }
--- a/crates/edge/src/front/query.rs
+++ b/crates/edge/src/front/query.rs
@@ -5,7 +5,7 @@
 use serde_json::{json, Value};
 
 use mallowgauge_core as core;
-use mallowgauge_core::phases::{Choose, Ranked, Row, Silent, Spec};
+use mallowgauge_core::two_phase::{Choose, Ranked, Row, Silent, Spec};
 use mallowgauge_core::{PartRequest, PlanRequest, QueryRequest};
 use mallowgauge_flight::rows;
 use mallowgauge_router::{ClassId, Micros, ShardId};
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -2,10 +2,10 @@
 
 pub mod discovery;
 pub mod front;
-pub mod gatherer;
-pub mod handover;
 pub mod lifecycle;
 pub mod peers;
+pub mod server;
+pub mod takeover;
 pub mod tls;
 pub mod upstream;
 pub mod wire;
--- a/crates/edge/src/peers/mod.rs
+++ b/crates/edge/src/peers/mod.rs
@@ -1,5 +1,5 @@
 //! Links to the other gatherers of the list: sockets and bytes. Who may be linked, who dials when, what waits
-//! and who is held to be there is decided in `mallowgauge_fleet`.
+//! and who is held to be there is decided in `mallowgauge_cluster`.
 //!
 //! A peer can cost queries nothing that matters: what it sends is read at a bounded rate and in bounded pieces,
 //! what waits for it is bounded, and one that is silent in the middle of a message, never reads or says what
@@ -11,12 +11,12 @@
 use std::io::IoSlice;
 use std::net::{IpAddr, SocketAddr, TcpStream};
 
-use mallowgauge_fleet::flow::{Bundle, Intake, Queue};
-use mallowgauge_fleet::links::{latest, Dials, Hello, Refusal, Register, Room};
-use mallowgauge_fleet::members::{Claim, Members, Note, Order, State};
-use mallowgauge_fleet::register::Bounds;
-use mallowgauge_fleet::takeover::{Desk, Note as DeskNote, Setup, Wish};
-use mallowgauge_fleet::{Incarnation, PeerId};
+use mallowgauge_cluster::flow::{Bundle, Intake, Queue};
+use mallowgauge_cluster::links::{latest, Dials, Hello, Refusal, Register, Room};
+use mallowgauge_cluster::members::{Claim, Members, Note, Order, State};
+use mallowgauge_cluster::register::Bounds;
+use mallowgauge_cluster::takeover::{Desk, Note as DeskNote, Setup, Wish};
+use mallowgauge_cluster::{Incarnation, PeerId};
 use mallowgauge_net::{Handle, Listener, ReadEnd, Stream, Token};
 use mallowgauge_router::Micros;
 use mallowgauge_settings::Fleet;
--- a/crates/edge/src/peers/wire.rs
+++ b/crates/edge/src/peers/wire.rs
@@ -1,11 +1,11 @@
 //! Messages between gatherers as bytes: a length of four bytes, most significant first, then a protobuf
 //! envelope. Unknown fields and unknown kinds pass by; only another major version is refused.
 
-use mallowgauge_fleet::flow::Worth;
-use mallowgauge_fleet::links::Hello;
-use mallowgauge_fleet::members::{Claim, Grade, Message, Reached, State};
-use mallowgauge_fleet::takeover::Note;
-use mallowgauge_fleet::{Incarnation, PeerId};
+use mallowgauge_cluster::flow::Worth;
+use mallowgauge_cluster::links::Hello;
+use mallowgauge_cluster::members::{Claim, Grade, Message, Reached, State};
+use mallowgauge_cluster::takeover::Note;
+use mallowgauge_cluster::{Incarnation, PeerId};
 use prost::Message as _;
 
 /// Bytes of a message's length.
--- a/crates/edge/src/gatherer.rs
+++ b/crates/edge/src/server.rs
@@ -7,16 +7,16 @@
 
 use crate::discovery::{Discovery, News, Roster};
 use crate::front::{flight, http};
-use crate::handover::{Handover, Task};
 use crate::lifecycle::{Lifecycle, Phase};
 use crate::peers::Peers;
+use crate::takeover::{Handover, Task};
 use crate::tls::Connector;
 use crate::token;
 use crate::upstream::flight::Terms;
 use crate::upstream::{Pool, Report};
-use mallowgauge_core::admission::Limits;
-use mallowgauge_core::budget::{self, TableMemory};
-use mallowgauge_core::links::{ConnectionLimits, ConnectionResources};
+use mallowgauge_core::connection_limits::{ConnectionLimits, ConnectionResources};
+use mallowgauge_core::stream_admission::Limits;
+use mallowgauge_core::table_memory::{self, TableMemory};
 use mallowgauge_core::{Action, AttemptId, Core, ResponseHandle, Value};
 use mallowgauge_flight::{rows, schema};
 use mallowgauge_net::{Clock, Handle, Listener, Owner, Token};
@@ -128,7 +128,8 @@
         let bind = |addr| Listener::bind(&handle, addr, token).map_err(|e| format!("{addr}: {e}"));
         let flight_listener = config.flight.listen.map(bind).transpose()?;
         let limits = room.flight;
-        let bounds = budget::TableMemoryLimits { total: limits.tables, per_query: limits.tables_a_call };
+        let bounds =
+            table_memory::TableMemoryLimits { total: limits.tables, per_query: limits.tables_a_call };
         let terms = Terms {
             budget: TableMemory::new(bounds),
             window: limits.window,
--- a/crates/edge/src/handover.rs
+++ b/crates/edge/src/takeover.rs
@@ -1,15 +1,15 @@
 //! Carries queries with an effect between the core, which runs them, and the fleet, which gives leave for their
-//! attempts and records how they end. What is allowed is decided in `mallowgauge_fleet::register`.
+//! attempts and records how they end. What is allowed is decided in `mallowgauge_cluster::register`.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
 
+use mallowgauge_cluster::takeover::{Ended, Request, Stands, Wish};
 use mallowgauge_core::{
     AttemptId, AttemptRequest, CompletedQuery, Core, Failure, PartRequest, QueryRequest, QueryResponse,
     ResponseHandle, Value,
 };
-use mallowgauge_fleet::takeover::{Ended, Request, Stands, Wish};
 use mallowgauge_router::{BackendId, ClassId, Micros, Outcome, ShardId};
 use serde::{Deserialize, Serialize};
 
@@ -42,7 +42,7 @@
 /// Eight bytes that tell one body from another.
 fn digest(ask: &QueryRequest) -> [u8; 8] {
     let body = postcard::to_stdvec(&(ask.class.0 as u32, &*ask.body, parts(ask))).unwrap_or_default();
-    mallowgauge_fleet::digest(body).to_be_bytes()
+    mallowgauge_cluster::digest(body).to_be_bytes()
 }
 
 /// Eight bytes that tell one body from another, and then what was asked.
--- a/crates/edge/src/upstream/flight.rs
+++ b/crates/edge/src/upstream/flight.rs
@@ -17,8 +17,8 @@
 use bytes::Bytes;
 use h2::client::{self, ResponseFuture, SendRequest};
 use h2::{Ping, PingPong, Reason, RecvStream, SendStream};
-use mallowgauge_core::budget::{CallId, StreamId, TableMemory, WindowGrant};
-use mallowgauge_core::truth::{self, StreamEnd, StreamStage};
+use mallowgauge_core::stream_outcome::{self, StreamEnd, StreamStage};
+use mallowgauge_core::table_memory::{CallId, StreamId, TableMemory, WindowGrant};
 use mallowgauge_core::{AttemptId, AttemptRequest, Table, Value};
 use mallowgauge_flight::grpc::{self, Code, Deframer, Encoding};
 use mallowgauge_flight::ipc::Collector;
@@ -390,7 +390,7 @@
     /// The connection is over: calls that were not begun have never run, the rest may have.
     pub fn end(&mut self, reports: &mut Vec<Report>) {
         let never = self.queue.drain(..).flatten().map(|send| send.attempt);
-        let outcome = truth::classify(StreamStage::Queued, StreamEnd::ConnectionLost);
+        let outcome = stream_outcome::classify(StreamStage::Queued, StreamEnd::ConnectionLost);
         reports.extend(never.map(|id| Report::Ended(id, outcome, None)));
         for mut call in self.calls.drain(..) {
             call.report(self.server, StreamEnd::ConnectionLost, &self.terms.budget, reports);
@@ -568,7 +568,7 @@
 
     /// Says how the part ended.
     fn report(&mut self, server: BackendId, end: StreamEnd, budget: &TableMemory, reports: &mut Vec<Report>) {
-        let mut outcome = truth::classify(self.stage, end);
+        let mut outcome = stream_outcome::classify(self.stage, end);
         let mut value = None;
         if outcome == Outcome::Succeeded {
             match self.value(budget) {
--- a/crates/edge/src/upstream/mod.rs
+++ b/crates/edge/src/upstream/mod.rs
@@ -6,7 +6,7 @@
 
 pub use pool::{Link, Pool};
 
-use mallowgauge_core::budget::CallId;
+use mallowgauge_core::table_memory::CallId;
 use mallowgauge_core::{AttemptId, AttemptRequest, Value};
 use mallowgauge_router::{BackendId, Micros, Outcome};
 
--- a/crates/edge/src/upstream/pool.rs
+++ b/crates/edge/src/upstream/pool.rs
@@ -7,7 +7,7 @@
 use crate::upstream::flight::{FlightLink, Terms};
 use crate::upstream::frames::{self, Said};
 use crate::upstream::{drop_late, Report, SLOWEST_FRAME};
-use mallowgauge_core::links::{
+use mallowgauge_core::connection_limits::{
     choose, connection_to_evict, largest_connection, Choice, ConnectionCapacity, ConnectionLimits,
     ConnectionView,
 };
--- a/crates/edge/tests/bad_input.rs
+++ b/crates/edge/tests/bad_input.rs
@@ -4,13 +4,13 @@
 use std::collections::BTreeSet;
 
 use bytes::Bytes;
+use mallowgauge_cluster::links::Hello;
+use mallowgauge_cluster::members::{Claim, Grade, Message as Between, Reached, State};
+use mallowgauge_cluster::{Incarnation, PeerId};
 use mallowgauge_edge::front::http1::{self, Bad, Body, Head, Response};
 use mallowgauge_edge::front::query;
 use mallowgauge_edge::peers::wire::{self, Said as PeerSaid};
 use mallowgauge_edge::upstream::frames::{self, Said};
-use mallowgauge_fleet::links::Hello;
-use mallowgauge_fleet::members::{Claim, Grade, Message as Between, Reached, State};
-use mallowgauge_fleet::{Incarnation, PeerId};
 use mallowgauge_flight::grpc::{self, Deframer, Encoding};
 use mallowgauge_flight::proto;
 use mallowgauge_router::{ClassId, Outcome};
--- a/crates/flight/src/answer.rs
+++ b/crates/flight/src/answer.rs
@@ -16,8 +16,8 @@
 use arrow_ipc::CompressionType;
 use arrow_schema::{ArrowError, DataType, Field, Schema};
 use bytes::Bytes;
-use mallowgauge_core::phases::Row;
 use mallowgauge_core::sessions::Compression;
+use mallowgauge_core::two_phase::Row;
 use mallowgauge_core::{Table, Value};
 use mallowgauge_router::ShardId;
 use prost::encoding::{encode_key, encode_varint, encoded_len_varint, key_len, WireType};
--- a/crates/mallowgauge/src/main.rs
+++ b/crates/mallowgauge/src/main.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-use mallowgauge_edge::gatherer::Gatherer;
+use mallowgauge_edge::server::Gatherer;
 use mallowgauge_settings::{Config, LogFormat};
 use tracing_subscriber::field::RecordFields;
 use tracing_subscriber::fmt::format::{debug_fn, Writer};
@@ -55,7 +55,7 @@
     #[cfg(feature = "planted")]
     let life = life.and_then(|life| {
         let bug = std::env::var("MALLOWGAUGE_PLANTED");
-        bug.map_or(Ok(()), |bug| mallowgauge_fleet::planted::plant(&bug)).map(|()| life)
+        bug.map_or(Ok(()), |bug| mallowgauge_cluster::planted::plant(&bug)).map(|()| life)
     });
     let ended = life.and_then(|life| run(operator, life));
     if let Err(message) = &ended {
--- a/crates/settings/src/config.rs
+++ b/crates/settings/src/config.rs
@@ -7,8 +7,8 @@
 use crate::fleet::Fleet;
 use crate::operator::{self, Flight, LogFormat, Operator};
 use crate::site::{Section, Site};
+use mallowgauge_cluster::links::Room;
 use mallowgauge_core::{CoreLimits, TwoPhaseSettings};
-use mallowgauge_fleet::links::Room;
 use mallowgauge_router::Micros;
 
 /// Figures for connections.
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -13,8 +13,8 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
-use mallowgauge_fleet::links::Room;
-use mallowgauge_fleet::members::Pace;
+use mallowgauge_cluster::links::Room;
+use mallowgauge_cluster::members::Pace;
 use serde_json::Value;
 
 use crate::config::address;
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -16,7 +16,7 @@
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-use mallowgauge_core::phases::{Rule, SketchBounds};
+use mallowgauge_core::two_phase::{Rule, SketchBounds};
 use mallowgauge_core::TwoPhaseSettings;
 use mallowgauge_router::Micros;
 use serde_json::{Map, Value};
