--- a/crates/edge/src/peers/mod.rs
+++ b/crates/edge/src/peers/mod.rs
@@ -126,9 +126,9 @@
     addresses: Vec<SocketAddr>,
     members: Members,
     /// What is done for ids, where queries are taken over.
-    desk: Option<Desk>,
+    takeover: Option<Desk>,
     /// What the desk wants of the rest of the program.
-    wishes: Vec<Wish>,
+    takeover_actions: Vec<Wish>,
     dials: Dials,
     room: Room,
     listener: Option<Listener>,
@@ -144,7 +144,7 @@
     unsaid: BTreeSet<u64>,
     /// Messages that had to go for want of room, so far.
     dropped: u64,
-    due: Option<Micros>,
+    next_timeout: Option<Micros>,
 }
 
 /// How long accepting rests when no more descriptors are to be had.
@@ -157,7 +157,7 @@
 const SAID: usize = 64;
 
 impl Peers {
-    /// Opens the listener; nothing is dialed before [`Peers::expire`].
+    /// Opens the listener; nothing is dialed before [`Peers::handle_timeout`].
     ///
     /// # Errors
     /// The address cannot be bound.
@@ -185,11 +185,11 @@
         let mut peers = Self {
             members: Members::new(now, me, fleet.peers.len(), life, fleet.pace, seed),
             dials: Dials::new(now, &register, seed ^ life),
-            desk: fleet.handover.map(|life| {
+            takeover: fleet.handover.map(|life| {
                 let bounds = Bounds { records: room.records, bytes: room.records * A_RECORD, life };
                 Desk::new(Setup { me, peers: fleet.peers.len(), group: fleet.group, bounds })
             }),
-            wishes: Vec::new(),
+            takeover_actions: Vec::new(),
             register,
             addresses: fleet.peers.iter().map(|peer| peer.address).collect(),
             room,
@@ -201,7 +201,7 @@
             said: BTreeMap::new(),
             unsaid: BTreeSet::new(),
             dropped: 0,
-            due: None,
+            next_timeout: None,
         };
         peers.flush(now);
         Ok(peers)
@@ -209,13 +209,13 @@
 
     /// When something is to be done without any socket's call.
     #[must_use]
-    pub fn due(&self) -> Option<Micros> {
-        self.due
+    pub fn poll_timeout(&self) -> Option<Micros> {
+        self.next_timeout
     }
 
     /// Does all whose time has come.
-    pub fn expire(&mut self, now: Micros, handle: &Handle) {
-        if self.due.is_none_or(|due| due > now) {
+    pub fn handle_timeout(&mut self, now: Micros, handle: &Handle) {
+        if self.next_timeout.is_none_or(|due| due > now) {
             return;
         }
         if self.resting.is_some_and(|until| until <= now) {
@@ -230,7 +230,7 @@
             self.late(now, id);
         }
         self.members.tick(now);
-        self.desk.iter_mut().for_each(|desk| desk.tick(now));
+        self.takeover.iter_mut().for_each(|desk| desk.tick(now));
         for peer in self.dials.take(now) {
             self.dial(now, handle, peer);
         }
@@ -250,7 +250,7 @@
     }
 
     /// This process ends: all hear it, and nobody is linked any more.
-    pub fn leave(&mut self, now: Micros) {
+    pub fn announce_leave(&mut self, now: Micros) {
         self.members.leave();
         self.settle(now);
     }
@@ -263,13 +263,13 @@
     }
 
     /// What the desk wants of the rest of the program since the last call.
-    pub fn wishes(&mut self) -> Vec<Wish> {
-        std::mem::take(&mut self.wishes)
+    pub fn take_takeover_actions(&mut self) -> Vec<Wish> {
+        std::mem::take(&mut self.takeover_actions)
     }
 
     /// Something happens to a query; what comes of it is sent at once.
-    pub fn desk<T>(&mut self, now: Micros, call: impl FnOnce(&mut Desk) -> T) -> Option<T> {
-        let done = call(self.desk.as_mut()?);
+    pub fn with_takeover_manager<T>(&mut self, now: Micros, call: impl FnOnce(&mut Desk) -> T) -> Option<T> {
+        let done = call(self.takeover.as_mut()?);
         self.settle(now);
         Some(done)
     }
@@ -279,7 +279,7 @@
         // Sending can end a link, and that can be worth a message: each round ends one link at the least.
         loop {
             let orders = self.members.orders();
-            let wishes = self.desk.as_mut().map(Desk::wishes).unwrap_or_default();
+            let wishes = self.takeover.as_mut().map(Desk::wishes).unwrap_or_default();
             if orders.is_empty() && wishes.is_empty() {
                 break;
             }
@@ -290,7 +290,7 @@
                         let id = self.link(to);
                         id.into_iter().for_each(|id| self.bundle(now, id, &note));
                     }
-                    wish => self.wishes.push(wish),
+                    wish => self.takeover_actions.push(wish),
                 }
             }
         }
@@ -314,9 +314,9 @@
         self.settle(now);
         let again = (!self.unsaid.is_empty()).then_some(now);
         let links = self.links.values().filter_map(Link::due);
-        let desk = self.desk.as_ref().and_then(Desk::due);
+        let desk = self.takeover.as_ref().and_then(Desk::due);
         let rest = [self.members.due(), self.dials.due(), self.resting, desk, again];
-        self.due = links.chain(rest.into_iter().flatten()).min();
+        self.next_timeout = links.chain(rest.into_iter().flatten()).min();
     }
 
     /// A note goes to a peer, with others of this turn.
@@ -366,7 +366,7 @@
                 }
                 // Who has said that it ends goes on until it has ended what it took: it is away once its link is.
                 let away = state != "alive" && !(state == "left" && self.link(about).is_some());
-                self.desk.iter_mut().for_each(|desk| desk.held(now, about, away));
+                self.takeover.iter_mut().for_each(|desk| desk.held(now, about, away));
                 if state == "alive" {
                     self.dials.hint(now, about);
                 }
@@ -379,7 +379,7 @@
                 tracing::error!("another gatherer is {name}, life {held}; this one stands aside");
                 // Nobody takes this process for a member now, and it takes part in nothing.
                 let life = self.members.incarnation();
-                self.desk.iter_mut().for_each(|desk| desk.reborn(now, life));
+                self.takeover.iter_mut().for_each(|desk| desk.reborn(now, life));
                 let up: Vec<u64> = self.of.iter().copied().flatten().collect();
                 for id in up {
                     self.part(now, id, "it stands aside");
@@ -387,7 +387,7 @@
             }
             Note::Renewed(incarnation) => {
                 tracing::info!("an earlier life of this gatherer was known; it goes on as {incarnation}");
-                self.desk.iter_mut().for_each(|desk| desk.reborn(now, incarnation));
+                self.takeover.iter_mut().for_each(|desk| desk.reborn(now, incarnation));
             }
         }
     }
@@ -565,7 +565,7 @@
                 if let Some(link) = self.links.get_mut(&id) {
                     link.intake.owe(notes.len().saturating_sub(1) as u64);
                 }
-                if let Some(desk) = &mut self.desk {
+                if let Some(desk) = &mut self.takeover {
                     notes.into_iter().for_each(|note| desk.note(now, peer, note));
                 }
             }
@@ -613,7 +613,7 @@
         tracing::info!("peer {} is linked, life {}", self.register.name(peer), hello.incarnation);
         self.members.linked(now, own);
         let life = self.members.incarnation();
-        self.desk.iter_mut().for_each(|desk| desk.linked(now, peer, own.incarnation, life));
+        self.takeover.iter_mut().for_each(|desk| desk.linked(now, peer, own.incarnation, life));
     }
 
     /// Says why, and lets the other side read it.
@@ -689,7 +689,7 @@
         self.dials.ended(now, peer);
         self.members.unlinked(now, peer, broken);
         if self.members.claim(peer).is_some_and(|claim| claim.state == State::Left) {
-            self.desk.iter_mut().for_each(|desk| desk.held(now, peer, true));
+            self.takeover.iter_mut().for_each(|desk| desk.held(now, peer, true));
         }
         Some(peer)
     }
--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -1,4 +1,4 @@
-//! The gatherer: everything that the event loop calls back into, and the loop itself.
+//! The server: everything that the event loop calls back into, and the loop itself.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::front::{flight, http};
 use crate::lifecycle::{Lifecycle, Phase};
 use crate::peers::Peers;
-use crate::takeover::{Handover, Task};
+use crate::takeover::{TakeoverAdapter, Task};
 use crate::tls::Connector;
 use crate::token;
 use crate::upstream::flight::Terms;
@@ -73,7 +73,7 @@
 const ACCEPT_BACK_OFF: Micros = 20_000;
 
 /// The program's parts.
-pub struct Gatherer {
+pub struct Server {
     clock: Clock,
     handle: Handle,
     lifecycle: Lifecycle,
@@ -85,9 +85,9 @@
     discovery: Discovery,
     /// The other gatherers, where the operator's file names any.
     peers: Option<Peers>,
-    handover: Handover,
+    takeover: TakeoverAdapter,
     roster: Roster,
-    /// The list that this gatherer started with, while it is not in use yet, and until when it waits.
+    /// The list that this server started with, while it is not in use yet, and until when it waits.
     saved: Option<(Micros, List)>,
     zones: Vec<String>,
     listener: Option<Listener>,
@@ -99,8 +99,8 @@
 /// Reads the configuration, at the start and again on SIGHUP.
 type Load = Box<dyn Fn() -> Result<Config, String>>;
 
-impl Gatherer {
-    /// Opens the sockets; nothing is taken before [`Gatherer::run`].
+impl Server {
+    /// Opens the sockets; nothing is taken before [`Server::run`].
     ///
     /// # Errors
     /// One line that says what is wrong.
@@ -142,7 +142,7 @@
         let peers =
             peers.map(|(fleet, room)| Peers::start(clock.now(), &handle, (fleet, *room), life, config.seed));
         let peers = peers.transpose()?;
-        let mut gatherer = Self {
+        let mut server = Self {
             clock,
             lifecycle: Lifecycle::new(longest.unwrap_or_default()),
             core,
@@ -152,7 +152,7 @@
             pool: Pool::new(config.links, config.flight.clone(), room.shares, terms),
             discovery: Discovery::new(config.discovery, known.generation, pushed),
             peers,
-            handover: Handover::default(),
+            takeover: TakeoverAdapter::default(),
             roster: Roster::default(),
             saved: None,
             zones,
@@ -161,20 +161,20 @@
             handle,
             load,
         };
-        tracing::info!("{} listens on {}", config.name, gatherer.address(&gatherer.listener)?);
-        if gatherer.flight_listener.is_some() {
-            tracing::info!("Flight listens on {}", gatherer.address(&gatherer.flight_listener)?);
+        tracing::info!("{} listens on {}", config.name, server.address(&server.listener)?);
+        if server.flight_listener.is_some() {
+            tracing::info!("Flight listens on {}", server.address(&server.flight_listener)?);
         }
         if pushed {
-            let now = gatherer.clock.now();
-            gatherer.saved = Some((now + SAVED_WAITS, known));
-            let news = gatherer.discovery.watch(now, &gatherer.handle);
-            news.into_iter().for_each(|news| gatherer.news(news));
+            let now = server.clock.now();
+            server.saved = Some((now + SAVED_WAITS, known));
+            let news = server.discovery.watch(now, &server.handle);
+            news.into_iter().for_each(|news| server.news(news));
         } else {
-            gatherer.list(known, true);
-            gatherer.serve();
+            server.list(known, true);
+            server.serve();
         }
-        Ok(gatherer)
+        Ok(server)
     }
 
     fn address(&self, listener: &Option<Listener>) -> Result<String, String> {
@@ -182,24 +182,24 @@
         addr.map(|addr| addr.to_string()).map_err(|e| e.to_string())
     }
 
-    /// Runs a gatherer until it is told to end; `load` reads its configuration, and `life` is a number that no
+    /// Runs a server until it is told to end; `load` reads its configuration, and `life` is a number that no
     /// other start has.
     ///
     /// # Errors
     /// One line that says what is wrong.
     pub fn run(load: impl Fn() -> Result<Config, String> + 'static, life: u64) -> Result<(), String> {
-        let mut events = EventLoop::<Gatherer>::try_new().map_err(|e| e.to_string())?;
+        let mut events = EventLoop::<Server>::try_new().map_err(|e| e.to_string())?;
         let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]);
         let signals = signals.map_err(|e| e.to_string())?;
-        let told = |signal: Event, _: &mut (), gatherer: &mut Gatherer| match signal.signal() {
-            Signal::SIGHUP => gatherer.reload(),
-            _ => gatherer.terminate(),
+        let told = |signal: Event, _: &mut (), server: &mut Server| match signal.signal() {
+            Signal::SIGHUP => server.reload(),
+            _ => server.terminate(),
         };
         events.handle().insert_source(signals, told).map_err(|e| e.to_string())?;
-        let mut gatherer = Self::start(Box::new(load), Handle::new(events.handle()), life)?;
-        while gatherer.step() != Phase::Stopped {
-            let wait = gatherer.due().map(|at| at.saturating_sub(gatherer.clock.now()));
-            events.dispatch(wait.map(Duration::from_micros), &mut gatherer).map_err(|e| e.to_string())?;
+        let mut server = Self::start(Box::new(load), Handle::new(events.handle()), life)?;
+        while server.step() != Phase::Stopped {
+            let wait = server.due().map(|at| at.saturating_sub(server.clock.now()));
+            events.dispatch(wait.map(Duration::from_micros), &mut server).map_err(|e| e.to_string())?;
         }
         Ok(())
     }
@@ -213,7 +213,7 @@
             self.http.due(),
             self.flight.due(),
             self.lifecycle.due(),
-            self.peers.as_ref().and_then(Peers::due),
+            self.peers.as_ref().and_then(Peers::poll_timeout),
             self.saved.as_ref().map(|(until, _)| *until),
             self.backing_off,
         ];
@@ -240,7 +240,7 @@
             self.flight_accept();
         }
         if let Some(peers) = &mut self.peers {
-            peers.expire(now, &self.handle);
+            peers.handle_timeout(now, &self.handle);
         }
         self.collect(now);
         for effect in self.core.run_batch(now) {
@@ -270,13 +270,13 @@
     fn wishes(&mut self, now: Micros) {
         loop {
             let Some(peers) = &mut self.peers else { return };
-            let wishes = peers.wishes();
+            let wishes = peers.take_takeover_actions();
             if wishes.is_empty() {
                 return;
             }
             for wish in wishes {
                 let Some(peers) = &mut self.peers else { return };
-                let tasks = self.handover.wish(now, wish, &mut self.core, peers);
+                let tasks = self.takeover.handle_action(now, wish, &mut self.core, peers);
                 tasks.into_iter().for_each(|task| self.task(now, task));
             }
         }
@@ -297,7 +297,7 @@
                 Report::Ended(id, outcome, value) => {
                     let never_ran = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent];
                     if let (true, Some(peers)) = (never_ran.contains(&outcome), &mut self.peers) {
-                        self.handover.never_ran(now, id, &self.core, peers);
+                        self.takeover.attempt_not_executed(now, id, &self.core, peers);
                     }
                     self.core.attempt_completed(now, id, outcome, value);
                 }
@@ -338,13 +338,13 @@
             Action::SendBatch(server, sends) => self.pool.call(now, &self.handle, server, sends),
             Action::CancelAttempt(server, attempt) => {
                 let peers = self.peers.as_mut();
-                if !peers.is_some_and(|peers| self.handover.abandon(now, attempt, peers)) {
+                if !peers.is_some_and(|peers| self.takeover.cancel_unsent(now, attempt, peers)) {
                     self.pool.abandon(now, server, attempt);
                 }
             }
             Action::RevokeUnsent(server, attempt) => {
                 let peers = self.peers.as_mut();
-                if peers.is_some_and(|peers| self.handover.abandon(now, attempt, peers)) {
+                if peers.is_some_and(|peers| self.takeover.cancel_unsent(now, attempt, peers)) {
                     self.core.attempt_completed(now, attempt, Outcome::NotSent, None);
                 } else {
                     self.pool.withdraw(server, attempt);
@@ -352,12 +352,12 @@
             }
             Action::RequestPermit(server, send) => {
                 let Some(peers) = &mut self.peers else { return };
-                let tasks = self.handover.leave(now, server, send, &mut self.core, peers);
+                let tasks = self.takeover.request_permit(now, server, send, &mut self.core, peers);
                 tasks.into_iter().for_each(|task| self.task(now, task));
             }
             Action::ReplicateOutcome(recorded) => {
                 let Some(peers) = &mut self.peers else { return };
-                let tasks = self.handover.record(now, *recorded, peers);
+                let tasks = self.takeover.replicate_outcome(now, *recorded, peers);
                 tasks.into_iter().for_each(|task| self.task(now, task));
             }
             Action::Respond(ResponseHandle::TakenOver(_), _) => {}
@@ -389,7 +389,7 @@
         }
     }
 
-    /// The list that this gatherer started with counts from now on, if it did not before.
+    /// The list that this server started with counts from now on, if it did not before.
     fn use_saved(&mut self) {
         if let Some((_, list)) = self.saved.take() {
             self.list(list, true);
@@ -403,7 +403,7 @@
         self.http.enter(self.lifecycle.phase());
     }
 
-    /// A list of hosts, `saved` if it is the one this gatherer started with.
+    /// A list of hosts, `saved` if it is the one this server started with.
     fn list(&mut self, list: List, saved: bool) {
         let now = self.clock.now();
         let mut entries = Vec::new();
@@ -457,7 +457,7 @@
         self.http.enter(self.lifecycle.phase());
         self.flight.drain(now, &mut self.core);
         if let Some(peers) = &mut self.peers {
-            peers.leave(now);
+            peers.announce_leave(now);
         }
     }
 
@@ -520,7 +520,7 @@
     }
 }
 
-impl Owner for Gatherer {
+impl Owner for Server {
     fn ready(&mut self, Token { kind, id }: Token) {
         let now = self.clock.now();
         match kind {
--- a/crates/edge/src/takeover.rs
+++ b/crates/edge/src/takeover.rs
@@ -108,7 +108,7 @@
 
 /// Queries between the core and the fleet.
 #[derive(Default)]
-pub struct Handover {
+pub struct TakeoverAdapter {
     /// Attempts that wait for leave.
     held: BTreeMap<(Rc<str>, u32, u32), (BackendId, AttemptRequest)>,
     /// Who waits for how an id ends, once the core has done with it.
@@ -124,9 +124,9 @@
     Reply(ResponseHandle, QueryResponse),
 }
 
-impl Handover {
+impl TakeoverAdapter {
     /// An attempt wants leave.
-    pub fn leave(
+    pub fn request_permit(
         &mut self,
         now: Micros,
         server: BackendId,
@@ -136,7 +136,7 @@
     ) -> Vec<Task> {
         let Some((ask, left)) = core.open_request(now, &send.query) else { return Vec::new() };
         let (id, part, attempt) = (Rc::clone(&send.query), send.shard.0, send.attempt.number);
-        if peers.desk(now, |desk| desk.stands(&send.query)) == Some(Stands::Awaited) {
+        if peers.with_takeover_manager(now, |desk| desk.stands(&send.query)) == Some(Stands::Awaited) {
             // Asked again here, while its end comes from elsewhere or it is being taken over.
             let askers = core.release_query(&send.query);
             self.await_end(now, &send.query, now + left, askers, peers);
@@ -151,28 +151,33 @@
         self.held.insert((Rc::clone(&id), part, attempt), (server, send));
         let id = Arc::from(&*id);
         let request = Request { id: &id, asked: &asked, until: now + left, first };
-        peers.desk(now, |desk| desk.want(now, request, part, attempt));
+        peers.with_takeover_manager(now, |desk| desk.want(now, request, part, attempt));
         Vec::new()
     }
 
     /// Nobody waits for an attempt any more; `true` if it was not sent yet, and will not be.
-    pub fn abandon(&mut self, now: Micros, attempt: AttemptId, peers: &mut Peers) -> bool {
+    pub fn cancel_unsent(&mut self, now: Micros, attempt: AttemptId, peers: &mut Peers) -> bool {
         let found = self.held.iter().find(|(_, (_, send))| send.attempt == attempt);
         let Some(key) = found.map(|(key, _)| key.clone()) else { return false };
         self.held.remove(&key);
-        peers.desk(now, |desk| desk.void(&key.0, key.1, key.2));
+        peers.with_takeover_manager(now, |desk| desk.void(&key.0, key.1, key.2));
         true
     }
 
     /// An attempt ended in a way that proves that it never ran.
-    pub fn never_ran(&mut self, now: Micros, attempt: AttemptId, core: &Core, peers: &mut Peers) {
+    pub fn attempt_not_executed(&mut self, now: Micros, attempt: AttemptId, core: &Core, peers: &mut Peers) {
         if let Some((id, shard)) = core.attempt_target(attempt) {
-            peers.desk(now, |desk| desk.void(&id, shard.0, attempt.number));
+            peers.with_takeover_manager(now, |desk| desk.void(&id, shard.0, attempt.number));
         }
     }
 
     /// A query with an effect has ended.
-    pub fn record(&mut self, now: Micros, recorded: CompletedQuery, peers: &mut Peers) -> Vec<Task> {
+    pub fn replicate_outcome(
+        &mut self,
+        now: Micros,
+        recorded: CompletedQuery,
+        peers: &mut Peers,
+    ) -> Vec<Task> {
         let CompletedQuery {
             request: ask,
             deadline: end,
@@ -181,7 +186,7 @@
             possibly_executed: touched,
         } = recorded;
         self.drop_held(&ask.id);
-        let stands = peers.desk(now, |desk| desk.stands(&ask.id)).unwrap_or(Stands::Unknown);
+        let stands = peers.with_takeover_manager(now, |desk| desk.stands(&ask.id)).unwrap_or(Stands::Unknown);
         // One that was asked before may have run elsewhere, whatever was decided here.
         let told =
             matches!(answer, QueryResponse::Completed { .. } | QueryResponse::Failed(Failure::Invalid(_)));
@@ -197,12 +202,12 @@
                 // Nobody is to run it: what tells its body from another is enough, however large it is.
                 let asked = digest(&ask).into();
                 let request = Request { id: &id, asked: &asked, until: end, first: false };
-                peers.desk(now, |desk| desk.refuse(now, request));
+                peers.with_takeover_manager(now, |desk| desk.refuse(now, request));
             }
             Stands::Runs => {
                 self.await_end(now, &ask.id, end, askers, peers);
                 let ended = ended(&answer, touched, most);
-                peers.desk(now, |desk| desk.finish(now, &id, ended));
+                peers.with_takeover_manager(now, |desk| desk.finish(now, &id, ended));
                 return Vec::new();
             }
             Stands::Awaited => {}
@@ -224,7 +229,7 @@
         let here: Vec<ResponseHandle> = here.collect();
         if !here.is_empty() {
             self.waiting.entry(Rc::clone(id)).or_default().extend(here);
-            peers.desk(now, |desk| desk.wait(id, until));
+            peers.with_takeover_manager(now, |desk| desk.wait(id, until));
         }
     }
 
@@ -233,7 +238,13 @@
     }
 
     /// What the fleet has decided.
-    pub fn wish(&mut self, now: Micros, wish: Wish, core: &mut Core, peers: &mut Peers) -> Vec<Task> {
+    pub fn handle_action(
+        &mut self,
+        now: Micros,
+        wish: Wish,
+        core: &mut Core,
+        peers: &mut Peers,
+    ) -> Vec<Task> {
         match wish {
             Wish::Leave { id, part, attempt, given } => {
                 let held = self.held.remove(&(Rc::from(&*id), part, attempt));
@@ -243,7 +254,7 @@
                 } else if core.is_in_flight(send.attempt) {
                     return vec![Task::Send(server, send)];
                 } else {
-                    peers.desk(now, |desk| desk.void(&id, part, attempt));
+                    peers.with_takeover_manager(now, |desk| desk.void(&id, part, attempt));
                 }
                 Vec::new()
             }
@@ -279,7 +290,7 @@
                 let ask = read(&id, &asked, age).filter(known);
                 let taken = ask.map(|ask| core.submit(now, asker, ask));
                 if !matches!(taken, Some(Ok(()))) {
-                    peers.desk(now, |desk| desk.finish(now, &id, Ended::NeverRan));
+                    peers.with_takeover_manager(now, |desk| desk.finish(now, &id, Ended::NeverRan));
                 }
                 Vec::new()
             }
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -47,10 +47,10 @@
 enum Way {
     Alone,
     Linked,
-    Handover,
+    TakeoverAdapter,
 }
 
-const WAYS: [Way; 3] = [Way::Alone, Way::Linked, Way::Handover];
+const WAYS: [Way; 3] = [Way::Alone, Way::Linked, Way::TakeoverAdapter];
 
 fn setup(processes: usize, way: Way) -> Setup {
     Setup {
@@ -61,7 +61,7 @@
         memory_mb: 64,
         versions: vec![1; processes],
         linked: way != Way::Alone,
-        handover: way == Way::Handover,
+        handover: way == Way::TakeoverAdapter,
         seed: 11,
     }
 }
@@ -304,7 +304,7 @@
         all_linked(&fleet).await?;
     }
     // Keepers that all started at once give no word before that.
-    let rest = if way == Way::Handover { 2 * crate::fleet::LIFE_MS } else { 0 };
+    let rest = if way == Way::TakeoverAdapter { 2 * crate::fleet::LIFE_MS } else { 0 };
     tokio::time::sleep(Duration::from_millis(500 + rest)).await;
     let pid = fleet.process(0).and_then(|process| process.child.id()).ok_or("no process")?;
     let before = used(pid).ok_or("no figures")?;
--- a/crates/mallowgauge/src/main.rs
+++ b/crates/mallowgauge/src/main.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-use mallowgauge_edge::server::Gatherer;
+use mallowgauge_edge::server::Server;
 use mallowgauge_settings::{Config, LogFormat};
 use tracing_subscriber::field::RecordFields;
 use tracing_subscriber::fmt::format::{debug_fn, Writer};
@@ -28,7 +28,7 @@
 
 fn run(operator: Option<String>, life: u64) -> Result<(), String> {
     let load = move || Config::load(|name| std::env::var(name).ok(), operator.as_deref());
-    Gatherer::run(load, life)
+    Server::run(load, life)
 }
 
 fn main() -> ExitCode {
