--- a/crates/mallowgauge/tests/promises.rs
+++ b/crates/mallowgauge/tests/promises.rs
@@ -129,9 +129,9 @@
         }
     }
     assert_snapshot!(heard.join("\n"), @r#"
-    End("9b1f03aa5c7e2d41.3", Served, "5be2a07c19f04d63")
-    End("9b1f03aa5c7e2d41.3", Fault, "")
-    End("9b1f03aa5c7e2d41.3", NoRoom, "")
+    End("9b1f03aa5c7e2d41.3", Succeeded, "5be2a07c19f04d63")
+    End("9b1f03aa5c7e2d41.3", BackendError, "")
+    End("9b1f03aa5c7e2d41.3", Rejected, "")
     Probe(true)
     Probe(false)
     Useless("too long")
