--- a/crates/edge/tests/parts.rs
+++ b/crates/edge/tests/parts.rs
@@ -26,7 +26,7 @@
         wait 5
         expect
     "), @r"
-    0 ms Watch
+    0 ms WatchEndpoints
     10 ms call host 0 [0, 4]
     10 ms call host 1 [1]
     10 ms call host 2 [2, 3, 5]
@@ -46,7 +46,7 @@
         wait 10
         expect
     "), @r"
-    0 ms Watch
+    0 ms WatchEndpoints
     10 ms call host 0 [0]
     15 ms call host 1 [1, 2]
     ");
@@ -63,7 +63,7 @@
         wait 100
         expect
     "), @r"
-    0 ms Watch
+    0 ms WatchEndpoints
     5 ms call host 0 [0]
     5 ms call host 1 [1]
     200 ms a: whole 0=x 1=y
@@ -80,12 +80,12 @@
         wait 3000
         expect
     "), @r"
-    0 ms Watch
+    0 ms WatchEndpoints
     5 ms call host 0 [0]
     5 ms call host 1 [1]
-    100 ms a: Parts
+    100 ms a: PartsFailed
     100 ms abandon host 1
-    2600 ms Probe(BackendId(0))
+    2600 ms HealthCheck(BackendId(0))
     ");
 }
 
@@ -96,9 +96,9 @@
         wait 1000
         expect
     "), @r"
-    0 ms Watch
+    0 ms WatchEndpoints
     5 ms call host 0 [0]
-    390 ms a: TimeUp
+    390 ms a: DeadlineExceeded
     390 ms abandon host 0
     ");
 }
@@ -116,7 +116,7 @@
         wait 100
         expect
     "), @r"
-    0 ms Watch
+    0 ms WatchEndpoints
     5 ms call host 0 [0]
     100 ms abandon host 0
     200 ms call host 2 [0]
@@ -137,7 +137,7 @@
         wait 100
         expect
     "), @r"
-    0 ms Watch
+    0 ms WatchEndpoints
     0 ms c: refused, untouched
     5 ms call host 0 [0, 4, 5, 0, 1, 2, 5, 6, 8]
     5 ms call host 1 [1, 8, 4, 7]
@@ -166,7 +166,7 @@
         wait 100
         expect
     "), @r#"
-    0 ms Watch
+    0 ms WatchEndpoints
     0 ms a: Invalid("a query of this id is open")
     5 ms call host 0 [0]
     "#);
@@ -178,8 +178,8 @@
         send a search 0 0
         expect
     "), @r"
-    0 ms Watch
-    0 ms a: TimeUp
+    0 ms WatchEndpoints
+    0 ms a: DeadlineExceeded
     ");
 }
 
@@ -191,9 +191,9 @@
         wait 10000
         expect
     "), @r"
-    0 ms Watch
+    0 ms WatchEndpoints
     5 ms call host 0 [0]
-    3990 ms a: TimeUp
+    3990 ms a: DeadlineExceeded
     3990 ms abandon host 0
     ");
 }
@@ -212,7 +212,7 @@
     assert_snapshot!(hosts.collect::<Vec<_>>().join("\n"), @r"
     s-a 3 Ready Some(1700000000123000)
     s-b 4 Draining None
-    s-c 0 Gone None
+    s-c 0 Removed None
     ");
 }
 
@@ -339,8 +339,8 @@
         Err(why) => why.to_owned(),
     };
     assert_snapshot!(samples.iter().map(read).collect::<Vec<_>>().join("\n"), @r#"
-    Some(End("1.3", Served, "value"))
-    Some(End("1.3", Served, "value"))
+    Some(End("1.3", Succeeded, "value"))
+    Some(End("1.3", Succeeded, "value"))
     a value that is not text
     an answer with an unreadable line
     an answer with an unreadable line
