--- a/crates/edge/src/front/flight/mod.rs
+++ b/crates/edge/src/front/flight/mod.rs
@@ -42,7 +42,7 @@
 use self::command::Command;
 use self::long::{Form, Long, Said};
 use self::methods::{refusal, Head, Method, Waiting};
-use crate::tls::{self, Acceptor};
+use crate::tls::{self, Acceptor, TlsError};
 use crate::token;
 use crate::wire::{Flag, Wire};
 
@@ -311,6 +311,17 @@
     }
 }
 
+/// Why changed settings of the Flight frontend are not taken without a restart.
+#[derive(Debug, thiserror::Error)]
+pub enum ReloadError {
+    /// The certificate or key cannot be used.
+    #[error(transparent)]
+    Tls(#[from] TlsError),
+    /// A listener with TLS cannot become one without, or the reverse.
+    #[error("flight.tls is turned on or off by a restart alone")]
+    TlsNeedsRestart,
+}
+
 /// The bounds of the table that the front uses, and what is told of it.
 pub struct Setup<'a> {
     /// The table of bounds.
@@ -326,7 +337,7 @@
     ///
     /// # Errors
     /// Its certificate or key makes no sense.
-    pub fn new(setup: &Setup<'_>) -> Result<Self, String> {
+    pub fn new(setup: &Setup<'_>) -> Result<Self, TlsError> {
         let Setup { limits, settings, classes } = setup;
         // Without a key of the operator's, tickets and tokens count until this copy ends.
         let secret: [u8; 32] = random();
@@ -365,10 +376,10 @@
     ///
     /// # Errors
     /// They make no sense, and nothing has changed.
-    pub fn reload(&mut self, settings: &Settings) -> Result<(), String> {
+    pub fn reload(&mut self, settings: &Settings) -> Result<(), ReloadError> {
         let acceptor = settings.tls.as_ref().map(Acceptor::new).transpose()?;
         if acceptor.is_some() != self.acceptor.is_some() {
-            return Err("flight.tls is turned on or off by a restart alone".to_owned());
+            return Err(ReloadError::TlsNeedsRestart);
         }
         self.acceptor = acceptor;
         if settings.users.is_some() == self.office.door.asks() {
--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -135,7 +135,13 @@
             window: limits.window,
             most: limits.tables_a_call,
             streams: config.links.streams,
-            tls: config.flight.host_tls.as_ref().map(Connector::new).transpose()?,
+            tls: config
+                .flight
+                .host_tls
+                .as_ref()
+                .map(Connector::new)
+                .transpose()
+                .map_err(|e| e.to_string())?,
         };
         let setup = flight::Setup { limits, settings: &config.flight, classes };
         let peers = config.fleet.as_ref();
@@ -147,7 +153,7 @@
             lifecycle: Lifecycle::new(longest.unwrap_or_default()),
             core,
             http: http::Front::new(room.shares.clients),
-            flight: flight::Front::new(&setup)?,
+            flight: flight::Front::new(&setup).map_err(|e| e.to_string())?,
             flight_listener,
             pool: Pool::new(config.links, config.flight.clone(), room.shares, terms),
             discovery: Discovery::new(config.discovery, known.generation, pushed),
@@ -437,7 +443,9 @@
         match (self.load)() {
             Ok(config) => {
                 let connector = config.flight.host_tls.as_ref().map(Connector::new).transpose();
-                let secured = connector.and_then(|tls| self.flight.reload(&config.flight).map(|()| tls));
+                let secured = connector.map_err(|e| e.to_string()).and_then(|tls| {
+                    self.flight.reload(&config.flight).map(|()| tls).map_err(|e| e.to_string())
+                });
                 match secured {
                     Ok(tls) => self.pool.secure(tls),
                     Err(e) => return tracing::warn!("configuration kept as it was: {e}"),
--- a/crates/edge/src/tls.rs
+++ b/crates/edge/src/tls.rs
@@ -1,25 +1,67 @@
-//! TLS for Flight, by rustls: the front's certificate, and what is trusted of hosts. ALPN has to agree on
-//! `h2`; anything else ends the connection.
+//! TLS for Arrow Flight, by rustls: the certificate shown to clients, and whom to trust among backends. Both
+//! sides have to agree on HTTP/2 by ALPN; any other outcome ends the connection.
 
+use std::net::SocketAddr;
 use std::sync::Arc;
 
 use mallowgauge_settings::{HostTls, ServerTls};
 use rustls::client::WebPkiServerVerifier;
-use rustls::pki_types::pem::PemObject;
-use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
-use rustls::server::WebPkiClientVerifier;
+use rustls::pki_types::pem::{self, PemObject};
+use rustls::pki_types::{CertificateDer, InvalidDnsNameError, PrivateKeyDer, ServerName};
+use rustls::server::{VerifierBuilderError, WebPkiClientVerifier};
 use rustls::{ClientConfig, ClientConnection, RootCertStore, ServerConfig, ServerConnection};
 
-/// What both sides have to agree on.
+/// The application protocol that both sides have to agree on.
 pub const ALPN: &[u8] = b"h2";
-/// Plain text that waits to be encrypted and sent.
-const BUFFER: usize = 32 * 1024;
+/// Bytes of plain text that may wait to be encrypted and sent.
+const PLAINTEXT_BUFFER: usize = 32 * 1024;
 
-/// Either side of a session.
+/// Why TLS cannot be set up. Each text is one line, and begins with the setting where one is at fault.
+#[derive(Debug, thiserror::Error)]
+pub enum TlsError {
+    /// The file of a setting is not PEM, or holds no such item.
+    #[error("{setting}: {source}")]
+    Pem {
+        /// The setting that names the file.
+        setting: &'static str,
+        /// What is wrong with the file.
+        source: pem::Error,
+    },
+    /// The file of a setting is PEM without a certificate.
+    #[error("{setting}: no certificate in it")]
+    NoCertificate {
+        /// The setting that names the file.
+        setting: &'static str,
+    },
+    /// A certificate or key that rustls does not accept.
+    #[error("{setting}: {source}")]
+    Certificate {
+        /// The setting at fault.
+        setting: &'static str,
+        /// What rustls says.
+        source: rustls::Error,
+    },
+    /// Trusted roots that cannot verify anybody.
+    #[error("{setting}: {source}")]
+    Roots {
+        /// The setting that names the roots.
+        setting: &'static str,
+        /// What rustls says.
+        source: VerifierBuilderError,
+    },
+    /// The name that backends are expected to prove is no DNS name.
+    #[error(transparent)]
+    ServerName(#[from] InvalidDnsNameError),
+    /// rustls cannot open a session.
+    #[error(transparent)]
+    Session(#[from] rustls::Error),
+}
+
+/// One side of a TLS session.
 pub enum Session {
-    /// A client has called.
+    /// This process accepted the connection.
     Server(Box<ServerConnection>),
-    /// A host is called.
+    /// This process opened the connection.
     Client(Box<ClientConnection>),
 }
 
@@ -27,52 +69,53 @@
     Arc::new(rustls::crypto::ring::default_provider())
 }
 
-fn chain(pem: &[u8], what: &str) -> Result<Vec<CertificateDer<'static>>, String> {
-    let all: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(pem).collect();
-    let all = all.map_err(|e| format!("{what}: {e}"))?;
-    if all.is_empty() {
-        Err(format!("{what}: no certificate in it"))
-    } else {
-        Ok(all)
+fn certificate_chain(pem: &[u8], setting: &'static str) -> Result<Vec<CertificateDer<'static>>, TlsError> {
+    let chain = CertificateDer::pem_slice_iter(pem).collect::<Result<Vec<_>, _>>();
+    let chain = chain.map_err(|source| TlsError::Pem { setting, source })?;
+    if chain.is_empty() {
+        return Err(TlsError::NoCertificate { setting });
     }
+    Ok(chain)
 }
 
-fn roots(pem: &[u8], what: &str) -> Result<RootCertStore, String> {
+fn root_store(pem: &[u8], setting: &'static str) -> Result<Arc<RootCertStore>, TlsError> {
     let mut store = RootCertStore::empty();
-    for certificate in chain(pem, what)? {
-        store.add(certificate).map_err(|e| format!("{what}: {e}"))?;
+    for certificate in certificate_chain(pem, setting)? {
+        store.add(certificate).map_err(|source| TlsError::Certificate { setting, source })?;
     }
-    Ok(store)
+    Ok(Arc::new(store))
 }
 
-fn secret(pem: &[u8], what: &str) -> Result<PrivateKeyDer<'static>, String> {
-    PrivateKeyDer::from_pem_slice(pem).map_err(|e| format!("{what}: {e}"))
+fn private_key(pem: &[u8], setting: &'static str) -> Result<PrivateKeyDer<'static>, TlsError> {
+    PrivateKeyDer::from_pem_slice(pem).map_err(|source| TlsError::Pem { setting, source })
 }
 
-/// Answers clients.
+/// Opens sessions with clients that connect.
 pub struct Acceptor(Arc<ServerConfig>);
 
 impl Acceptor {
-    /// With a certificate, and where one is set with the roots that clients' certificates come from.
+    /// Shows the configured certificate. Where client roots are configured, clients have to prove a
+    /// certificate that these have signed.
     ///
     /// # Errors
-    /// One line that says what is wrong.
-    pub fn new(tls: &ServerTls) -> Result<Self, String> {
-        let builder = ServerConfig::builder_with_provider(provider())
-            .with_safe_default_protocol_versions()
-            .map_err(|e| e.to_string())?;
+    /// A file that cannot be used, by the name of its setting.
+    pub fn new(tls: &ServerTls) -> Result<Self, TlsError> {
+        let builder =
+            ServerConfig::builder_with_provider(provider()).with_safe_default_protocol_versions()?;
         let builder = match &tls.client_ca {
             None => builder.with_no_client_auth(),
             Some(pem) => {
-                let roots = Arc::new(roots(pem, "flight.tls.client_ca")?);
+                let setting = "flight.tls.client_ca";
+                let roots = root_store(pem, setting)?;
                 let verifier = WebPkiClientVerifier::builder_with_provider(roots, provider()).build();
-                builder.with_client_cert_verifier(verifier.map_err(|e| format!("flight.tls.client_ca: {e}"))?)
+                let verifier = verifier.map_err(|source| TlsError::Roots { setting, source })?;
+                builder.with_client_cert_verifier(verifier)
             }
         };
-        let chain = chain(&tls.certificate, "flight.tls.certificate")?;
-        let key = secret(&tls.key, "flight.tls.key")?;
-        let config = builder.with_single_cert(chain, key).map_err(|e| format!("flight.tls: {e}"));
-        let mut config = config?;
+        let chain = certificate_chain(&tls.certificate, "flight.tls.certificate")?;
+        let key = private_key(&tls.key, "flight.tls.key")?;
+        let config = builder.with_single_cert(chain, key);
+        let mut config = config.map_err(|source| TlsError::Certificate { setting: "flight.tls", source })?;
         config.alpn_protocols = vec![ALPN.to_vec()];
         Ok(Self(Arc::new(config)))
     }
@@ -80,57 +123,59 @@
     /// A session with a client that has just connected.
     ///
     /// # Errors
-    /// As rustls says.
-    pub fn accept(&self) -> Result<Box<ServerConnection>, String> {
-        let mut session = ServerConnection::new(Arc::clone(&self.0)).map_err(|e| e.to_string())?;
-        session.set_buffer_limit(Some(BUFFER));
+    /// rustls cannot open a session.
+    pub fn accept(&self) -> Result<Box<ServerConnection>, TlsError> {
+        let mut session = ServerConnection::new(Arc::clone(&self.0))?;
+        session.set_buffer_limit(Some(PLAINTEXT_BUFFER));
         Ok(Box::new(session))
     }
 }
 
-/// Calls hosts.
+/// Opens sessions with backends.
 #[derive(Clone)]
 pub struct Connector {
     config: Arc<ClientConfig>,
-    name: Option<String>,
+    /// The name that backends have to prove; their IP address where it is `None`.
+    server_name: Option<String>,
 }
 
 impl Connector {
-    /// Trusts what these settings say, and shows a certificate where they name one.
+    /// Trusts the configured roots, and shows a certificate where one is configured.
     ///
     /// # Errors
-    /// One line that says what is wrong.
-    pub fn new(tls: &HostTls) -> Result<Self, String> {
-        let builder = ClientConfig::builder_with_provider(provider())
-            .with_safe_default_protocol_versions()
-            .map_err(|e| e.to_string())?;
-        let roots = Arc::new(roots(&tls.ca, "flight.host_tls.ca")?);
+    /// A file that cannot be used, by the name of its setting.
+    pub fn new(tls: &HostTls) -> Result<Self, TlsError> {
+        let builder =
+            ClientConfig::builder_with_provider(provider()).with_safe_default_protocol_versions()?;
+        let setting = "flight.host_tls.ca";
+        let roots = root_store(&tls.ca, setting)?;
         let verifier = WebPkiServerVerifier::builder_with_provider(roots, provider()).build();
-        let builder = builder.with_webpki_verifier(verifier.map_err(|e| format!("flight.host_tls.ca: {e}"))?);
+        let verifier = verifier.map_err(|source| TlsError::Roots { setting, source })?;
+        let builder = builder.with_webpki_verifier(verifier);
         let mut config = match &tls.identity {
             None => builder.with_no_client_auth(),
             Some((certificate, key)) => {
-                let chain = chain(certificate, "flight.host_tls.certificate")?;
-                let key = secret(key, "flight.host_tls.key")?;
-                builder.with_client_auth_cert(chain, key).map_err(|e| format!("flight.host_tls: {e}"))?
+                let chain = certificate_chain(certificate, "flight.host_tls.certificate")?;
+                let key = private_key(key, "flight.host_tls.key")?;
+                let config = builder.with_client_auth_cert(chain, key);
+                config.map_err(|source| TlsError::Certificate { setting: "flight.host_tls", source })?
             }
         };
         config.alpn_protocols = vec![ALPN.to_vec()];
-        Ok(Self { config: Arc::new(config), name: tls.name.clone() })
+        Ok(Self { config: Arc::new(config), server_name: tls.name.clone() })
     }
 
-    /// A session with a host at this address.
+    /// A session with the backend at this address.
     ///
     /// # Errors
-    /// As rustls says.
-    pub fn connect(&self, addr: std::net::SocketAddr) -> Result<Box<ClientConnection>, String> {
-        let name = match &self.name {
-            Some(name) => ServerName::try_from(name.clone()).map_err(|e| e.to_string())?,
+    /// The configured name is no DNS name, or rustls cannot open a session.
+    pub fn connect(&self, addr: SocketAddr) -> Result<Box<ClientConnection>, TlsError> {
+        let name = match &self.server_name {
+            Some(name) => ServerName::try_from(name.clone())?,
             None => ServerName::from(addr.ip()),
         };
-        let session = ClientConnection::new(Arc::clone(&self.config), name).map_err(|e| e.to_string());
-        let mut session = session?;
-        session.set_buffer_limit(Some(BUFFER));
+        let mut session = ClientConnection::new(Arc::clone(&self.config), name)?;
+        session.set_buffer_limit(Some(PLAINTEXT_BUFFER));
         Ok(Box::new(session))
     }
 }
