--- a/crates/edge/src/discovery.rs
+++ b/crates/edge/src/discovery.rs
@@ -1,301 +1,342 @@
-//! Discovery: one HTTP/1.1 connection that watches the list of hosts.
+//! Discovery: one HTTP/1.1 connection, with one call at a time, that watches the endpoint list.
+//!
+//! A change counts as notified 6 s after discovery had it and could be reached, whatever became of the calls in
+//! between. So any two consecutive calls have to fit into that: the first given up, the router's backoff after it
+//! (at most 1.4 s after a first failure, 2.6 s later), and the second answered. `tests/discovery_timing.rs` holds
+//! each path against it. One case does not fit: a watch that falls silent as the next call after a refusal, at the
+//! longest backoff, takes 6.1 s.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::io;
 use std::net::SocketAddr;
 
-use mallowgauge_net::{Handle, ReadEnd, Stream, Token};
-use mallowgauge_router::*;
-use mallowgauge_settings::hosts::{parse, Host, List};
+use mallowgauge_net::{Handle, ReadEnd, Stream};
+use mallowgauge_router::Micros;
+use mallowgauge_settings::hosts::{parse, List};
 use serde_json::Value;
 
 use crate::front::http1::{Response, ResponseReader};
-use crate::token;
+use crate::token::SocketKind;
 
-// A change counts as told 6 s after discovery had it and could be reached, whatever became of the calls in
-// between. So of any two calls in a row the first has to be given up, and the second answered, within that:
-//
-//     silent watch    WATCH_WAIT 2.2 + WATCH_GRACE 1.3 + back-off 1.4 + the answer to the next call   = 4.9 s + answer
-//     silent call     CALL_TIMEOUT 2.4                 + back-off 2.6 + the answer to the next call   = 5.0 s + answer
-//     silent dial     DIAL_TIMEOUT 1.0                 + back-off 2.6 + the answer to the next call   = 3.6 s + answer
-//
-// (back-off: the router's; 0.7 to 1.4 s after the first failure, up to 2.6 s later: a third of that after the first fed the
-// overload of a discovery that a hundred restarted gatherers ask at once.) Discovery itself ends a call that has waited
-// 2 s for its turn. What it costs: 27 calls a minute and gatherer with nothing to tell, where a wait of 10 s made 6.
-// Not held: a watch that falls silent as the next call after a refusal, at the longest back-off, takes 6.1 s.
-
-/// How long a watch may wait for a change.
+/// How long discovery may hold a watch back for a change, in microseconds.
 const WATCH_WAIT: Micros = 2_200_000;
-/// Silence after the end of that wait that means failure.
+/// How long after that wait an answer to a watch may still come, in microseconds.
 const WATCH_GRACE: Micros = 1_300_000;
-/// A call that need not wait gets this long.
+/// How long the answer to any other call may take, in microseconds.
 const CALL_TIMEOUT: Micros = 2_400_000;
-/// A connection that is not up by then is given up.
-const DIAL_TIMEOUT: Micros = 1_000_000;
-/// Longest answer taken, for a list of some thousands of hosts.
-const LONGEST: usize = 1024 * 1024;
-
-/// The names of hosts, with the numbers that the router knows them by.
-#[derive(Debug, Default)]
-pub struct Roster {
-    ids: BTreeMap<String, BackendId>,
-    next: u32,
-}
-
-impl Roster {
-    /// The hosts of a list with their numbers, and the numbers that are forgotten with it: of those that
-    /// have left, and of those that a whole list lacks. A number is never given out twice.
-    pub fn take<'a>(&mut self, list: &'a List) -> (Vec<(BackendId, &'a Host)>, Vec<BackendId>) {
-        let mut hosts = Vec::new();
-        for host in &list.hosts {
-            match self.ids.get(&host.name) {
-                Some(&id) => hosts.push((id, host)),
-                None if host.phase == EndpointState::Removed => {}
-                None => {
-                    let id = BackendId(self.next);
-                    self.next += 1;
-                    tracing::info!("host {} is number {}", host.name, id.0);
-                    self.ids.insert(host.name.clone(), id);
-                    hosts.push((id, host));
-                }
-            }
-        }
-        let named: BTreeSet<BackendId> = hosts.iter().map(|(id, _)| *id).collect();
-        let left = hosts.iter().filter(|(_, host)| host.phase == EndpointState::Removed).map(|(id, _)| *id);
-        let mut gone: BTreeSet<BackendId> = left.collect();
-        gone.extend(self.ids.values().filter(|id| list.reset && !named.contains(id)));
-        self.ids.retain(|_, id| !gone.contains(id));
-        (hosts, gone.into_iter().collect())
-    }
-}
+/// How long opening the connection may take, in microseconds.
+const CONNECT_TIMEOUT: Micros = 1_000_000;
+/// Longest response in bytes: room for a list of some thousands of backends.
+const LONGEST_RESPONSE: usize = 1024 * 1024;
 
+/// A call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Call {
-    /// What has changed; where nothing has, the answer waits.
+    /// The changes; the answer is held back until there is one.
     Watch,
-    /// What has changed so far, told at once.
-    Check,
+    /// The changes so far, answered at once.
+    Poll,
     /// The whole list.
-    Fetch,
+    FetchSnapshot,
 }
 
 impl Call {
-    /// How long its answer may take.
-    fn time(self) -> Micros {
+    /// How long the answer may take, in microseconds.
+    fn timeout(self) -> Micros {
         match self {
             Call::Watch => WATCH_WAIT + WATCH_GRACE,
-            Call::Check | Call::Fetch => CALL_TIMEOUT,
+            Call::Poll | Call::FetchSnapshot => CALL_TIMEOUT,
         }
     }
 }
 
-/// What a step of discovery came to.
-#[derive(Debug, PartialEq)]
-pub enum News {
-    /// A list came.
-    List(List),
-    /// The call failed, or the watch ended.
-    Failed,
+/// Why a call failed, as the log has it.
+#[derive(Debug, thiserror::Error)]
+pub enum DiscoveryError {
+    /// The connection did not come up in time.
+    #[error("no connection in time")]
+    ConnectTimeout,
+    /// The answer did not come in time.
+    #[error("silent for too long")]
+    ResponseTimeout,
+    /// The address does not take connections.
+    #[error("no connection")]
+    ConnectFailed,
+    /// The socket cannot be opened or written.
+    #[error(transparent)]
+    Socket(#[from] io::Error),
+    /// The connection ended within an answer.
+    #[error("the connection broke")]
+    ConnectionLost,
+    /// The answer is longer than any list.
+    #[error("an answer without end")]
+    ResponseTooLong,
+    /// What came is no HTTP response.
+    #[error("{0}")]
+    MalformedResponse(&'static str),
+    /// Discovery answered with another status than 200.
+    #[error("answer {0}")]
+    Status(u16),
+    /// The body is no endpoint list.
+    #[error("no list: {0}")]
+    MalformedEndpoints(String),
+    /// The list is older than the one in use: a backend removed since would be taken to be there again.
+    #[error("a list older than the present one")]
+    OutdatedEndpoints,
 }
 
-/// The connection to discovery, with at most one call on it.
+/// What a call to discovery came to.
+#[derive(Debug)]
+pub enum DiscoveryEvent {
+    /// An endpoint list came, whole or the changes.
+    Endpoints(List),
+    /// A call failed; with it the watch has ended.
+    Failed(DiscoveryError),
+}
+
+/// The call that waits for its answer.
+struct InFlight {
+    call: Call,
+    /// The connection for it is still being opened.
+    connecting: bool,
+    /// When it is given up.
+    deadline: Micros,
+}
+
+/// The connection to discovery.
 pub struct Discovery {
     addr: SocketAddr,
     stream: Option<Stream>,
     input: Vec<u8>,
     output: Vec<u8>,
     reader: ResponseReader,
-    call: Option<Call>,
-    /// The connection for the call is still being opened.
-    dialing: bool,
-    until: Micros,
+    in_flight: Option<InFlight>,
+    /// Version of the list in use.
     generation: u64,
-    /// A watch has been answered, so the next one has to follow at once.
+    /// A watch has been answered, so the next one follows at once.
     watching: bool,
-    fetch: bool,
-    /// The versions that discovery counts need not go on from the present one: it has moved, or told of an older
-    /// one. The whole list is asked for first, and taken whatever its version.
-    anew: bool,
-    /// The next watch begins with a call that need not wait: the saved list has to be held against discovery's
-    /// before it is used, or the call before was silent. Silence shows sooner there than on one watch after the other.
-    unchecked: bool,
+    /// A snapshot was asked for while another call was in flight.
+    fetch_requested: bool,
+    /// The versions that discovery counts need not go on from the present one: it has moved, or answered with an
+    /// older one. The next call fetches the snapshot, which is taken whatever its version.
+    restart_with_snapshot: bool,
+    /// The next watch begins with a poll: the cached snapshot has to be confirmed before it is used, or the call
+    /// before was silent, and silence shows sooner on a poll than on one watch after the other.
+    poll_first: bool,
 }
 
 impl Discovery {
-    /// No call is made before one is asked for. `unchecked`: the first answer has to say at once what the saved
-    /// list, of that version, does not.
+    /// No call is made before one is asked for. `generation` is the version of the list in use; with `poll_first`
+    /// the first answer has to come at once.
     #[must_use]
-    pub fn new(addr: SocketAddr, generation: u64, unchecked: bool) -> Self {
+    pub fn new(addr: SocketAddr, generation: u64, poll_first: bool) -> Self {
         Self {
             addr,
             stream: None,
             input: Vec::new(),
             output: Vec::new(),
-            reader: ResponseReader::new(LONGEST),
-            call: None,
-            dialing: false,
-            until: 0,
+            reader: ResponseReader::new(LONGEST_RESPONSE),
+            in_flight: None,
             generation,
             watching: false,
-            fetch: false,
-            anew: false,
-            unchecked,
+            fetch_requested: false,
+            restart_with_snapshot: false,
+            poll_first,
         }
     }
 
-    /// The router asks for changes from now on.
-    pub fn watch(&mut self, now: Micros, handle: &Handle) -> Option<News> {
-        if self.call.is_some() {
-            None
-        } else {
-            self.begin(now, handle, Call::Watch)
+    /// Watches for changes from now on.
+    pub fn watch(&mut self, now: Micros, handle: &Handle) -> Option<DiscoveryEvent> {
+        if self.in_flight.is_some() {
+            return None;
         }
+        self.start_call(now, handle, Call::Watch)
     }
 
-    /// The router asks for the whole list once.
-    pub fn fetch(&mut self, now: Micros, handle: &Handle) -> Option<News> {
-        if self.call.is_some() {
-            self.fetch = true;
+    /// Fetches the whole list once, after the call that is in flight.
+    pub fn fetch_snapshot(&mut self, now: Micros, handle: &Handle) -> Option<DiscoveryEvent> {
+        if self.in_flight.is_some() {
+            self.fetch_requested = true;
             return None;
         }
-        self.begin(now, handle, Call::Fetch)
+        self.start_call(now, handle, Call::FetchSnapshot)
     }
 
-    /// Asks at another address from now on, at once; what the old one still owes is not waited for.
-    pub fn relocate(&mut self, now: Micros, handle: &Handle, addr: SocketAddr) -> Option<News> {
+    /// Calls another address from now on, at once; the answer that the old one owes is not waited for.
+    pub fn relocate(&mut self, now: Micros, handle: &Handle, addr: SocketAddr) -> Option<DiscoveryEvent> {
         if addr == self.addr {
             return None;
         }
-        (self.addr, self.stream, self.anew) = (addr, None, true);
-        self.begin(now, handle, Call::Watch)
+        self.addr = addr;
+        self.stream = None;
+        self.restart_with_snapshot = true;
+        self.start_call(now, handle, Call::Watch)
     }
 
-    /// When silence means failure.
+    /// When the call in flight is given up.
     #[must_use]
-    pub fn due(&self) -> Option<Micros> {
-        self.call.map(|_| self.until)
+    pub fn poll_timeout(&self) -> Option<Micros> {
+        self.in_flight.as_ref().map(|in_flight| in_flight.deadline)
     }
 
-    /// Looks at the clock.
-    pub fn expire(&mut self, now: Micros) -> Option<News> {
-        let why = if self.dialing { "no connection in time" } else { "silent for too long" };
-        self.due().filter(|&until| until <= now)?;
-        // One silent watch after the other would take too long; a call that was answered, if only with a
-        // refusal, is not followed by two: a herd of gatherers at a busy discovery feels that.
-        self.unchecked = true;
-        Some(self.fail(why))
+    /// Gives up a call that has taken too long.
+    pub fn handle_timeout(&mut self, now: Micros) -> Option<DiscoveryEvent> {
+        let in_flight = self.in_flight.as_ref().filter(|in_flight| in_flight.deadline <= now)?;
+        let error = if in_flight.connecting {
+            DiscoveryError::ConnectTimeout
+        } else {
+            DiscoveryError::ResponseTimeout
+        };
+        // After silence alone: a call that was answered, if only with a refusal, is followed by one call and
+        // not by two, which an overloaded discovery would feel.
+        self.poll_first = true;
+        Some(self.fail(error))
     }
 
-    fn begin(&mut self, now: Micros, handle: &Handle, call: Call) -> Option<News> {
-        let call = match call {
-            _ if self.anew => Call::Fetch,
-            Call::Watch if self.unchecked => Call::Check,
+    fn start_call(&mut self, now: Micros, handle: &Handle, wanted: Call) -> Option<DiscoveryEvent> {
+        let call = match wanted {
+            _ if self.restart_with_snapshot => Call::FetchSnapshot,
+            Call::Watch if self.poll_first => Call::Poll,
             call => call,
         };
-        let ask = match call {
-            Call::Check => format!("?index={}&wait=1", self.generation),
-            Call::Watch => format!("?index={}&wait={}", self.generation, WATCH_WAIT / 1000),
-            Call::Fetch => String::new(),
-        };
-        self.call = Some(call);
-        self.until = now + call.time();
-        self.output = format!("GET /v1/servers{ask} HTTP/1.1\r\nHost: {}\r\n\r\n", self.addr).into_bytes();
-        (self.input, self.reader) = (Vec::new(), ResponseReader::new(LONGEST));
+        self.output = self.request(call);
+        self.input = Vec::new();
+        self.reader = ResponseReader::new(LONGEST_RESPONSE);
+        let mut in_flight = InFlight { call, connecting: false, deadline: now + call.timeout() };
         if self.stream.is_none() {
-            match Stream::dial(handle, self.addr, Token { kind: token::DISCOVERY, id: 0 }) {
+            match Stream::dial(handle, self.addr, SocketKind::Discovery.token(0)) {
                 Ok(stream) => self.stream = Some(stream),
-                Err(e) => return Some(self.fail(&e.to_string())),
+                Err(error) => return Some(self.fail(error.into())),
             }
-            (self.dialing, self.until) = (true, now + DIAL_TIMEOUT);
+            in_flight.connecting = true;
+            in_flight.deadline = now + CONNECT_TIMEOUT;
         }
+        self.in_flight = Some(in_flight);
         self.flush(now)
     }
 
-    fn flush(&mut self, now: Micros) -> Option<News> {
+    /// The bytes of a call.
+    fn request(&self, call: Call) -> Vec<u8> {
+        let query = match call {
+            Call::Poll => format!("?index={}&wait=1", self.generation),
+            Call::Watch => format!("?index={}&wait={}", self.generation, WATCH_WAIT / 1000),
+            Call::FetchSnapshot => String::new(),
+        };
+        format!("GET /v1/servers{query} HTTP/1.1\r\nHost: {}\r\n\r\n", self.addr).into_bytes()
+    }
+
+    /// Writes what the socket takes, once the connection is up.
+    fn flush(&mut self, now: Micros) -> Option<DiscoveryEvent> {
         let stream = self.stream.as_ref()?;
         match stream.connected() {
             None => return None,
-            Some(false) => return Some(self.fail("no connection")),
+            Some(false) => return Some(self.fail(DiscoveryError::ConnectFailed)),
             Some(true) => {}
         }
-        if std::mem::take(&mut self.dialing) {
-            self.until = now + self.call.map_or(0, Call::time);
+        if let Some(in_flight) = self.in_flight.as_mut().filter(|in_flight| in_flight.connecting) {
+            in_flight.connecting = false;
+            in_flight.deadline = now + in_flight.call.timeout();
         }
         match stream.write(&self.output) {
-            Ok(done) => drop(self.output.drain(..done)),
-            Err(e) => return Some(self.fail(&e.to_string())),
+            Ok(written) => drop(self.output.drain(..written)),
+            Err(error) => return Some(self.fail(error.into())),
         }
         None
     }
 
-    fn fail(&mut self, why: &str) -> News {
-        tracing::warn!("discovery failed: {why}");
-        (self.stream, self.dialing) = (None, false);
-        (self.input, self.output) = (Vec::new(), Vec::new());
-        self.call = None;
+    fn fail(&mut self, error: DiscoveryError) -> DiscoveryEvent {
+        self.stream = None;
+        self.input = Vec::new();
+        self.output = Vec::new();
+        self.in_flight = None;
         self.watching = false;
-        News::Failed
+        DiscoveryEvent::Failed(error)
     }
 
     /// The socket is ready: the answer is read, and the next watch goes out at once.
-    pub fn ready(&mut self, now: Micros, handle: &Handle) -> Vec<News> {
+    pub fn handle_ready(&mut self, now: Micros, handle: &Handle) -> Vec<DiscoveryEvent> {
         if let Some(failed) = self.flush(now) {
             return vec![failed];
         }
+        match self.read_response() {
+            Ok(Some(response)) => self.handle_response(now, handle, &response),
+            Ok(None) => Vec::new(),
+            Err(error) => vec![self.fail(error)],
+        }
+    }
+
+    /// Reads until the answer is complete; `None` while more has to come.
+    fn read_response(&mut self) -> Result<Option<Response>, DiscoveryError> {
+        if self.in_flight.as_ref().is_some_and(|in_flight| in_flight.connecting) {
+            return Ok(None);
+        }
         loop {
-            let Some(stream) = self.stream.as_ref().filter(|_| !self.dialing) else { return Vec::new() };
-            let end = stream.read(&mut self.input, LONGEST);
-            if self.call.is_none() {
-                // Nothing was asked, so what comes is the end of the connection or nothing that counts.
-                if end != ReadEnd::Blocked || !self.input.is_empty() {
-                    (self.stream, self.input) = (None, Vec::new());
-                }
-                return Vec::new();
+            let Some(stream) = &self.stream else { return Ok(None) };
+            let end = stream.read(&mut self.input, LONGEST_RESPONSE);
+            if self.in_flight.is_none() {
+                self.drop_unsolicited(end);
+                return Ok(None);
             }
-            let held = self.input.len();
-            match self.reader.take(&mut self.input, end == ReadEnd::Closed) {
-                Ok(Some(response)) => {
-                    // Bytes behind the answer belong to no call; they must not be taken for the next one's.
+            let length = self.input.len();
+            let response = self.reader.take(&mut self.input, end == ReadEnd::Closed);
+            match response.map_err(|bad| DiscoveryError::MalformedResponse(bad.1))? {
+                Some(response) => {
+                    // Bytes after the answer belong to no call; they must not be taken for the next one's.
                     if response.close || end.is_over() || !self.input.is_empty() {
                         self.stream = None;
                     }
-                    return self.answered(now, handle, &response);
+                    return Ok(Some(response));
                 }
-                // What was taken off made room: there may be more in the socket.
-                Ok(None) if end == ReadEnd::Full && self.input.len() < held => {}
-                Ok(None) if end == ReadEnd::Blocked => return Vec::new(),
-                Ok(None) if end == ReadEnd::Full => return vec![self.fail("an answer without end")],
-                Ok(None) => return vec![self.fail("the connection broke")],
-                Err(bad) => return vec![self.fail(bad.1)],
+                // What the reader took made room for what the socket still holds.
+                None if end == ReadEnd::Full && self.input.len() < length => {}
+                None if end == ReadEnd::Blocked => return Ok(None),
+                None if end == ReadEnd::Full => return Err(DiscoveryError::ResponseTooLong),
+                None => return Err(DiscoveryError::ConnectionLost),
             }
         }
     }
 
-    /// An answer is in, whole.
-    fn answered(&mut self, now: Micros, handle: &Handle, response: &Response) -> Vec<News> {
-        if response.status != 200 {
-            return vec![self.fail(&format!("answer {}", response.status))];
+    /// With no call in flight, what comes is the end of the connection, or answers nothing and ends it too.
+    fn drop_unsolicited(&mut self, end: ReadEnd) {
+        if end != ReadEnd::Blocked || !self.input.is_empty() {
+            self.stream = None;
+            self.input = Vec::new();
         }
-        let list = serde_json::from_slice(&response.body).map_err(|e| e.to_string());
-        let list = match list.and_then(|value: Value| parse(&value)) {
+    }
+
+    /// A complete answer: the list that it holds, and the next call.
+    fn handle_response(&mut self, now: Micros, handle: &Handle, response: &Response) -> Vec<DiscoveryEvent> {
+        let list = match self.accept_list(response) {
             Ok(list) => list,
-            Err(e) => return vec![self.fail(&format!("no list: {e}"))],
+            Err(error) => return vec![self.fail(error)],
         };
-        if list.generation < self.generation && !self.anew {
-            // A host that has left since would be taken to be there again.
-            self.anew = true;
-            return vec![self.fail("a list older than the present one")];
-        }
         self.generation = list.generation;
-        let was = self.call.take();
-        self.unchecked = false;
-        self.watching |= was != Some(Call::Fetch) || std::mem::take(&mut self.anew);
-        let mut news = vec![News::List(list)];
-        let next = if std::mem::take(&mut self.fetch) {
-            Some(Call::Fetch)
+        self.poll_first = false;
+        let answered = self.in_flight.take().map(|in_flight| in_flight.call);
+        let restarted =
+            answered == Some(Call::FetchSnapshot) && std::mem::take(&mut self.restart_with_snapshot);
+        self.watching |= restarted || answered != Some(Call::FetchSnapshot);
+        let mut events = vec![DiscoveryEvent::Endpoints(list)];
+        let next = if std::mem::take(&mut self.fetch_requested) {
+            Some(Call::FetchSnapshot)
         } else {
             self.watching.then_some(Call::Watch)
         };
-        news.extend(next.and_then(|call| self.begin(now, handle, call)));
-        news
+        events.extend(next.and_then(|call| self.start_call(now, handle, call)));
+        events
+    }
+
+    /// The list of an answer, if it may be used.
+    fn accept_list(&mut self, response: &Response) -> Result<List, DiscoveryError> {
+        if response.status != 200 {
+            return Err(DiscoveryError::Status(response.status));
+        }
+        let body: Value = serde_json::from_slice(&response.body)
+            .map_err(|error| DiscoveryError::MalformedEndpoints(error.to_string()))?;
+        let list = parse(&body).map_err(DiscoveryError::MalformedEndpoints)?;
+        if list.generation < self.generation && !self.restart_with_snapshot {
+            self.restart_with_snapshot = true;
+            return Err(DiscoveryError::OutdatedEndpoints);
+        }
+        Ok(list)
     }
 }
--- a/crates/edge/src/front/flight/mod.rs
+++ b/crates/edge/src/front/flight/mod.rs
@@ -33,7 +33,7 @@
 use mallowgauge_flight::grpc::{self, Code, Encoding, Status};
 use mallowgauge_flight::proto::HealthCheckResponse;
 use mallowgauge_flight::seal;
-use mallowgauge_net::{Handle, ReadEnd, Stream, Token};
+use mallowgauge_net::{Handle, ReadEnd, Stream};
 use mallowgauge_router::{ClassId, Micros};
 use mallowgauge_settings::Flight as Settings;
 
@@ -43,7 +43,7 @@
 use self::long::{Form, Long, Said};
 use self::methods::{refusal, Head, Method, Waiting};
 use crate::tls::{self, Acceptor, TlsError};
-use crate::token;
+use crate::token::SocketKind;
 use crate::wire::{Flag, Wire};
 
 /// A handshake has to be over by then.
@@ -406,7 +406,7 @@
     /// Takes an accepted connection.
     pub fn accept(&mut self, now: Micros, handle: &Handle, socket: std::net::TcpStream) {
         let id = self.office.number();
-        let stream = match Stream::accepted(handle, socket, Token { kind: token::FLIGHT, id }) {
+        let stream = match Stream::accepted(handle, socket, SocketKind::FlightClient.token(id)) {
             Ok(stream) => Rc::new(stream),
             Err(e) => return tracing::warn!("connection not taken: {e}"),
         };
--- a/crates/edge/src/front/http.rs
+++ b/crates/edge/src/front/http.rs
@@ -7,9 +7,9 @@
 use crate::front::http1::{self, Bad, Body, Head};
 use crate::front::query::{self, Frame};
 use crate::lifecycle::Phase;
-use crate::token;
+use crate::token::SocketKind;
 use mallowgauge_core::{Core, Failure, QueryResponse, ResponseHandle};
-use mallowgauge_net::{Handle, ReadEnd, Stream, Token};
+use mallowgauge_net::{Handle, ReadEnd, Stream};
 use mallowgauge_router::Micros;
 
 /// Where the platform's front asks whether the program takes queries.
@@ -168,7 +168,7 @@
     pub fn accept(&mut self, now: Micros, handle: &Handle, socket: std::net::TcpStream) {
         let id = self.next;
         self.next += 1;
-        match Stream::accepted(handle, socket, Token { kind: token::HTTP, id }) {
+        match Stream::accepted(handle, socket, SocketKind::HttpClient.token(id)) {
             Ok(stream) => {
                 let (input, output) = (Vec::new(), Vec::new());
                 let state = State::Idle;
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,5 +1,7 @@
-//! The server: fronts, host connections, discovery, the program's phases, and the loop that owns them.
+//! The server: frontends, connections to backends, discovery, the phases of the process, and the event loop that
+//! owns them. It decides nothing about queries: that is the core's and the router's.
 
+pub mod backend_registry;
 pub mod discovery;
 pub mod front;
 pub mod lifecycle;
@@ -7,17 +9,6 @@
 pub mod server;
 pub mod takeover;
 pub mod tls;
+mod token;
 pub mod upstream;
 pub mod wire;
-
-/// The kinds of tokens that sockets are registered under, one for each part of the gatherer.
-mod token {
-    pub const DISCOVERY: u8 = 0;
-    pub const HTTP_LISTENER: u8 = 1;
-    pub const FLIGHT_LISTENER: u8 = 2;
-    pub const HTTP: u8 = 3;
-    pub const FLIGHT: u8 = 4;
-    pub const HOST: u8 = 5;
-    pub const PEER_LISTENER: u8 = 6;
-    pub const PEER: u8 = 7;
-}
--- a/crates/edge/src/peers/mod.rs
+++ b/crates/edge/src/peers/mod.rs
@@ -17,11 +17,11 @@
 use mallowgauge_cluster::register::Bounds;
 use mallowgauge_cluster::takeover::{Desk, Note as DeskNote, Setup, Wish};
 use mallowgauge_cluster::{Incarnation, PeerId};
-use mallowgauge_net::{Handle, Listener, ReadEnd, Stream, Token};
+use mallowgauge_net::{Handle, Listener, ReadEnd, Stream};
 use mallowgauge_router::Micros;
 use mallowgauge_settings::Fleet;
 
-use crate::token;
+use crate::token::SocketKind;
 use wire::Said;
 
 /// A connection has to show who is there within this time, and a dial to come up.
@@ -171,7 +171,7 @@
         let me = PeerId(u16::try_from(fleet.me).map_err(|e| e.to_string())?);
         let names = fleet.peers.iter().map(|peer| peer.name.clone()).collect();
         let register = Register::new(names, me, fleet.version);
-        let token = Token { kind: token::PEER_LISTENER, id: 0 };
+        let token = SocketKind::PeerListener.token(0);
         let listener = Listener::bind(handle, fleet.listen, token);
         let listener = listener.map_err(|e| format!("{}: {e}", fleet.listen))?;
         let addr = listener.addr().map_err(|e| e.to_string())?;
@@ -420,7 +420,7 @@
 
     fn dial(&mut self, now: Micros, handle: &Handle, peer: PeerId) {
         let addr = self.addresses[usize::from(peer.0)];
-        let token = Token { kind: token::PEER, id: self.next };
+        let token = SocketKind::Peer.token(self.next);
         match Stream::dial(handle, addr, token) {
             Ok(stream) => {
                 let id = self.add(now, stream, Phase::Dialing, Some(peer));
@@ -463,7 +463,7 @@
         if taken.count() >= self.room.strangers {
             oldest.into_iter().for_each(|id| drop(self.links.remove(&id)));
         }
-        match Stream::accepted(handle, socket, Token { kind: token::PEER, id: self.next }) {
+        match Stream::accepted(handle, socket, SocketKind::Peer.token(self.next)) {
             Ok(stream) => {
                 let id = self.add(now, stream, Phase::Greeting, None);
                 self.work(now, id);
--- /dev/null
+++ b/crates/edge/src/server/dispatch.rs
@@ -0,0 +1,190 @@
+//! From events to their handlers: sockets that are ready, what the core wants done, what connections to backends
+//! report, and what takeover wants done.
+
+use mallowgauge_core::table_memory::CallId;
+use mallowgauge_core::{
+    Action, AttemptId, AttemptRequest, CompletedQuery, QueryResponse, ResponseHandle, Value,
+};
+use mallowgauge_flight::{rows, schema};
+use mallowgauge_net::{Handle, Owner, Token};
+use mallowgauge_router::{BackendId, Micros, Outcome};
+
+use super::Server;
+use crate::peers::Peers;
+use crate::takeover::Task;
+use crate::token::SocketKind;
+use crate::upstream::Report;
+
+impl Owner for Server {
+    fn ready(&mut self, token: Token) {
+        let (now, id) = (self.clock.now(), token.id);
+        match SocketKind::of(token) {
+            Some(SocketKind::HttpListener) => self.accept_http(),
+            Some(SocketKind::FlightListener) => self.accept_flight(),
+            Some(SocketKind::HttpClient) => self.http.ready(now, id, &mut self.core),
+            Some(SocketKind::FlightClient) => self.flight.ready(now, id, &mut self.core),
+            Some(SocketKind::Backend) => self.pool.ready(now, id),
+            Some(SocketKind::PeerListener) => self.with_peers(|peers, handle| peers.accept(now, handle)),
+            Some(SocketKind::Peer) => self.with_peers(|peers, _| peers.ready(now, id)),
+            Some(SocketKind::Discovery) => {
+                let events = self.discovery.handle_ready(now, &self.handle);
+                self.handle_discovery_events(events);
+            }
+            None => {}
+        }
+    }
+}
+
+impl Server {
+    /// Carries out one action of the core.
+    pub(super) fn perform_action(&mut self, now: Micros, action: Action) {
+        match action {
+            Action::SendBatch(backend, attempts) => self.pool.call(now, &self.handle, backend, attempts),
+            Action::CancelAttempt(backend, attempt) => self.cancel_attempt(now, backend, attempt),
+            Action::RevokeUnsent(backend, attempt) => self.revoke_unsent(now, backend, attempt),
+            Action::RequestPermit(backend, attempt) => self.request_permit(now, backend, attempt),
+            Action::ReplicateOutcome(completed) => self.replicate_outcome(now, *completed),
+            Action::Respond(handle, response) => self.respond(now, handle, response),
+            Action::HealthCheck(backend) => self.pool.probe(now, &self.handle, backend),
+            Action::WatchEndpoints => {
+                let event = self.discovery.watch(now, &self.handle);
+                self.handle_discovery_events(event);
+            }
+            Action::FetchEndpoints => {
+                let event = self.discovery.fetch_snapshot(now, &self.handle);
+                self.handle_discovery_events(event);
+            }
+        }
+    }
+
+    /// Nobody waits for an attempt any more: one that still waits for its permit is dropped, any other is
+    /// cancelled where it was sent.
+    fn cancel_attempt(&mut self, now: Micros, backend: BackendId, attempt: AttemptId) {
+        if !self.drop_without_permit(now, attempt) {
+            self.pool.abandon(now, backend, attempt);
+        }
+    }
+
+    /// An attempt is not to begin any more, if it has not.
+    fn revoke_unsent(&mut self, now: Micros, backend: BackendId, attempt: AttemptId) {
+        if self.drop_without_permit(now, attempt) {
+            self.core.attempt_completed(now, attempt, Outcome::NotSent, None);
+        } else {
+            self.pool.withdraw(backend, attempt);
+        }
+    }
+
+    /// Drops an attempt that waits for its permit; `false` if it does not.
+    fn drop_without_permit(&mut self, now: Micros, attempt: AttemptId) -> bool {
+        let Some(peers) = &mut self.peers else { return false };
+        self.takeover.cancel_unsent(now, attempt, peers)
+    }
+
+    /// Asks the other instances for the permit of a non-idempotent attempt.
+    fn request_permit(&mut self, now: Micros, backend: BackendId, attempt: AttemptRequest) {
+        let Some(peers) = &mut self.peers else { return };
+        let tasks = self.takeover.request_permit(now, backend, attempt, &mut self.core, peers);
+        self.perform_takeover_tasks(now, tasks);
+    }
+
+    /// Records at the other instances how a query ended.
+    fn replicate_outcome(&mut self, now: Micros, completed: CompletedQuery) {
+        let Some(peers) = &mut self.peers else { return };
+        let tasks = self.takeover.replicate_outcome(now, completed, peers);
+        self.perform_takeover_tasks(now, tasks);
+    }
+
+    /// Gives a final answer to the client that waits for it. A query that was taken over has none here.
+    fn respond(&mut self, now: Micros, handle: ResponseHandle, response: QueryResponse) {
+        match handle {
+            ResponseHandle::TakenOver(_) => {}
+            ResponseHandle::Http(id) => self.http.answer(now, id, &response, &mut self.core),
+            ResponseHandle::Flight(id) => self.flight.answer(now, id, response, &mut self.core),
+        }
+    }
+
+    /// Carries out what takeover wants done, until it wants nothing more.
+    pub(super) fn perform_takeover_actions(&mut self, now: Micros) {
+        while let Some(peers) = &mut self.peers {
+            let actions = peers.take_takeover_actions();
+            if actions.is_empty() {
+                return;
+            }
+            for action in actions {
+                let Some(peers) = &mut self.peers else { return };
+                let tasks = self.takeover.handle_action(now, action, &mut self.core, peers);
+                self.perform_takeover_tasks(now, tasks);
+            }
+        }
+    }
+
+    fn perform_takeover_tasks(&mut self, now: Micros, tasks: Vec<Task>) {
+        for task in tasks {
+            match task {
+                Task::Send(backend, attempt) => self.pool.call(now, &self.handle, backend, vec![attempt]),
+                Task::Reply(handle, response) => self.respond(now, handle, response),
+            }
+        }
+    }
+
+    /// Hands the core what connections to backends have reported.
+    pub(super) fn handle_upstream_events(&mut self, now: Micros) {
+        for event in self.pool.reports() {
+            match event {
+                Report::Ended(attempt, Outcome::Succeeded, Some(value)) => {
+                    self.attempt_succeeded(now, attempt, value);
+                }
+                Report::Ended(attempt, outcome, value) => self.attempt_ended(now, attempt, outcome, value),
+                Report::Overrun(query, attempt) => self.table_memory_exceeded(now, query, attempt),
+                Report::Probed(backend, passed) => self.core.health_check_completed(backend, passed),
+            }
+        }
+    }
+
+    /// An attempt has ended without a value. One that was not executed is told to the instances that hold its permit.
+    fn attempt_ended(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome, value: Option<Value>) {
+        let not_executed = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent);
+        if let (true, Some(peers)) = (not_executed, &mut self.peers) {
+            self.takeover.attempt_not_executed(now, attempt, &self.core, peers);
+        }
+        self.core.attempt_completed(now, attempt, outcome, value);
+    }
+
+    /// An attempt has a value. It counts if its table has the columns of the query's other values.
+    fn attempt_succeeded(&mut self, now: Micros, attempt: AttemptId, value: Value) {
+        if let (true, Value::Table(table)) = (self.core.is_planned(attempt), &value) {
+            // Queries in two phases rank rows as text, whatever form these came in.
+            return match rows::json(&table.schema, &table.messages) {
+                Ok(text) => {
+                    self.core.attempt_completed(now, attempt, Outcome::Succeeded, Some(text.into()));
+                }
+                Err(_) => self.core.attempt_completed(now, attempt, Outcome::ConnectionLost, None),
+            };
+        }
+        match schema::fits(self.core.received_value(attempt), &value) {
+            Ok(()) => self.core.attempt_completed(now, attempt, Outcome::Succeeded, Some(value)),
+            Err(clash) => {
+                tracing::warn!("a table does not fit its answer: {clash}");
+                self.core.attempt_completed(now, attempt, Outcome::ConnectionLost, None);
+            }
+        }
+    }
+
+    /// A query's tables have no room in memory: the query fails, unless this was a hedge whose other attempt goes
+    /// on. The attempt at which it showed has ended.
+    fn table_memory_exceeded(&mut self, now: Micros, query: CallId, attempt: Option<AttemptId>) {
+        if !attempt.is_some_and(|attempt| self.core.has_other_attempt(attempt)) {
+            self.core.memory_limit_exceeded(query);
+        }
+        if let Some(attempt) = attempt {
+            self.core.attempt_completed(now, attempt, Outcome::Cancelled, None);
+        }
+    }
+
+    /// Calls the connections to other instances, where there are any.
+    fn with_peers(&mut self, call: impl FnOnce(&mut Peers, &Handle)) {
+        if let Some(peers) = &mut self.peers {
+            call(peers, &self.handle);
+        }
+    }
+}
--- /dev/null
+++ b/crates/edge/src/server/resources.rs
@@ -0,0 +1,66 @@
+//! How the limits on descriptors and memory are shared between the kinds of connections: with all of their
+//! buffers full, they stay within seven eighths of the memory.
+
+use mallowgauge_core::connection_limits::{ConnectionLimits, ConnectionResources};
+use mallowgauge_core::stream_admission;
+use mallowgauge_settings::Config;
+
+use crate::front::http;
+
+/// Bytes that the buffers of one Flight connection to a backend may hold beside the memory for tables.
+const BYTES_PER_FLIGHT_BACKEND: usize = 128 * 1024;
+/// The part of the memory that connections to other instances may fill, as a divisor: larger where they also
+/// carry records for takeover.
+const PEERS_MEMORY_DIVISOR: usize = 16;
+const PEERS_WITH_TAKEOVER_MEMORY_DIVISOR: usize = 8;
+
+/// How many connections of each kind there may be, and what they may hold.
+#[derive(Debug)]
+pub(super) struct ResourceLimits {
+    /// Connections to backends, and those of HTTP clients.
+    pub(super) connections: ConnectionLimits,
+    /// Connections and streams of Flight clients, and the memory for tables.
+    pub(super) flight: stream_admission::Limits,
+}
+
+impl ResourceLimits {
+    /// Shares what is configured, for `backends` known at the start. Connections to other instances come
+    /// first. Where Flight is configured on either side, it has half of what is left of the memory, and the
+    /// other connections share the rest.
+    pub(super) fn from_config(config: &Config, backends: usize) -> Self {
+        let (peer_descriptors, peer_memory) = peer_share(config);
+        let descriptors = config.links.sockets - peer_descriptors;
+        let memory = config.memory - peer_memory;
+        let flight = &config.flight;
+        let uses_flight = flight.listen.is_some() || flight.every_host || !flight.hosts.is_empty();
+
+        let memory_without_flight = if uses_flight { memory / 2 } else { memory };
+        let mut connections = ConnectionLimits::of(ConnectionResources {
+            descriptors,
+            memory: memory_without_flight,
+            backends,
+            bytes_per_client: http::LARGEST,
+        });
+        if uses_flight {
+            let most = memory_without_flight / 4 / BYTES_PER_FLIGHT_BACKEND;
+            connections.backends = connections.backends.min(most).max(1);
+        }
+        let streams = (connections.backends * config.links.streams).min(config.bounds.max_open);
+        let flight_descriptors = if uses_flight { descriptors } else { 0 };
+        let flight_limits = stream_admission::Limits::of(memory / 2, flight_descriptors, streams);
+        if flight.listen.is_some() {
+            connections.clients = connections.clients.saturating_sub(flight_limits.connections).max(1);
+        }
+        Self { connections, flight: flight_limits }
+    }
+}
+
+/// The descriptors and the bytes that connections to other instances may take.
+fn peer_share(config: &Config) -> (usize, usize) {
+    let Some((fleet, room)) = &config.fleet else { return (0, 0) };
+    let divisor = match fleet.handover {
+        Some(_) => PEERS_WITH_TAKEOVER_MEMORY_DIVISOR,
+        None => PEERS_MEMORY_DIVISOR,
+    };
+    (room.descriptors, config.memory / divisor)
+}
--- a/crates/edge/src/upstream/pool.rs
+++ b/crates/edge/src/upstream/pool.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-use crate::token;
+use crate::token::SocketKind;
 use crate::upstream::flight::{FlightLink, Terms};
 use crate::upstream::frames::{self, Said};
 use crate::upstream::{drop_late, Report, SLOWEST_FRAME};
@@ -12,7 +12,7 @@
     ConnectionView,
 };
 use mallowgauge_core::{AttemptId, AttemptRequest};
-use mallowgauge_net::{Handle, ReadEnd, Stream, Token};
+use mallowgauge_net::{Handle, ReadEnd, Stream};
 use mallowgauge_router::*;
 use mallowgauge_settings::hosts::Host;
 use mallowgauge_settings::{Flight, Links};
@@ -364,7 +364,7 @@
     ) -> Option<u64> {
         let (id, until) = (self.next, now + self.links.dial);
         self.next += 1;
-        match Stream::dial(handle, addr, Token { kind: token::HOST, id }) {
+        match Stream::dial(handle, addr, SocketKind::Backend.token(id)) {
             Ok(stream) => {
                 tracing::debug!("host {}: dialling {addr}", server.0);
                 let link = if flight {
--- a/crates/edge/tests/discovery_timing.rs
+++ b/crates/edge/tests/discovery_timing.rs
@@ -6,7 +6,7 @@
 
 use calloop::EventLoop;
 use mallowgauge_core::{Action, Core, CoreLimits};
-use mallowgauge_edge::discovery::{Discovery, News};
+use mallowgauge_edge::discovery::{Discovery, DiscoveryEvent};
 use mallowgauge_net::{Handle, Owner, Token};
 use mallowgauge_router::{EndpointUpdate, Micros};
 use mallowgauge_settings::Site;
@@ -54,14 +54,14 @@
         Self { events, handle, ready, discovery, core, now, lists: 0, failures: Vec::new() }
     }
 
-    fn take(&mut self, news: impl IntoIterator<Item = News>) {
-        for news in news {
-            match news {
-                News::List(_) => {
+    fn take(&mut self, events: impl IntoIterator<Item = DiscoveryEvent>) {
+        for event in events {
+            match event {
+                DiscoveryEvent::Endpoints(_) => {
                     self.lists += 1;
                     self.core.endpoint_update(EndpointUpdate::Snapshot(Vec::new()));
                 }
-                News::Failed => {
+                DiscoveryEvent::Failed(_) => {
                     self.failures.push(self.now);
                     self.core.endpoint_update(EndpointUpdate::Failed);
                 }
@@ -71,19 +71,19 @@
 
     /// Does all that is due, without letting time pass.
     fn settle(&mut self) {
-        let expired = self.discovery.expire(self.now);
-        self.take(expired);
-        for effect in self.core.run_batch(self.now) {
-            if effect == Action::WatchEndpoints {
-                let news = self.discovery.watch(self.now, &self.handle);
-                self.take(news);
+        let events = self.discovery.handle_timeout(self.now);
+        self.take(events);
+        for action in self.core.run_batch(self.now) {
+            if action == Action::WatchEndpoints {
+                let events = self.discovery.watch(self.now, &self.handle);
+                self.take(events);
             }
         }
     }
 
     /// Moves on to the next time at which something is due.
     fn step(&mut self) {
-        let due = [self.discovery.due(), self.core.poll_timeout()].into_iter().flatten().min();
+        let due = [self.discovery.poll_timeout(), self.core.poll_timeout()].into_iter().flatten().min();
         self.now = self.now.max(due.expect("something is always due: a call or the next one"));
         self.settle();
     }
@@ -95,8 +95,8 @@
             self.events.dispatch(Some(Duration::from_secs(20)), &mut self.ready).expect("an event loop");
             assert!(self.ready.0 > before, "nothing came");
         }
-        let news = self.discovery.ready(self.now, &self.handle);
-        self.take(news);
+        let events = self.discovery.handle_ready(self.now, &self.handle);
+        self.take(events);
     }
 
     /// Lets time pass until a call fails, and says when.
@@ -111,7 +111,7 @@
     /// Lets time pass until a call is under way, or was refused at once.
     fn calls(&mut self) -> Micros {
         let before = self.failures.len();
-        while self.discovery.due().is_none() && self.failures.len() == before {
+        while self.discovery.poll_timeout().is_none() && self.failures.len() == before {
             self.step();
         }
         self.now
@@ -189,8 +189,8 @@
         worst(|seed| {
             let (mut world, _wire, _at) = World::watched(seed);
             let other = listener();
-            let news = world.discovery.relocate(world.now, &world.handle, addr(&other));
-            world.take(news);
+            let events = world.discovery.relocate(world.now, &world.handle, addr(&other));
+            world.take(events);
             let (wire, head) = world.arrives(&other);
             assert!(head.starts_with("GET /v1/servers HTTP"), "{head}");
             let from = world.now;
@@ -287,7 +287,7 @@
         if self.failures.len() == before {
             self.socket();
         }
-        assert_eq!((self.failures.len(), self.discovery.due()), (before + 1, None));
+        assert_eq!((self.failures.len(), self.discovery.poll_timeout()), (before + 1, None));
     }
 }
 
@@ -298,8 +298,8 @@
         let (mut world, _wire, _at) = World::watched(seed);
         let silent = listener();
         let _held = Held::dials(&silent);
-        let news = world.discovery.relocate(world.now, &world.handle, addr(&silent));
-        world.take(news);
+        let events = world.discovery.relocate(world.now, &world.handle, addr(&silent));
+        world.take(events);
         let from = world.now;
         world.fails();
         (world, from)
--- a/crates/edge/tests/parts.rs
+++ b/crates/edge/tests/parts.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use insta::assert_snapshot;
-use mallowgauge_edge::discovery::Roster;
+use mallowgauge_edge::backend_registry::BackendRegistry;
 use mallowgauge_edge::front::http1;
 use mallowgauge_edge::lifecycle::Lifecycle;
 use mallowgauge_edge::upstream::frames;
@@ -273,23 +273,23 @@
 // exit without asking whether anything is left.
 #[test]
 fn the_program_stops_only_once_nothing_is_left() {
-    let mut life = Lifecycle::new(3_000_000);
-    let mut seen = vec![format!("{:?}", life.phase())];
-    let mut see = |life: &Lifecycle| seen.push(format!("{:?}", life.phase()));
-    life.ready();
-    see(&life);
-    life.finish(false);
-    see(&life);
-    life.terminate(1_000_000);
-    see(&life);
-    life.accepted(1_500_000);
-    assert!(!life.quiet(1_700_000), "connections still come");
-    assert!(life.quiet(1_800_000));
-    see(&life);
-    life.finish(true);
-    see(&life);
-    life.finish(false);
-    see(&life);
+    let mut lifecycle = Lifecycle::new(3_000_000);
+    let mut seen = vec![format!("{:?}", lifecycle.phase())];
+    let mut see = |lifecycle: &Lifecycle| seen.push(format!("{:?}", lifecycle.phase()));
+    lifecycle.start_serving();
+    see(&lifecycle);
+    lifecycle.stop_unless_busy(false);
+    see(&lifecycle);
+    lifecycle.request_shutdown(1_000_000);
+    see(&lifecycle);
+    lifecycle.connection_accepted(1_500_000);
+    assert!(!lifecycle.handle_timeout(1_700_000), "connections still come");
+    assert!(lifecycle.handle_timeout(1_800_000));
+    see(&lifecycle);
+    lifecycle.stop_unless_busy(true);
+    see(&lifecycle);
+    lifecycle.stop_unless_busy(false);
+    see(&lifecycle);
     assert_snapshot!(seen.join(", "), @r"
     Starting, Serving, Serving, Draining, Finishing, Finishing, Stopped
     ");
@@ -301,14 +301,14 @@
 fn the_last_answer_comes_before_the_program_may_be_killed() {
     let (told, second) = (10_000_000, 1_000_000);
     let end = |longest| {
-        let mut life = Lifecycle::new(longest);
-        life.ready();
-        assert_eq!(life.last_answer(), None);
-        life.terminate(told);
+        let mut lifecycle = Lifecycle::new(longest);
+        lifecycle.start_serving();
+        assert_eq!(lifecycle.answer_deadline(), None);
+        lifecycle.request_shutdown(told);
         // A second signal moves nothing, and clients never stop to connect.
-        life.terminate(told + second);
-        life.accepted(told + 10 * second);
-        (life.due().map(|at| at - told), life.last_answer().map(|at| at - told))
+        lifecycle.request_shutdown(told + second);
+        lifecycle.connection_accepted(told + 10 * second);
+        (lifecycle.poll_timeout().map(|at| at - told), lifecycle.answer_deadline().map(|at| at - told))
     };
     assert_eq!(end(300_000), (Some(800_000), Some(900_000)));
     assert_eq!(end(3_000_000), (Some(2_000_000), Some(3_600_000)));
@@ -357,15 +357,16 @@
 // forgotten, and its number is not given out again.
 #[test]
 fn hosts_that_have_left_are_forgotten() {
-    let mut roster = Roster::default();
+    let mut registry = BackendRegistry::default();
     let mut seen = Vec::new();
     let mut tell = |reset: bool, told: &[(&str, &str)]| {
         let host = |(name, state): &(&str, &str)| json!({"instanceId": name, "hostPort": "127.0.0.1:1", "cell": 0, "lifecycle": state});
         let instances: Vec<Value> = told.iter().map(host).collect();
         let list = parse(&json!({"generation": 1, "reset": reset, "instances": instances})).expect("a list");
-        let (hosts, gone) = roster.take(&list);
-        let named: Vec<String> = hosts.iter().map(|(id, host)| format!("{}={}", host.name, id.0)).collect();
-        let gone: Vec<u32> = gone.iter().map(|id| id.0).collect();
+        let update = registry.apply(&list);
+        let named: Vec<String> =
+            update.named.iter().map(|(id, host)| format!("{}={}", host.name, id.0)).collect();
+        let gone: Vec<u32> = update.removed.iter().map(|id| id.0).collect();
         seen.push(format!("{} forgets {gone:?}", named.join(" ")));
     };
     tell(true, &[("a", "active"), ("b", "active"), ("c", "active")]);
--- a/crates/mallowgauge/src/main.rs
+++ b/crates/mallowgauge/src/main.rs
@@ -1,66 +1,113 @@
-//! The gatherer: `mallowgauge [OPERATOR-FILE]`. What it is told stands in `RELAY_CONFIG`.
+//! The server's program: `mallowgauge [OPERATOR-FILE]`. The platform's configuration is named by the environment
+//! variable `RELAY_CONFIG`.
+//!
+//! The exit code is 0 after a graceful shutdown and 1 after one logged line that says what is wrong.
 
 use std::process::ExitCode;
 
-use mallowgauge_edge::server::Server;
+use mallowgauge_edge::server::{Server, ServerError};
 use mallowgauge_settings::{Config, LogFormat};
+use tracing::span::EnteredSpan;
 use tracing_subscriber::field::RecordFields;
 use tracing_subscriber::fmt::format::{debug_fn, Writer};
 use tracing_subscriber::fmt::FormatFields;
 
-/// The fields of a line of text: what its words say. What only tools look for stands in JSON lines.
-struct Words;
+/// Why the program cannot go on.
+#[derive(Debug, thiserror::Error)]
+enum ProgramError {
+    #[error("usage: mallowgauge [OPERATOR-FILE]")]
+    Usage,
+    #[error("no random numbers: {0}")]
+    RandomNumbers(#[from] getrandom::Error),
+    #[cfg(feature = "planted")]
+    #[error("{0}")]
+    FaultInjection(String),
+    #[error(transparent)]
+    Server(#[from] ServerError),
+}
+
+/// Formats a line of text from its message alone; the other fields are for tools and stand in JSON lines.
+struct MessageOnly;
 
-impl<'a> FormatFields<'a> for Words {
+impl<'a> FormatFields<'a> for MessageOnly {
     fn format_fields<R: RecordFields>(&self, writer: Writer<'a>, fields: R) -> std::fmt::Result {
-        let words = debug_fn(|writer, field, value| match field.name() {
+        let message = debug_fn(|writer, field, value| match field.name() {
             "message" => write!(writer, "{value:?}"),
             _ => Ok(()),
         });
-        words.format_fields(writer, fields)
+        message.format_fields(writer, fields)
     }
 }
 
-/// A number that no other start has; without an operator's file nobody asks for it.
-fn life(operator: Option<&str>) -> Result<u64, String> {
-    operator.map_or(Ok(0), |_| getrandom::u64().map_err(|e| format!("no random numbers: {e}")))
+/// What the command line says.
+struct Arguments {
+    operator_file: Option<String>,
+    /// More was given than a file.
+    surplus: bool,
 }
 
-fn run(operator: Option<String>, life: u64) -> Result<(), String> {
-    let load = move || Config::load(|name| std::env::var(name).ok(), operator.as_deref());
-    Server::run(load, life)
+impl Arguments {
+    fn read() -> Self {
+        let mut arguments = std::env::args().skip(1);
+        let operator_file = arguments.next();
+        Self { operator_file, surplus: arguments.next().is_some() }
+    }
+
+    /// A number that no other start of this instance has. Without an operator's file there are no other instances
+    /// to tell it, and it is 0.
+    fn incarnation(&self) -> Result<u64, ProgramError> {
+        if self.surplus {
+            return Err(ProgramError::Usage);
+        }
+        match self.operator_file {
+            Some(_) => Ok(getrandom::u64()?),
+            None => Ok(0),
+        }
+    }
 }
 
-fn main() -> ExitCode {
-    let mut arguments = std::env::args().skip(1);
-    let operator = arguments.next();
-    let life = if arguments.next().is_some() {
-        Err("usage: mallowgauge [OPERATOR-FILE]".to_owned())
-    } else {
-        life(operator.as_deref())
-    };
+fn environment(name: &str) -> Option<String> {
+    std::env::var(name).ok()
+}
+
+/// Sets up the log. Each JSON line carries the instance's name and incarnation, for as long as the returned span is
+/// entered; lines of text do not.
+fn start_log(operator_file: Option<&str>, incarnation: Option<u64>) -> Option<EnteredSpan> {
     let lines = tracing_subscriber::fmt().with_ansi(false).with_max_level(tracing::Level::INFO);
-    let json = Config::log_format(operator.as_deref()) == LogFormat::Json;
-    if json {
-        lines.json().flatten_event(true).with_span_list(false).init();
-    } else {
-        lines.fmt_fields(Words).init();
+    if Config::log_format(operator_file) != LogFormat::Json {
+        lines.fmt_fields(MessageOnly).init();
+        return None;
     }
-    // Each JSON line carries who wrote it; lines of text are as they always were.
-    let who = json.then(|| {
-        let name = Config::name(|name| std::env::var(name).ok()).unwrap_or_default();
-        let life = format!("{:08x}", life.as_ref().map_or(0, |life| life >> 32));
-        tracing::info_span!("gatherer", gatherer = name, life).entered()
-    });
+    lines.json().flatten_event(true).with_span_list(false).init();
+    let name = Config::name(environment).unwrap_or_default();
+    let life = format!("{:08x}", incarnation.unwrap_or(0) >> 32);
+    Some(tracing::info_span!("gatherer", gatherer = name, life).entered())
+}
+
+/// Turns on the fault that a fault-injection test names.
+#[cfg(feature = "planted")]
+fn inject_fault() -> Result<(), ProgramError> {
+    match std::env::var("MALLOWGAUGE_PLANTED") {
+        Ok(fault) => mallowgauge_cluster::planted::plant(&fault).map_err(ProgramError::FaultInjection),
+        Err(_) => Ok(()),
+    }
+}
+
+fn run(operator_file: Option<String>, incarnation: u64) -> Result<(), ProgramError> {
     #[cfg(feature = "planted")]
-    let life = life.and_then(|life| {
-        let bug = std::env::var("MALLOWGAUGE_PLANTED");
-        bug.map_or(Ok(()), |bug| mallowgauge_cluster::planted::plant(&bug)).map(|()| life)
-    });
-    let ended = life.and_then(|life| run(operator, life));
-    if let Err(message) = &ended {
-        tracing::error!("cannot go on: {message}");
+    inject_fault()?;
+    let load_config = move || Config::load(environment, operator_file.as_deref());
+    Ok(Server::run(load_config, incarnation)?)
+}
+
+fn main() -> ExitCode {
+    let arguments = Arguments::read();
+    let incarnation = arguments.incarnation();
+    let span = start_log(arguments.operator_file.as_deref(), incarnation.as_ref().ok().copied());
+    let ended = incarnation.and_then(|incarnation| run(arguments.operator_file, incarnation));
+    if let Err(error) = &ended {
+        tracing::error!("cannot go on: {error}");
     }
-    drop(who);
+    drop(span);
     ended.map_or(ExitCode::FAILURE, |()| ExitCode::SUCCESS)
 }
