--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -30,7 +30,7 @@
 use crate::peers::Peers;
 use crate::takeover::TakeoverAdapter;
 use crate::tls::{Connector, TlsError};
-use crate::upstream::flight::Terms;
+use crate::upstream::flight_connection::Terms;
 use crate::upstream::Pool;
 use accept::{Frontend, Listeners};
 use endpoints::CachedSnapshot;
--- a/crates/edge/src/upstream/mod.rs
+++ b/crates/edge/src/upstream/mod.rs
@@ -1,6 +1,6 @@
 //! Host connections: the pool, and the wires that hosts are spoken to on.
 
-pub mod flight;
+pub mod flight_connection;
 pub mod frames;
 mod pool;
 
--- a/crates/edge/src/upstream/pool.rs
+++ b/crates/edge/src/upstream/pool.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use crate::token::SocketKind;
-use crate::upstream::flight::{FlightLink, Terms};
+use crate::upstream::flight_connection::{FlightLink, Terms};
 use crate::upstream::frames::{self, Said};
 use crate::upstream::{drop_late, Report, SLOWEST_FRAME};
 use mallowgauge_core::connection_limits::{
