--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -30,8 +30,8 @@
 use crate::peers::Peers;
 use crate::takeover::TakeoverAdapter;
 use crate::tls::{Connector, TlsError};
-use crate::upstream::flight_connection::Terms;
-use crate::upstream::Pool;
+use crate::upstream::flight_connection::FlightOptions;
+use crate::upstream::ConnectionPool;
 use accept::{Frontend, Listeners};
 use endpoints::CachedSnapshot;
 use resources::ResourceLimits;
@@ -86,7 +86,7 @@
     listeners: Listeners,
     http: http::Front,
     flight: flight::Front,
-    pool: Pool,
+    pool: ConnectionPool,
     discovery: Discovery,
     backends: BackendRegistry,
     /// The endpoint list of the start, until it is used or discovery's is.
@@ -135,14 +135,14 @@
         let longest_deadline = config.site.settings.classes.iter().map(|class| class.deadline).max();
         let (core, pushed) = build_core(&config)?;
         let listeners = Listeners::bind(&handle, config.listen, config.flight.listen)?;
-        let terms = Terms {
-            budget: TableMemory::new(TableMemoryLimits {
+        let flight_options = FlightOptions {
+            table_memory: TableMemory::new(TableMemoryLimits {
                 total: limits.flight.tables,
                 per_query: limits.flight.tables_a_call,
             }),
-            window: limits.flight.window,
-            most: limits.flight.tables_a_call,
-            streams: config.links.streams,
+            initial_window: limits.flight.window,
+            max_table_bytes: limits.flight.tables_a_call,
+            max_streams: config.links.streams,
             tls: config.flight.host_tls.as_ref().map(Connector::new).transpose()?,
         };
         let peers = start_peers(&config, clock.now(), &handle, incarnation)?;
@@ -156,7 +156,12 @@
             listeners,
             http: http::Front::new(limits.connections.clients),
             flight: flight::Front::new(&setup)?,
-            pool: Pool::new(config.links, config.flight.clone(), limits.connections, terms),
+            pool: ConnectionPool::new(
+                config.links,
+                config.flight.clone(),
+                limits.connections,
+                flight_options,
+            ),
             discovery: Discovery::new(config.discovery, cached.generation, pushed),
             backends: BackendRegistry::default(),
             cached_snapshot: None,
@@ -183,7 +188,7 @@
     fn poll_timeout(&self) -> Option<Micros> {
         let timers = [
             self.core.poll_timeout(),
-            self.pool.due(),
+            self.pool.poll_timeout(),
             self.discovery.poll_timeout(),
             self.http.due(),
             self.flight.due(),
@@ -213,8 +218,8 @@
     }
 
     fn handle_timeouts(&mut self, now: Micros) {
-        self.pool.expire(now);
-        self.pool.replenish(now);
+        self.pool.handle_timeout(now);
+        self.pool.grant_table_memory(now);
         self.http.expire(now, &mut self.core);
         self.flight.expire(now, &mut self.core);
         let event = self.discovery.handle_timeout(now);
--- a/crates/edge/src/server/dispatch.rs
+++ b/crates/edge/src/server/dispatch.rs
@@ -13,7 +13,7 @@
 use crate::peers::Peers;
 use crate::takeover::Task;
 use crate::token::SocketKind;
-use crate::upstream::Report;
+use crate::upstream::UpstreamEvent;
 
 impl Owner for Server {
     fn ready(&mut self, token: Token) {
@@ -23,7 +23,7 @@
             Some(SocketKind::FlightListener) => self.accept_flight(),
             Some(SocketKind::HttpClient) => self.http.ready(now, id, &mut self.core),
             Some(SocketKind::FlightClient) => self.flight.ready(now, id, &mut self.core),
-            Some(SocketKind::Backend) => self.pool.ready(now, id),
+            Some(SocketKind::Backend) => self.pool.handle_ready(now, id),
             Some(SocketKind::PeerListener) => self.with_peers(|peers, handle| peers.accept(now, handle)),
             Some(SocketKind::Peer) => self.with_peers(|peers, _| peers.ready(now, id)),
             Some(SocketKind::Discovery) => {
@@ -39,13 +39,13 @@
     /// Carries out one action of the core.
     pub(super) fn perform_action(&mut self, now: Micros, action: Action) {
         match action {
-            Action::SendBatch(backend, attempts) => self.pool.call(now, &self.handle, backend, attempts),
+            Action::SendBatch(backend, attempts) => self.pool.send(now, &self.handle, backend, attempts),
             Action::CancelAttempt(backend, attempt) => self.cancel_attempt(now, backend, attempt),
             Action::RevokeUnsent(backend, attempt) => self.revoke_unsent(now, backend, attempt),
             Action::RequestPermit(backend, attempt) => self.request_permit(now, backend, attempt),
             Action::ReplicateOutcome(completed) => self.replicate_outcome(now, *completed),
             Action::Respond(handle, response) => self.respond(now, handle, response),
-            Action::HealthCheck(backend) => self.pool.probe(now, &self.handle, backend),
+            Action::HealthCheck(backend) => self.pool.health_check(now, &self.handle, backend),
             Action::WatchEndpoints => {
                 let event = self.discovery.watch(now, &self.handle);
                 self.handle_discovery_events(event);
@@ -61,7 +61,7 @@
     /// cancelled where it was sent.
     fn cancel_attempt(&mut self, now: Micros, backend: BackendId, attempt: AttemptId) {
         if !self.drop_without_permit(now, attempt) {
-            self.pool.abandon(now, backend, attempt);
+            self.pool.cancel(now, backend, attempt);
         }
     }
 
@@ -70,7 +70,7 @@
         if self.drop_without_permit(now, attempt) {
             self.core.attempt_completed(now, attempt, Outcome::NotSent, None);
         } else {
-            self.pool.withdraw(backend, attempt);
+            self.pool.revoke_unsent(backend, attempt);
         }
     }
 
@@ -121,7 +121,7 @@
     fn perform_takeover_tasks(&mut self, now: Micros, tasks: Vec<Task>) {
         for task in tasks {
             match task {
-                Task::Send(backend, attempt) => self.pool.call(now, &self.handle, backend, vec![attempt]),
+                Task::Send(backend, attempt) => self.pool.send(now, &self.handle, backend, vec![attempt]),
                 Task::Reply(handle, response) => self.respond(now, handle, response),
             }
         }
@@ -129,14 +129,20 @@
 
     /// Hands the core what connections to backends have reported.
     pub(super) fn handle_upstream_events(&mut self, now: Micros) {
-        for event in self.pool.reports() {
+        for event in self.pool.take_events() {
             match event {
-                Report::Ended(attempt, Outcome::Succeeded, Some(value)) => {
+                UpstreamEvent::AttemptEnded(attempt, Outcome::Succeeded, Some(value)) => {
                     self.attempt_succeeded(now, attempt, value);
                 }
-                Report::Ended(attempt, outcome, value) => self.attempt_ended(now, attempt, outcome, value),
-                Report::Overrun(query, attempt) => self.table_memory_exceeded(now, query, attempt),
-                Report::Probed(backend, passed) => self.core.health_check_completed(backend, passed),
+                UpstreamEvent::AttemptEnded(attempt, outcome, value) => {
+                    self.attempt_ended(now, attempt, outcome, value)
+                }
+                UpstreamEvent::TableMemoryExceeded(query, attempt) => {
+                    self.table_memory_exceeded(now, query, attempt)
+                }
+                UpstreamEvent::HealthCheckCompleted(backend, passed) => {
+                    self.core.health_check_completed(backend, passed)
+                }
             }
         }
     }
--- a/crates/edge/src/server/endpoints.rs
+++ b/crates/edge/src/server/endpoints.rs
@@ -89,7 +89,7 @@
         let update = self.backends.apply(list);
         let mut endpoints = Vec::new();
         for (backend, host) in update.named {
-            self.pool.update(backend, host);
+            self.pool.update_backend(backend, host);
             if host.phase != EndpointState::Ready || host.started.is_some() {
                 tracing::info!("host {} is {:?}, started {:?}", host.name, host.phase, host.started);
             }
@@ -102,7 +102,7 @@
             });
         }
         for backend in update.removed {
-            self.pool.forget(now, backend);
+            self.pool.remove_backend(now, backend);
         }
         self.core.endpoint_update(match (source, list.reset) {
             (Source::Cache, _) => EndpointUpdate::CachedSnapshot(endpoints),
--- a/crates/edge/src/server/reload.rs
+++ b/crates/edge/src/server/reload.rs
@@ -39,7 +39,7 @@
         let config = (self.load_config)().map_err(ReloadError::Configuration)?;
         let connector = config.flight.host_tls.as_ref().map(Connector::new).transpose()?;
         self.flight.reload(&config.flight)?;
-        self.pool.secure(connector);
+        self.pool.set_tls(connector);
         Ok(config.discovery)
     }
 }
--- a/crates/edge/tests/bad_input.rs
+++ b/crates/edge/tests/bad_input.rs
@@ -10,7 +10,7 @@
 use mallowgauge_edge::front::http1::{self, Bad, Body, Head, Response};
 use mallowgauge_edge::front::query;
 use mallowgauge_edge::peers::wire::{self, Said as PeerSaid};
-use mallowgauge_edge::upstream::frames::{self, Said};
+use mallowgauge_edge::upstream::frames::{self, BackendMessage};
 use mallowgauge_flight::grpc::{self, Deframer, Encoding};
 use mallowgauge_flight::proto;
 use mallowgauge_router::{ClassId, Outcome};
@@ -347,7 +347,7 @@
 }
 
 /// What a host's connection reads.
-fn said<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> (Vec<Said>, bool, usize) {
+fn said<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> (Vec<BackendMessage>, bool, usize) {
     let (mut input, mut all, mut held) = (Vec::new(), Vec::new(), 0);
     for piece in pieces {
         input.extend_from_slice(piece);
@@ -392,7 +392,7 @@
         let first = host_frame(b'q', b"q1.3 good 17 util=0.5\nvalue", 0);
         let both = [first, spoil(second, &changes)].concat();
         let seen = said(pieces(&both, &sizes));
-        let wanted = Said::End("q1.3".to_owned(), Outcome::Succeeded, "value".to_owned());
+        let wanted = BackendMessage::PartEnded { part: "q1.3".to_owned(), outcome: Outcome::Succeeded, value: "value".to_owned() };
         prop_assert_eq!(seen.0.first(), Some(&wanted));
     }
 }
@@ -404,14 +404,16 @@
     assert!(frames::read(b"\0\0\0\x06ogood").is_err());
     assert!(frames::read(b"\0\0\0\x06ogoodX").is_err());
     assert_eq!(frames::read(b"\0\0\0\x05ogoo"), Ok(None));
-    assert_eq!(frames::read(b"\0\0\0\x05ogood"), Ok(Some((Said::Probe(true), 9))));
+    assert_eq!(frames::read(b"\0\0\0\x05ogood"), Ok(Some((BackendMessage::HealthChecked(true), 9))));
 }
 
 // What a host says goes into a line of the log.
 #[test]
 fn a_hosts_last_words_are_one_short_line() {
     let words = format!("a\nb\r\u{1b}[31m{}", "w".repeat(60_000));
-    let Ok(Some((Said::Useless(words), _))) = frames::read(&host_frame(b'r', words.as_bytes(), 0)) else {
+    let Ok(Some((BackendMessage::FrameRejected(words), _))) =
+        frames::read(&host_frame(b'r', words.as_bytes(), 0))
+    else {
         panic!("no last words");
     };
     assert!(words.starts_with("a\\nb\\r"), "{words:.40}");
@@ -664,15 +666,15 @@
     for _ in 0..300 {
         let frame = a_frame().new_tree(&mut runner).expect("a frame").current();
         kinds.insert(match frames::read(&frame) {
-            Ok(Some((Said::End(..), _))) => "answer",
-            Ok(Some((Said::Probe(_), _))) => "probe",
-            Ok(Some((Said::Useless(_), _))) => "last words",
-            Ok(None) => "not whole",
-            Err(why) => why,
+            Ok(Some((BackendMessage::PartEnded { .. }, _))) => "answer".to_owned(),
+            Ok(Some((BackendMessage::HealthChecked(_), _))) => "probe".to_owned(),
+            Ok(Some((BackendMessage::FrameRejected(_), _))) => "last words".to_owned(),
+            Ok(None) => "not whole".to_owned(),
+            Err(error) => error.to_string(),
         });
         let request = a_request().new_tree(&mut runner).expect("a request").current();
         let seen = Requests::of([&request[..]]);
-        kinds.insert(if seen.bad { "bad request" } else { "request" });
+        kinds.insert(if seen.bad { "bad request" } else { "request" }.to_owned());
     }
     assert!(kinds.len() >= 9, "{kinds:?}");
 }
--- a/crates/edge/tests/parts.rs
+++ b/crates/edge/tests/parts.rs
@@ -336,11 +336,11 @@
     ];
     let read = |bytes: &Vec<u8>| match frames::read(bytes) {
         Ok(found) => format!("{:?}", found.map(|(said, _)| said)),
-        Err(why) => why.to_owned(),
+        Err(error) => error.to_string(),
     };
     assert_snapshot!(samples.iter().map(read).collect::<Vec<_>>().join("\n"), @r#"
-    Some(End("1.3", Succeeded, "value"))
-    Some(End("1.3", Succeeded, "value"))
+    Some(PartEnded { part: "1.3", outcome: Succeeded, value: "value" })
+    Some(PartEnded { part: "1.3", outcome: Succeeded, value: "value" })
     a value that is not text
     an answer with an unreadable line
     an answer with an unreadable line
--- a/crates/mallowgauge/tests/promises.rs
+++ b/crates/mallowgauge/tests/promises.rs
@@ -115,8 +115,8 @@
     };
     fits("call", &frames::call(1_000_000, &[send(3)]));
     fits("call", &frames::call(1_000_000, &[send(3), send(4)]));
-    fits("giveUp", &frames::give_up(&frames::part_name(&send(3))));
-    fits("probe", &frames::probe());
+    fits("giveUp", &frames::cancel(&frames::part_name(&send(3))));
+    fits("probe", &frames::health_check());
     let mut heard = Vec::new();
     for name in ["end", "probed", "useless"] {
         for example in messages[name]["examples"].as_array().expect("examples") {
@@ -129,12 +129,12 @@
         }
     }
     assert_snapshot!(heard.join("\n"), @r#"
-    End("9b1f03aa5c7e2d41.3", Served, "5be2a07c19f04d63")
-    End("9b1f03aa5c7e2d41.3", Fault, "")
-    End("9b1f03aa5c7e2d41.3", NoRoom, "")
-    Probe(true)
-    Probe(false)
-    Useless("too long")
+    PartEnded { part: "9b1f03aa5c7e2d41.3", outcome: Succeeded, value: "5be2a07c19f04d63" }
+    PartEnded { part: "9b1f03aa5c7e2d41.3", outcome: BackendError, value: "" }
+    PartEnded { part: "9b1f03aa5c7e2d41.3", outcome: Rejected, value: "" }
+    HealthChecked(true)
+    HealthChecked(false)
+    FrameRejected("too long")
     "#);
 }
 
