--- a/crates/edge/src/front/flight/mod.rs
+++ b/crates/edge/src/front/flight/mod.rs
@@ -42,9 +42,9 @@
 use self::command::Command;
 use self::long::{Form, Long, Said};
 use self::methods::{refusal, Head, Method, Waiting};
+use crate::http2_socket::{Flag, Wire};
 use crate::tls::{self, Acceptor, TlsError};
 use crate::token::SocketKind;
-use crate::wire::{Flag, Wire};
 
 /// A handshake has to be over by then.
 const SLOWEST_HANDSHAKE: Micros = 2_000_000;
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -4,6 +4,7 @@
 pub mod backend_registry;
 pub mod discovery;
 pub mod front;
+pub mod http2_socket;
 pub mod lifecycle;
 pub mod peers;
 pub mod server;
@@ -11,4 +12,3 @@
 pub mod tls;
 mod token;
 pub mod upstream;
-pub mod wire;
--- a/crates/edge/src/upstream/flight_connection.rs
+++ b/crates/edge/src/upstream/flight_connection.rs
@@ -25,8 +25,8 @@
 use super::connection::BackendConnection;
 use super::flight_stream::{CallPosition, PartStream};
 use super::{drop_expired, drop_unsent, UpstreamEvent, MESSAGE_TIMEOUT};
+use crate::http2_socket::{Flag, Wire};
 use crate::tls::{Connector, Session};
-use crate::wire::{Flag, Wire};
 
 /// The bytes of HTTP/2 frames that backends may send; larger ones cost less.
 const FRAME_BYTES: std::ops::RangeInclusive<u32> = 16 * 1024..=256 * 1024;
