--- a/crates/edge/src/server/dispatch.rs
+++ b/crates/edge/src/server/dispatch.rs
@@ -6,7 +6,7 @@
     Action, AttemptId, AttemptRequest, CompletedQuery, QueryResponse, ResponseHandle, Value,
 };
 use mallowgauge_flight::{rows, schema};
-use mallowgauge_net::{Handle, Owner, Token};
+use mallowgauge_net::{EventHandler, Handle, Token};
 use mallowgauge_router::{BackendId, Micros, Outcome};
 
 use super::Server;
@@ -15,7 +15,7 @@
 use crate::token::SocketKind;
 use crate::upstream::UpstreamEvent;
 
-impl Owner for Server {
+impl EventHandler for Server {
     fn ready(&mut self, token: Token) {
         let (now, id) = (self.clock.now(), token.id);
         match SocketKind::of(token) {
--- a/crates/edge/tests/discovery_timing.rs
+++ b/crates/edge/tests/discovery_timing.rs
@@ -7,7 +7,7 @@
 use calloop::EventLoop;
 use mallowgauge_core::{Action, Core, CoreLimits};
 use mallowgauge_edge::discovery::{Discovery, DiscoveryEvent};
-use mallowgauge_net::{Handle, Owner, Token};
+use mallowgauge_net::{EventHandler, Handle, Token};
 use mallowgauge_router::{EndpointUpdate, Micros};
 use mallowgauge_settings::Site;
 use mallowgauge_testkit::hand::{accept, addr, listener, Held, Wire};
@@ -23,7 +23,7 @@
 #[derive(Default)]
 struct Ready(usize);
 
-impl Owner for Ready {
+impl EventHandler for Ready {
     fn ready(&mut self, _: Token) {
         self.0 += 1;
     }
--- /dev/null
+++ b/crates/net/src/listener.rs
@@ -0,0 +1,57 @@
+//! Listening sockets.
+
+use std::io::{self, ErrorKind};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::rc::Rc;
+
+use crate::event_loop::Registration;
+use crate::{Handle, Token};
+
+/// Connections that may wait to be accepted; the system lets one more than that try again only a second later.
+const BACKLOG: i32 = 1024;
+
+/// A listening socket.
+pub struct Listener {
+    socket: Rc<TcpListener>,
+    _registration: Registration,
+}
+
+impl Listener {
+    /// Listens on this address only.
+    ///
+    /// # Errors
+    /// The address cannot be bound.
+    pub fn bind(handle: &Handle, addr: SocketAddr, token: Token) -> io::Result<Self> {
+        let socket = socket2::Socket::new(socket2::Domain::for_address(addr), socket2::Type::STREAM, None)?;
+        socket.set_reuse_address(true)?;
+        socket.set_nonblocking(true)?;
+        socket.bind(&addr.into())?;
+        socket.listen(BACKLOG)?;
+        let socket = Rc::new(TcpListener::from(socket));
+        let registration = Registration::new(handle, socket.clone(), token)?;
+        Ok(Self { socket, _registration: registration })
+    }
+
+    /// The address that it listens on.
+    ///
+    /// # Errors
+    /// The system's own.
+    pub fn addr(&self) -> io::Result<SocketAddr> {
+        self.socket.local_addr()
+    }
+
+    /// The next connection that waits; `None` when none does.
+    ///
+    /// # Errors
+    /// No more can be held now (such as EMFILE); the connection stays in the backlog.
+    pub fn accept(&self) -> io::Result<Option<TcpStream>> {
+        loop {
+            match self.socket.accept() {
+                Ok((socket, _)) => return Ok(Some(socket)),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(None),
+                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
+                Err(e) => return Err(e),
+            }
+        }
+    }
+}
