--- a/crates/edge/src/front/flight/mod.rs
+++ b/crates/edge/src/front/flight/mod.rs
@@ -42,7 +42,7 @@
 use self::command::Command;
 use self::long::{Form, Long, Said};
 use self::methods::{refusal, Head, Method, Waiting};
-use crate::http2_socket::{Flag, Wire};
+use crate::http2_socket::{Http2Socket, WakeFlag};
 use crate::tls::{self, Acceptor, TlsError};
 use crate::token::SocketKind;
 
@@ -70,17 +70,17 @@
     bytes
 }
 
-type Handshake = Pin<Box<dyn Future<Output = Result<server::Connection<Wire, Bytes>, h2::Error>>>>;
+type Handshake = Pin<Box<dyn Future<Output = Result<server::Connection<Http2Socket, Bytes>, h2::Error>>>>;
 
 enum State {
     Handshake(Handshake),
-    Up(Box<server::Connection<Wire, Bytes>>),
+    Up(Box<server::Connection<Http2Socket, Bytes>>),
 }
 
 struct Connection {
     stream: Rc<Stream>,
     state: State,
-    flag: Arc<Flag>,
+    flag: Arc<WakeFlag>,
     waker: Waker,
     calls: BTreeMap<u64, Call>,
     draining: bool,
@@ -414,7 +414,7 @@
             Ok(session) => session,
             Err(e) => return tracing::warn!("connection not taken: {e}"),
         };
-        let (wire, _) = Wire::new(Rc::clone(&stream), session.map(tls::Session::Server));
+        let (wire, _) = Http2Socket::new(Rc::clone(&stream), session.map(tls::Session::Server));
         let limits = self.office.admission.limits();
         let mut builder = server::Builder::new();
         builder
@@ -424,7 +424,7 @@
             .initial_connection_window_size(CONNECTION_WINDOW)
             .max_send_buffer_size(limits.send_buffer);
         let state = State::Handshake(Box::pin(builder.handshake(wire)));
-        let (flag, waker) = Flag::waker();
+        let (flag, waker) = WakeFlag::waker();
         let calls = BTreeMap::new();
         let draining = false;
         self.connections.insert(id, Connection { stream, state, flag, waker, calls, draining, since: now });
--- a/crates/edge/src/http2_socket.rs
+++ b/crates/edge/src/http2_socket.rs
@@ -1,5 +1,7 @@
-//! Lets `h2` read and write a socket of the event loop, in the clear or through TLS. No runtime: a connection
-//! polls `h2` when its socket is ready, and again for as long as `h2` asks for that.
+//! Lets `h2` read and write a socket of the event loop, in plain text or through TLS.
+//!
+//! There is no async runtime: a connection polls `h2` when its socket is ready, and again for as long as `h2` wakes
+//! the [`WakeFlag`].
 
 use std::io::{self, ErrorKind, IoSlice, Read, Write};
 use std::pin::Pin;
@@ -13,12 +15,12 @@
 
 use crate::tls::{Session, ALPN};
 
-/// Says whether `h2` wants to be polled again.
+/// Raised when `h2` wants to be polled again.
 #[derive(Debug, Default)]
-pub struct Flag(AtomicBool);
+pub struct WakeFlag(AtomicBool);
 
-impl Flag {
-    /// A flag and the waker that raises it.
+impl WakeFlag {
+    /// A lowered flag, and the waker that raises it.
     #[must_use]
     pub fn waker() -> (Arc<Self>, Waker) {
         let flag = Arc::new(Self::default());
@@ -31,34 +33,35 @@
     }
 }
 
-impl Wake for Flag {
+impl Wake for WakeFlag {
     fn wake(self: Arc<Self>) {
         self.0.store(true, Ordering::Relaxed);
     }
 }
 
-/// Read from a socket at a time.
-const READ: usize = 64 * 1024;
+/// Most bytes read from a socket in one call.
+const LONGEST_READ: usize = 64 * 1024;
 
 /// A socket as `h2` sees it.
-pub struct Wire {
-    socket: Socket,
+pub struct Http2Socket {
+    socket: PlainSocket,
     tls: Option<Session>,
 }
 
-/// The socket as rustls sees it.
-struct Socket {
+/// The socket without TLS, which rustls reads and writes.
+struct PlainSocket {
     stream: Rc<Stream>,
-    heard: Arc<AtomicBool>,
+    /// Raised when bytes come.
+    bytes_received: Arc<AtomicBool>,
 }
 
-impl Read for Socket {
+impl Read for PlainSocket {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         loop {
             match self.stream.read_once(buffer) {
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 read => {
-                    self.heard.fetch_or(read.as_ref().is_ok_and(|&n| n > 0), Ordering::Relaxed);
+                    self.bytes_received.fetch_or(read.as_ref().is_ok_and(|&n| n > 0), Ordering::Relaxed);
                     return read;
                 }
             }
@@ -66,7 +69,7 @@
     }
 }
 
-impl Write for Socket {
+impl Write for PlainSocket {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         match self.stream.write(bytes) {
             Ok(0) if !bytes.is_empty() => Err(ErrorKind::WouldBlock.into()),
@@ -79,7 +82,8 @@
     }
 }
 
-fn blocked<T>(result: io::Result<T>) -> Poll<io::Result<T>> {
+/// `Pending` where the call would block.
+fn pending_if_blocked<T>(result: io::Result<T>) -> Poll<io::Result<T>> {
     match result {
         Err(e) if e.kind() == ErrorKind::WouldBlock => Poll::Pending,
         result => Poll::Ready(result),
@@ -96,8 +100,8 @@
 }
 
 impl Session {
-    /// Sends what is encrypted and waits; `true` once nothing does.
-    fn flush(&mut self, socket: &mut Socket) -> io::Result<bool> {
+    /// Writes what is encrypted and waits; `true` once nothing does.
+    fn flush(&mut self, socket: &mut PlainSocket) -> io::Result<bool> {
         either!(self, session => {
             while session.wants_write() {
                 match session.write_tls(socket) {
@@ -110,23 +114,23 @@
         })
     }
 
-    /// Takes what has come; 0 once the other side has closed.
-    fn receive(&mut self, socket: &mut Socket) -> io::Result<usize> {
-        let came = either!(self, session => session.read_tls(socket))?;
-        let taken = either!(self, session => session.process_new_packets().map(|_| ()));
-        // What there is to say, an alert for what was wrong included, goes out first.
+    /// Reads and decrypts what has come; 0 bytes once the other side has closed.
+    fn receive(&mut self, socket: &mut PlainSocket) -> io::Result<usize> {
+        let received = either!(self, session => session.read_tls(socket))?;
+        let decrypted = either!(self, session => session.process_new_packets().map(|_| ()));
+        // An alert about what was wrong goes out before the error ends the connection.
         self.flush(socket)?;
-        taken.map_err(|e| io::Error::new(ErrorKind::InvalidData, e))?;
-        let agreed = either!(self, session => {
+        decrypted.map_err(|e| io::Error::new(ErrorKind::InvalidData, e))?;
+        let protocol_agreed = either!(self, session => {
             session.is_handshaking() || session.alpn_protocol() == Some(ALPN)
         });
-        if !agreed {
+        if !protocol_agreed {
             return Err(io::Error::new(ErrorKind::InvalidData, "no agreement on h2"));
         }
-        Ok(came)
+        Ok(received)
     }
 
-    fn handshake(&mut self, socket: &mut Socket) -> io::Result<()> {
+    fn handshake(&mut self, socket: &mut PlainSocket) -> io::Result<()> {
         loop {
             self.flush(socket)?;
             if !either!(self, session => session.is_handshaking()) {
@@ -138,13 +142,12 @@
         }
     }
 
-    fn read(&mut self, socket: &mut Socket, buffer: &mut [u8]) -> io::Result<usize> {
+    fn read(&mut self, socket: &mut PlainSocket, buffer: &mut [u8]) -> io::Result<usize> {
         loop {
             let plain = either!(self, session => session.reader().read(buffer));
             match plain {
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-                // A side that ends without saying so has been cut off; what HTTP/2 needs to know of its
-                // streams it knows from them.
+                // The connection was cut without a TLS closure; HTTP/2 knows which of its streams were complete.
                 Err(e) if e.kind() == ErrorKind::UnexpectedEof => return Ok(0),
                 plain => return plain,
             }
@@ -154,7 +157,7 @@
         }
     }
 
-    fn write(&mut self, socket: &mut Socket, bytes: &[u8]) -> io::Result<usize> {
+    fn write(&mut self, socket: &mut PlainSocket, bytes: &[u8]) -> io::Result<usize> {
         let taken = either!(self, session => session.writer().write(bytes))?;
         let empty = self.flush(socket)?;
         if taken > 0 || bytes.is_empty() {
@@ -168,45 +171,43 @@
     }
 }
 
-impl Wire {
-    /// Wraps a connected socket; the flag says that bytes have come since it was last lowered.
+impl Http2Socket {
+    /// Wraps a connected socket; the flag is raised when bytes come.
     #[must_use]
     pub fn new(stream: Rc<Stream>, tls: Option<Session>) -> (Self, Arc<AtomicBool>) {
-        let heard = Arc::new(AtomicBool::new(false));
-        let socket = Socket { stream, heard: Arc::clone(&heard) };
-        (Self { socket, tls }, heard)
+        let bytes_received = Arc::new(AtomicBool::new(false));
+        let socket = PlainSocket { stream, bytes_received: Arc::clone(&bytes_received) };
+        (Self { socket, tls }, bytes_received)
     }
-}
 
-impl Wire {
-    /// Whether both sides have agreed on TLS; at once where there is none.
+    /// Goes on with the TLS handshake; ready at once where there is no TLS.
     pub fn handshake(&mut self) -> Poll<io::Result<()>> {
         let Self { socket, tls } = self;
-        blocked(tls.as_mut().map_or(Ok(()), |session| session.handshake(socket)))
+        pending_if_blocked(tls.as_mut().map_or(Ok(()), |session| session.handshake(socket)))
     }
 }
 
-impl AsyncRead for Wire {
+impl AsyncRead for Http2Socket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let Self { socket, tls } = &mut *self;
-        // Room is made ready by being zeroed; more than a socket gives at once would be zeroed in vain.
-        let room = buffer.initialize_unfilled_to(buffer.remaining().min(READ));
+        // The room is zeroed first; more than a socket gives at once would be zeroed for nothing.
+        let room = buffer.initialize_unfilled_to(buffer.remaining().min(LONGEST_READ));
         let read = match tls {
             None => socket.read(room),
             Some(session) => session.read(socket, room),
         };
-        blocked(read.map(|n| buffer.advance(n)))
+        pending_if_blocked(read.map(|n| buffer.advance(n)))
     }
 }
 
-impl AsyncWrite for Wire {
+impl AsyncWrite for Http2Socket {
     fn poll_write(mut self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let Self { socket, tls } = &mut *self;
-        blocked(match tls {
+        pending_if_blocked(match tls {
             None => socket.write(bytes),
             Some(session) => session.write(socket, bytes),
         })
@@ -227,7 +228,7 @@
         }
     }
 
-    /// In the clear a frame's head and its payload go out in one call.
+    /// In plain text a frame's head and its payload go out in one system call.
     fn is_write_vectored(&self) -> bool {
         self.tls.is_none()
     }
--- a/crates/edge/src/upstream/flight_connection.rs
+++ b/crates/edge/src/upstream/flight_connection.rs
@@ -25,7 +25,7 @@
 use super::connection::BackendConnection;
 use super::flight_stream::{CallPosition, PartStream};
 use super::{drop_expired, drop_unsent, UpstreamEvent, MESSAGE_TIMEOUT};
-use crate::http2_socket::{Flag, Wire};
+use crate::http2_socket::{Http2Socket, WakeFlag};
 use crate::tls::{Connector, Session};
 
 /// The bytes of HTTP/2 frames that backends may send; larger ones cost less.
@@ -48,14 +48,14 @@
     pub tls: Option<Connector>,
 }
 
-type Http2Connection = client::Connection<Wire, Bytes>;
+type Http2Connection = client::Connection<Http2Socket, Bytes>;
 type Http2Handshake = Pin<Box<dyn Future<Output = Result<(SendRequest<Bytes>, Http2Connection), h2::Error>>>>;
 
 /// How far a connection is.
 enum State {
     Connecting,
     /// Nothing is handed over before TLS is agreed on, so that nothing can have been executed if it fails.
-    TlsHandshake(Wire),
+    TlsHandshake(Http2Socket),
     Http2Handshake(Http2Handshake),
     Open(Open),
 }
@@ -85,7 +85,7 @@
     /// Raised when bytes come.
     bytes_received: Arc<AtomicBool>,
     /// Raised when `h2` wants to be polled again.
-    wanted: Arc<Flag>,
+    wanted: Arc<WakeFlag>,
     waker: Waker,
     /// Calls of which nothing was handed to `h2`.
     queue: VecDeque<Vec<AttemptRequest>>,
@@ -239,7 +239,7 @@
         addr: SocketAddr,
         options: FlightOptions,
     ) -> Self {
-        let (wanted, waker) = Flag::waker();
+        let (wanted, waker) = WakeFlag::waker();
         Self {
             backend,
             stream: Rc::new(stream),
@@ -294,7 +294,7 @@
                     return Poll::Ready(false);
                 }
             };
-            let (wire, bytes_received) = Wire::new(Rc::clone(&self.stream), session);
+            let (wire, bytes_received) = Http2Socket::new(Rc::clone(&self.stream), session);
             self.bytes_received = bytes_received;
             self.state = State::TlsHandshake(wire);
         }
