--- a/crates/edge/src/front/flight/mod.rs
+++ b/crates/edge/src/front/flight/mod.rs
@@ -33,7 +33,7 @@
 use mallowgauge_flight::grpc::{self, Code, Encoding, Status};
 use mallowgauge_flight::proto::HealthCheckResponse;
 use mallowgauge_flight::seal;
-use mallowgauge_net::{Handle, ReadEnd, Stream, Token};
+use mallowgauge_net::{Handle, ReadEnd, Stream};
 use mallowgauge_router::{ClassId, Micros};
 use mallowgauge_settings::Flight as Settings;
 
@@ -42,9 +42,9 @@
 use self::command::Command;
 use self::long::{Form, Long, Said};
 use self::methods::{refusal, Head, Method, Waiting};
-use crate::tls::{self, Acceptor};
-use crate::token;
-use crate::wire::{Flag, Wire};
+use crate::http2_socket::{Http2Socket, WakeFlag};
+use crate::tls::{self, Acceptor, TlsError};
+use crate::token::SocketKind;
 
 /// A handshake has to be over by then.
 const SLOWEST_HANDSHAKE: Micros = 2_000_000;
@@ -70,17 +70,17 @@
     bytes
 }
 
-type Handshake = Pin<Box<dyn Future<Output = Result<server::Connection<Wire, Bytes>, h2::Error>>>>;
+type Handshake = Pin<Box<dyn Future<Output = Result<server::Connection<Http2Socket, Bytes>, h2::Error>>>>;
 
 enum State {
     Handshake(Handshake),
-    Up(Box<server::Connection<Wire, Bytes>>),
+    Up(Box<server::Connection<Http2Socket, Bytes>>),
 }
 
 struct Connection {
     stream: Rc<Stream>,
     state: State,
-    flag: Arc<Flag>,
+    flag: Arc<WakeFlag>,
     waker: Waker,
     calls: BTreeMap<u64, Call>,
     draining: bool,
@@ -311,6 +311,17 @@
     }
 }
 
+/// Why changed settings of the Flight frontend are not taken without a restart.
+#[derive(Debug, thiserror::Error)]
+pub enum ReloadError {
+    /// The certificate or key cannot be used.
+    #[error(transparent)]
+    Tls(#[from] TlsError),
+    /// A listener with TLS cannot become one without, or the reverse.
+    #[error("flight.tls is turned on or off by a restart alone")]
+    TlsNeedsRestart,
+}
+
 /// The bounds of the table that the front uses, and what is told of it.
 pub struct Setup<'a> {
     /// The table of bounds.
@@ -326,7 +337,7 @@
     ///
     /// # Errors
     /// Its certificate or key makes no sense.
-    pub fn new(setup: &Setup<'_>) -> Result<Self, String> {
+    pub fn new(setup: &Setup<'_>) -> Result<Self, TlsError> {
         let Setup { limits, settings, classes } = setup;
         // Without a key of the operator's, tickets and tokens count until this copy ends.
         let secret: [u8; 32] = random();
@@ -365,10 +376,10 @@
     ///
     /// # Errors
     /// They make no sense, and nothing has changed.
-    pub fn reload(&mut self, settings: &Settings) -> Result<(), String> {
+    pub fn reload(&mut self, settings: &Settings) -> Result<(), ReloadError> {
         let acceptor = settings.tls.as_ref().map(Acceptor::new).transpose()?;
         if acceptor.is_some() != self.acceptor.is_some() {
-            return Err("flight.tls is turned on or off by a restart alone".to_owned());
+            return Err(ReloadError::TlsNeedsRestart);
         }
         self.acceptor = acceptor;
         if settings.users.is_some() == self.office.door.asks() {
@@ -395,7 +406,7 @@
     /// Takes an accepted connection.
     pub fn accept(&mut self, now: Micros, handle: &Handle, socket: std::net::TcpStream) {
         let id = self.office.number();
-        let stream = match Stream::accepted(handle, socket, Token { kind: token::FLIGHT, id }) {
+        let stream = match Stream::accepted(handle, socket, SocketKind::FlightClient.token(id)) {
             Ok(stream) => Rc::new(stream),
             Err(e) => return tracing::warn!("connection not taken: {e}"),
         };
@@ -403,7 +414,7 @@
             Ok(session) => session,
             Err(e) => return tracing::warn!("connection not taken: {e}"),
         };
-        let (wire, _) = Wire::new(Rc::clone(&stream), session.map(tls::Session::Server));
+        let (wire, _) = Http2Socket::new(Rc::clone(&stream), session.map(tls::Session::Server));
         let limits = self.office.admission.limits();
         let mut builder = server::Builder::new();
         builder
@@ -413,7 +424,7 @@
             .initial_connection_window_size(CONNECTION_WINDOW)
             .max_send_buffer_size(limits.send_buffer);
         let state = State::Handshake(Box::pin(builder.handshake(wire)));
-        let (flag, waker) = Flag::waker();
+        let (flag, waker) = WakeFlag::waker();
         let calls = BTreeMap::new();
         let draining = false;
         self.connections.insert(id, Connection { stream, state, flag, waker, calls, draining, since: now });
