--- a/crates/edge/src/front/flight/long.rs
+++ b/crates/edge/src/front/flight/batch_stream.rs
@@ -7,16 +7,13 @@
 use mallowgauge_core::batch::{Batch, Bounds, Phase};
 use mallowgauge_core::polled_queries::WaiterId;
 use mallowgauge_core::stream_admission::Limits;
-use mallowgauge_core::{Failure, Message, QueryResponse};
+use mallowgauge_core::Message;
 use mallowgauge_flight::grpc::{Code, Status};
 use mallowgauge_flight::ipc::Collector;
 use mallowgauge_flight::proto::FlightData;
 use mallowgauge_flight::rows;
-use mallowgauge_router::Micros;
 use prost::Message as _;
-use serde_json::{json, Map, Value};
-
-use crate::front::query;
+use serde_json::{Map, Value};
 
 /// Bytes of answers that wait to be taken, above which no more queries are read.
 const BACKLOG: usize = 256 * 1024;
@@ -187,53 +184,3 @@
     let text = rows::json(schema, messages)?;
     serde_json::from_str(&text).map_err(|e| e.to_string())
 }
-
-/// What a client is told of an answer in metadata.
-pub fn told(form: Form, tag: &str, id: &str, answer: &Result<std::rc::Rc<QueryResponse>, Status>) -> Value {
-    let mut told = match answer {
-        Ok(answer) => match &**answer {
-            QueryResponse::Completed { complete: whole, .. } => {
-                json!({"status": if *whole { "whole" } else { "partial" }, "total": whole})
-            }
-            QueryResponse::Ranked(ranked) => {
-                let mut told = query::marks(ranked);
-                told["status"] = json!(if ranked.whole { "whole" } else { "partial" });
-                told
-            }
-            QueryResponse::Rejected { retry_after, not_executed: untouched } => {
-                json!({"status": "refused", "untouched": untouched, "retry_after_ms": ms(*retry_after)})
-            }
-            QueryResponse::Failed(Failure::Invalid(words)) => json!({"status": "invalid", "error": words}),
-            QueryResponse::Failed(Failure::DeadlineExceeded) => json!({"status": "time_up"}),
-            QueryResponse::Failed(Failure::PartsFailed | Failure::MemoryExhausted) => {
-                json!({"status": "failed"})
-            }
-        },
-        Err(status) => {
-            let kind = match status.code {
-                Code::InvalidArgument => "invalid",
-                Code::Unavailable | Code::ResourceExhausted => "refused",
-                Code::Cancelled => "cancelled",
-                _ => "failed",
-            };
-            let mut told = json!({"status": kind, "error": status.words});
-            if let Some(reason) = status.reason {
-                told["reason"] = json!(reason);
-            }
-            if let Some(wait) = status.retry_after {
-                told["retry_after_ms"] = json!(ms(wait));
-            }
-            told
-        }
-    };
-    match form {
-        Form::Put => told["row"] = json!(tag.parse::<u64>().unwrap_or_default()),
-        Form::Exchange => told["tag"] = json!(tag),
-    }
-    told["id"] = json!(id);
-    told
-}
-
-fn ms(micros: Micros) -> u64 {
-    micros.div_ceil(1000)
-}
--- a/crates/edge/src/front/flight/call.rs
+++ b/crates/edge/src/front/flight/call.rs
@@ -8,13 +8,17 @@
 use h2::server::SendResponse;
 use h2::{Reason, RecvStream, SendStream};
 use http::{HeaderMap, HeaderValue, Request, Response};
+use mallowgauge_core::polled_queries::{PolledQueryKey, WaiterId};
+use mallowgauge_core::sessions::Options;
 use mallowgauge_core::stream_admission::Reader;
 use mallowgauge_flight::answer;
 use mallowgauge_flight::grpc::{self, Code, Deframer, Encoding, Status};
 use mallowgauge_router::Micros;
 
-use super::long::Long;
-use super::methods::{Head, Method, Waiting};
+use super::auth::Who;
+use super::batch_stream::Long;
+use super::command::Command;
+use super::method::Method;
 
 /// A message has to be whole so long after its first byte, and a request after its head.
 pub const SLOWEST_REQUEST: Micros = 2_000_000;
@@ -23,6 +27,37 @@
 /// The core and the module end a query in time; a call ends itself so long after its client's time.
 const SLACK: Micros = 50_000;
 
+/// What a call's head says.
+#[derive(Clone, Debug, Default)]
+pub struct Head {
+    /// How long the client waits.
+    pub timeout: Option<Micros>,
+    /// How the client's messages may be compressed.
+    pub encoding: Encoding,
+    /// Who calls.
+    pub who: Who,
+    /// What the session has set.
+    pub options: Options,
+}
+
+/// What a call waits for.
+pub struct Waiting {
+    /// What comes of the outcome.
+    pub form: Wanted,
+    /// When the call says how things stand, if there is no outcome by then.
+    pub until: Option<Micros>,
+    /// The caller under which the outcome comes.
+    pub caller: Option<WaiterId>,
+}
+
+/// What comes of an outcome.
+pub enum Wanted {
+    /// The answer's table.
+    Table,
+    /// How a polled query stands.
+    Poll(PolledQueryKey, Command),
+}
+
 /// What goes out.
 pub enum Item {
     /// Messages that are ready, in gRPC's frames.
