--- a/crates/edge/src/front/flight/auth.rs
+++ b/crates/edge/src/front/flight/auth.rs
@@ -1,4 +1,4 @@
-//! Who calls: users with passwords from a file, tokens that stand for them, cookies that name a session.
+//! Identity calls: users with passwords from a file, tokens that stand for them, cookies that name a session.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,9 +15,9 @@
 /// The cookie that names a session, as Flight's clients keep it.
 pub const COOKIE: &str = "arrow_flight_session_id";
 
-/// Who calls.
+/// Identity calls.
 #[derive(Clone, Debug, Default)]
-pub struct Who {
+pub struct Identity {
     /// The user; empty where nobody is asked.
     pub user: Rc<str>,
     /// The session that the call belongs to.
@@ -25,36 +25,37 @@
 }
 
 /// How a call says who it is.
-enum Claim<'a> {
+enum Credentials<'a> {
     Basic(&'a str),
     Token(Vec<u8>),
     None,
 }
 
-fn claim(headers: &HeaderMap) -> Claim<'_> {
+fn credentials(headers: &HeaderMap) -> Credentials<'_> {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     if let Some(line) = text("authorization") {
         if let Some((scheme, rest)) = line.split_once(' ') {
             if scheme.eq_ignore_ascii_case("basic") {
-                return Claim::Basic(rest.trim());
+                return Credentials::Basic(rest.trim());
             }
             if scheme.eq_ignore_ascii_case("bearer") {
-                return Claim::Token(unbase(rest.trim()).unwrap_or_default());
+                return Credentials::Token(decode_base64(rest.trim()).unwrap_or_default());
             }
         }
-        return Claim::Token(Vec::new());
+        return Credentials::Token(Vec::new());
     }
     match text("auth-token-bin") {
         // Binary lines are base64 on the wire; the token within is the text that the handshake gave.
         Some(line) => {
-            let token = unbase(line).and_then(|inner| unbase(std::str::from_utf8(&inner).ok()?));
-            Claim::Token(token.unwrap_or_default())
+            let token =
+                decode_base64(line).and_then(|inner| decode_base64(std::str::from_utf8(&inner).ok()?));
+            Credentials::Token(token.unwrap_or_default())
         }
-        None => Claim::None,
+        None => Credentials::None,
     }
 }
 
-fn unbase(text: &str) -> Option<Vec<u8>> {
+fn decode_base64(text: &str) -> Option<Vec<u8>> {
     STANDARD_NO_PAD.decode(text.trim_end_matches('=')).ok()
 }
 
@@ -62,7 +63,7 @@
     Status::new(Code::Unauthenticated, "who asks is not known").because("UNAUTHENTICATED")
 }
 
-fn cookie(headers: &HeaderMap) -> Option<SessionId> {
+fn session_cookie(headers: &HeaderMap) -> Option<SessionId> {
     let lines = headers.get_all("cookie").iter().filter_map(|line| line.to_str().ok());
     let mut pairs = lines.flat_map(|line| line.split(';')).filter_map(|pair| pair.trim().split_once('='));
     let (_, value) = pairs.find(|(name, _)| *name == COOKIE)?;
@@ -70,42 +71,47 @@
 }
 
 /// The doorkeeper: the users that may call.
-pub struct Door {
+pub struct Authenticator {
     users: Option<BTreeMap<String, String>>,
     key: Key,
-    life: Micros,
+    token_lifetime: Micros,
 }
 
-impl Door {
+impl Authenticator {
     /// For these users; where there are none, everybody may call.
     pub fn new(users: Option<BTreeMap<String, String>>, key: Key, life: Micros) -> Self {
-        Self { users, key, life }
+        Self { users, key, token_lifetime: life }
     }
 
     /// Other users from now on; tokens of those who are gone count no longer.
-    pub fn replace(&mut self, users: Option<BTreeMap<String, String>>) {
+    pub fn replace_users(&mut self, users: Option<BTreeMap<String, String>>) {
         self.users = users;
     }
 
     /// Whether callers have to say who they are.
-    pub fn asks(&self) -> bool {
+    pub fn is_required(&self) -> bool {
         self.users.is_some()
     }
 
-    /// Who a call is from.
-    pub fn who(&self, now: Micros, headers: &HeaderMap, admission: &mut Admission) -> Result<Who, Status> {
+    /// Identity a call is from.
+    pub fn identify(
+        &self,
+        now: Micros,
+        headers: &HeaderMap,
+        admission: &mut Admission,
+    ) -> Result<Identity, Status> {
         let Some(users) = &self.users else {
-            return Ok(Who { user: "".into(), session: cookie(headers) });
+            return Ok(Identity { user: "".into(), session: session_cookie(headers) });
         };
-        match claim(headers) {
-            Claim::None => Err(unknown()),
-            Claim::Basic(text) => {
-                let pair = unbase(text).and_then(|bytes| String::from_utf8(bytes).ok());
+        match credentials(headers) {
+            Credentials::None => Err(unknown()),
+            Credentials::Basic(text) => {
+                let pair = decode_base64(text).and_then(|bytes| String::from_utf8(bytes).ok());
                 let pair = pair.as_deref().and_then(|pair| pair.split_once(':')).ok_or_else(unknown)?;
-                let user = self.check(now, pair.0, pair.1, admission)?;
-                Ok(Who { user, session: cookie(headers) })
+                let user = self.check_password(now, pair.0, pair.1, admission)?;
+                Ok(Identity { user, session: session_cookie(headers) })
             }
-            Claim::Token(sealed) => {
+            Credentials::Token(sealed) => {
                 let token = self.key.read_token(now, &sealed).map_err(|bad| match bad {
                     seal::Bad::Expired => {
                         Status::new(Code::Unauthenticated, "the token has expired").because("TOKEN_EXPIRED")
@@ -116,14 +122,14 @@
                     return Err(unknown());
                 }
                 let number = u128::from(token.session_high) << 64 | u128::from(token.session_low);
-                let session = cookie(headers).or(Some(SessionId(number)));
-                Ok(Who { user: token.user.into(), session })
+                let session = session_cookie(headers).or(Some(SessionId(number)));
+                Ok(Identity { user: token.user.into(), session })
             }
         }
     }
 
     /// Checks a password, at the rate that the admission allows.
-    pub fn check(
+    pub fn check_password(
         &self,
         now: Micros,
         name: &str,
@@ -146,10 +152,10 @@
     }
 
     /// A token for a user, as it goes into a header line.
-    pub fn token(&self, now: Micros, user: &str, session: u128) -> String {
+    pub fn issue_token(&self, now: Micros, user: &str, session: u128) -> String {
         let token = Token {
             user: user.to_owned(),
-            expires: now.saturating_add(self.life),
+            expires: now.saturating_add(self.token_lifetime),
             session_high: (session >> 64) as u64,
             session_low: session as u64,
         };
--- a/crates/edge/src/front/flight/batch_stream.rs
+++ b/crates/edge/src/front/flight/batch_stream.rs
@@ -1,4 +1,4 @@
-//! Long streams: `DoPut`, a table of queries with one result a row, and `DoExchange`, queries and answers as
+//! BatchStream streams: `DoPut`, a table of queries with one result a row, and `DoExchange`, queries and answers as
 //! they come, each with a tag. Which may begin and when the stream is over is decided in `core::batch`.
 
 use std::collections::VecDeque;
@@ -8,25 +8,27 @@
 use mallowgauge_core::polled_queries::WaiterId;
 use mallowgauge_core::stream_admission::Limits;
 use mallowgauge_core::Message;
-use mallowgauge_flight::grpc::{Code, Status};
+use mallowgauge_flight::grpc::Status;
 use mallowgauge_flight::ipc::Collector;
 use mallowgauge_flight::proto::FlightData;
 use mallowgauge_flight::rows;
 use prost::Message as _;
 use serde_json::{Map, Value};
 
+use super::status::invalid_argument;
+
 /// Bytes of answers that wait to be taken, above which no more queries are read.
-const BACKLOG: usize = 256 * 1024;
+const RESPONSE_BACKLOG_BYTES: usize = 256 * 1024;
 /// A client's columns may inflate to so many bytes.
-const INFLATED: usize = 4 * 1024 * 1024;
+const MAX_INFLATED_BYTES: usize = 4 * 1024 * 1024;
 /// A client's dictionaries may hold so many bytes.
-const DICTIONARIES: usize = 512 * 1024;
+const MAX_DICTIONARY_BYTES: usize = 512 * 1024;
 /// Most rows of one record batch of queries.
-const ROWS: u64 = 4096;
+const MAX_BATCH_ROWS: u64 = 4096;
 
 /// Which of the two it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum BatchKind {
     /// `DoPut`.
     Put,
     /// `DoExchange`.
@@ -35,7 +37,7 @@
 
 /// What a client says on a long stream.
 #[derive(Clone, Debug)]
-pub enum Said {
+pub enum BatchMessage {
     /// A query with its tag.
     Query(String, Value),
     /// The query of this tag is not wanted any more.
@@ -43,105 +45,105 @@
 }
 
 /// A long stream.
-pub struct Long {
+pub struct BatchStream {
     /// Which of the two it is.
-    pub form: Form,
+    pub kind: BatchKind,
     /// The queries that are open.
     pub batch: Batch<String, WaiterId>,
     /// What was said and has not been begun: of one message at most.
-    pub queue: VecDeque<Said>,
+    pub queue: VecDeque<BatchMessage>,
     /// The schema that the client has been sent.
-    pub schema: Option<Bytes>,
+    pub sent_schema: Option<Bytes>,
     /// Why the stream ends with something other than OK once all is answered.
-    pub last: Option<Status>,
+    pub final_status: Option<Status>,
     /// What stands in the descriptor counts for all queries.
     defaults: Map<String, Value>,
-    begun: bool,
+    started: bool,
     columns: Collector,
-    schema_in: Bytes,
-    rows: u64,
-}
-
-fn bad(words: impl Into<std::borrow::Cow<'static, str>>) -> Status {
-    Status::new(Code::InvalidArgument, words)
+    received_schema: Bytes,
+    next_row: u64,
 }
 
-impl Long {
+impl BatchStream {
     /// A stream on which nothing has come.
-    pub fn new(form: Form, limits: &Limits) -> Self {
+    pub fn new(form: BatchKind, limits: &Limits) -> Self {
         Self {
-            form,
-            batch: Batch::new(Bounds { window: limits.batch, backlog: BACKLOG }),
+            kind: form,
+            batch: Batch::new(Bounds { window: limits.batch, backlog: RESPONSE_BACKLOG_BYTES }),
             queue: VecDeque::new(),
-            schema: None,
-            last: None,
+            sent_schema: None,
+            final_status: None,
             defaults: Map::new(),
-            begun: false,
-            columns: Collector::new(INFLATED),
-            schema_in: Bytes::new(),
-            rows: 0,
+            started: false,
+            columns: Collector::new(MAX_INFLATED_BYTES),
+            received_schema: Bytes::new(),
+            next_row: 0,
         }
     }
 
     /// Whether the next message may be read.
-    pub fn reads(&self) -> bool {
+    pub fn can_read(&self) -> bool {
         self.queue.is_empty() && self.batch.reads()
     }
 
     /// Whether something that was said can be begun.
-    pub fn begins(&self) -> bool {
+    pub fn can_begin(&self) -> bool {
         !self.queue.is_empty() && (self.batch.reads() || self.batch.phase() != Phase::Open)
     }
 
     /// The client has said its last, and all of it was begun.
-    pub fn settle(&mut self, ended: bool) {
+    pub fn input_ended(&mut self, ended: bool) {
         if ended && self.queue.is_empty() {
             self.batch.half_close();
         }
     }
 
     /// Takes a message.
-    pub fn take(&mut self, message: Bytes) -> Result<(), Status> {
-        let mut data = FlightData::decode(message).map_err(|_| bad("this is no FlightData"))?;
+    pub fn receive(&mut self, message: Bytes) -> Result<(), Status> {
+        let mut data = FlightData::decode(message).map_err(|_| invalid_argument("this is no FlightData"))?;
         if let Some(descriptor) = data.flight_descriptor.take() {
-            if self.begun {
-                return Err(bad("a descriptor behind the first message"));
+            if self.started {
+                return Err(invalid_argument("a descriptor behind the first message"));
             }
             if !descriptor.cmd.is_empty() {
                 let value = serde_json::from_slice(&descriptor.cmd);
-                let Ok(Value::Object(fields)) = value else { return Err(bad("the command is not JSON")) };
+                let Ok(Value::Object(fields)) = value else {
+                    return Err(invalid_argument("the command is not JSON"));
+                };
                 self.defaults = fields;
             }
         }
-        self.begun = true;
+        self.started = true;
         if !data.data_header.is_empty() {
-            self.table(data)
+            self.receive_columns(data)
         } else if !data.app_metadata.is_empty() {
             let value = serde_json::from_slice(&data.app_metadata);
-            let Ok(Value::Object(fields)) = value else { return Err(bad("the metadata are not JSON")) };
-            self.say(fields)
+            let Ok(Value::Object(fields)) = value else {
+                return Err(invalid_argument("the metadata are not JSON"));
+            };
+            self.receive_metadata(fields)
         } else {
             Ok(())
         }
     }
 
     /// A query or a cancellation in metadata.
-    fn say(&mut self, fields: Map<String, Value>) -> Result<(), Status> {
+    fn receive_metadata(&mut self, fields: Map<String, Value>) -> Result<(), Status> {
         if let Some(tag) = fields.get("cancel") {
-            let tag = tag.as_str().ok_or_else(|| bad("the tag to cancel is no text"))?;
-            self.queue.push_back(Said::Cancel(tag.to_owned()));
+            let tag = tag.as_str().ok_or_else(|| invalid_argument("the tag to cancel is no text"))?;
+            self.queue.push_back(BatchMessage::Cancel(tag.to_owned()));
             return Ok(());
         }
         let tag = match fields.get("tag") {
             Some(Value::String(tag)) if tag.len() <= 64 => tag.clone(),
             None => {
-                self.rows += 1;
-                (self.rows - 1).to_string()
+                self.next_row += 1;
+                (self.next_row - 1).to_string()
             }
-            Some(_) => return Err(bad("the tag is no text, or too long")),
+            Some(_) => return Err(invalid_argument("the tag is no text, or too long")),
         };
         let query = self.with_defaults(fields);
-        self.queue.push_back(Said::Query(tag, query));
+        self.queue.push_back(BatchMessage::Query(tag, query));
         Ok(())
     }
 
@@ -152,29 +154,32 @@
     }
 
     /// Columns: each row is a query.
-    fn table(&mut self, data: FlightData) -> Result<(), Status> {
+    fn receive_columns(&mut self, data: FlightData) -> Result<(), Status> {
         let schema = self.columns.is_empty();
         let header = data.data_header.clone();
-        self.columns.take(data).map_err(|why| bad(format!("the table makes no sense: {why}")))?;
+        self.columns
+            .take(data)
+            .map_err(|reason| invalid_argument(format!("the table makes no sense: {reason}")))?;
         if schema {
-            self.schema_in = header;
+            self.received_schema = header;
             return Ok(());
         }
         // Dictionaries stay for the batches to come; a batch is done with once its rows are queries.
         let (messages, rows) = self.columns.take_batch();
-        if self.columns.bytes() > DICTIONARIES {
-            return Err(bad("dictionaries that are too large"));
+        if self.columns.bytes() > MAX_DICTIONARY_BYTES {
+            return Err(invalid_argument("dictionaries that are too large"));
         }
         let Some(rows) = rows else { return Ok(()) };
-        if rows > ROWS {
-            return Err(bad("too many rows in one batch"));
+        if rows > MAX_BATCH_ROWS {
+            return Err(invalid_argument("too many rows in one batch"));
         }
-        let text = rows_of(&self.schema_in, &messages).map_err(|why| bad(format!("the rows: {why}")))?;
+        let text = rows_of(&self.received_schema, &messages)
+            .map_err(|reason| invalid_argument(format!("the rows: {reason}")))?;
         for fields in text {
-            let tag = self.rows.to_string();
-            self.rows += 1;
+            let tag = self.next_row.to_string();
+            self.next_row += 1;
             let query = self.with_defaults(fields);
-            self.queue.push_back(Said::Query(tag, query));
+            self.queue.push_back(BatchMessage::Query(tag, query));
         }
         Ok(())
     }
--- a/crates/edge/src/front/flight/call_driver.rs
+++ b/crates/edge/src/front/flight/call_driver.rs
@@ -7,10 +7,10 @@
 use mallowgauge_flight::proto::HealthCheckResponse;
 use mallowgauge_router::Micros;
 
-use super::call::{Call, Read, Waiting, Work};
+use super::call::{Call, CallState, PendingOutcome, Read};
 use super::method::Method;
-use super::service::Office;
-use super::status::bad;
+use super::service::FlightService;
+use super::status::invalid_argument;
 
 impl Call {
     /// Goes on as far as it can.
@@ -18,77 +18,77 @@
         &mut self,
         now: Micros,
         id: u64,
-        cx: &mut Context<'_>,
-        office: &mut Office,
+        context: &mut Context<'_>,
+        service: &mut FlightService,
         core: &mut Core,
     ) {
-        match self.work {
-            Work::Request(method) => self.request(now, id, method, cx, office, core),
-            Work::Long(_) => {
-                if let Err(status) = self.long(now, id, cx, office, core) {
-                    self.abandon(office, core);
-                    self.fail(now, &status);
+        match self.state {
+            CallState::Request(method) => self.read_request(now, id, method, context, service, core),
+            CallState::BatchStream(_) => {
+                if let Err(status) = self.drive_batch(now, id, context, service, core) {
+                    self.abandon_queries(service, core);
+                    self.finish_with_error(now, &status);
                 }
             }
-            Work::Watch(told) if told != office.health() => {
-                self.work = Work::Watch(office.health());
-                self.message(now, &HealthCheckResponse { status: office.health() });
-                if office.draining {
-                    self.end(&Status::new(Code::Unavailable, "this gatherer ends"));
+            CallState::HealthWatch(told) if told != service.health_status() => {
+                self.state = CallState::HealthWatch(service.health_status());
+                self.queue_message(now, &HealthCheckResponse { status: service.health_status() });
+                if service.draining {
+                    self.finish(&Status::new(Code::Unavailable, "this gatherer ends"));
                 }
             }
             _ => {}
         }
-        if !self.is_over() && self.is_reset(cx) {
-            self.abandon(office, core);
+        if !self.is_finished() && self.is_reset(context) {
+            self.abandon_queries(service, core);
             self.reset(h2::Reason::CANCEL);
         }
         loop {
-            let written = self.write(now, cx);
-            let Work::Long(long) = &mut self.work else { break };
+            let written = self.write(now, context);
+            let CallState::BatchStream(long) = &mut self.state else { break };
             long.batch.taken(written);
             // What was taken makes room for more queries.
-            if written == 0 || !(long.reads() || long.begins()) {
+            if written == 0 || !(long.can_read() || long.can_begin()) {
                 break;
             }
-            if let Err(status) = self.long(now, id, cx, office, core) {
-                self.abandon(office, core);
-                self.fail(now, &status);
+            if let Err(status) = self.drive_batch(now, id, context, service, core) {
+                self.abandon_queries(service, core);
+                self.finish_with_error(now, &status);
             }
         }
     }
 
-    pub fn request(
+    pub fn read_request(
         &mut self,
         now: Micros,
         id: u64,
         method: Method,
-        cx: &mut Context<'_>,
-        office: &mut Office,
+        context: &mut Context<'_>,
+        service: &mut FlightService,
         core: &mut Core,
     ) {
-        let message = match self.read(now, cx) {
+        let message = match self.read(now, context) {
             Ok(Read::Pending) => return,
             Ok(Read::Message(message)) => Ok(message),
-            Ok(Read::End) => Err(bad("the request is not one message")),
+            Ok(Read::End) => Err(invalid_argument("the request is not one message")),
             Err(status) => Err(status),
         };
-        self.work = Work::Ending;
-        let begun = message.and_then(|message| self.start(now, id, method, &message, office, core));
+        self.state = CallState::Closing;
+        let begun = message.and_then(|message| self.start_method(now, id, method, &message, service, core));
         if let Err(status) = begun {
-            self.fail(now, &status);
+            self.finish_with_error(now, &status);
         }
     }
 
     /// Nobody waits for what this call has asked any more.
-    pub fn abandon(&mut self, office: &mut Office, core: &mut Core) {
-        match &mut self.work {
-            Work::Waiting(Waiting { caller, .. }) => {
-                caller.take().into_iter().for_each(|caller| office.leave(caller, core));
+    pub fn abandon_queries(&mut self, service: &mut FlightService, core: &mut Core) {
+        match &mut self.state {
+            CallState::WaitingForOutcome(PendingOutcome { waiter, .. }) => {
+                waiter.take().into_iter().for_each(|waiter| service.remove_waiter(waiter, core));
             }
-            Work::Long(long) => {
-                for (_, caller) in long.batch.abort() {
-                    office.leave(caller, core);
+            CallState::BatchStream(long) => {
+                for (_, waiter) in long.batch.abort() {
+                    service.remove_waiter(waiter, core);
                 }
                 long.queue.clear();
             }
@@ -98,9 +98,9 @@
 
     /// The program ends.
     pub fn drain(&mut self) {
-        if let Work::Long(long) = &mut self.work {
+        if let CallState::BatchStream(long) = &mut self.state {
             long.batch.drain();
-            long.last =
+            long.final_status =
                 Some(Status::new(Code::Unavailable, "this gatherer ends").because("DRAINING").retry(1));
         }
     }
--- a/crates/edge/src/front/flight/command.rs
+++ b/crates/edge/src/front/flight/command.rs
@@ -3,16 +3,17 @@
 
 use bytes::Bytes;
 use mallowgauge_core::{Core, QueryRequest};
-use mallowgauge_flight::grpc::{Code, Status};
+use mallowgauge_flight::grpc::Status;
 use mallowgauge_flight::proto::{FlightDescriptor, COMMAND};
 use mallowgauge_flight::seal::fingerprint;
 use mallowgauge_router::{ClassId, Micros};
 use serde_json::{json, Map, Value};
 
+use super::status::invalid_argument;
 use crate::front::query::{self, Frame};
 
 /// Most endpoints that a query is split over.
-const MOST_ENDPOINTS: usize = 16;
+const MAX_ENDPOINTS: usize = 16;
 
 /// A command that makes sense.
 #[derive(Clone, Debug)]
@@ -24,38 +25,36 @@
     pub class: ClassId,
 }
 
-fn bad(words: &'static str) -> Status {
-    Status::new(Code::InvalidArgument, words)
-}
-
 impl Command {
     /// Reads a descriptor's command; a client that names no id is given `fresh`.
-    pub fn of(descriptor: &FlightDescriptor, core: &Core, fresh: &str) -> Result<Self, Status> {
+    pub fn from_descriptor(descriptor: &FlightDescriptor, core: &Core, fresh: &str) -> Result<Self, Status> {
         if descriptor.r#type != COMMAND {
-            return Err(bad("the descriptor holds no command"));
+            return Err(invalid_argument("the descriptor holds no command"));
         }
-        Self::read(&descriptor.cmd, core, fresh)
+        Self::from_json(&descriptor.cmd, core, fresh)
     }
 
     /// Reads a command's text.
-    pub fn read(text: &[u8], core: &Core, fresh: &str) -> Result<Self, Status> {
-        let value = serde_json::from_slice(text).map_err(|_| bad("the command is not JSON"))?;
+    pub fn from_json(text: &[u8], core: &Core, fresh: &str) -> Result<Self, Status> {
+        let value = serde_json::from_slice(text).map_err(|_| invalid_argument("the command is not JSON"))?;
         Self::from_value(value, core, fresh)
     }
 
     /// Takes a command that was read.
     pub fn from_value(value: Value, core: &Core, fresh: &str) -> Result<Self, Status> {
-        let Value::Object(mut fields) = value else { return Err(bad("the command is no object")) };
+        let Value::Object(mut fields) = value else {
+            return Err(invalid_argument("the command is no object"));
+        };
         fields.entry("id").or_insert_with(|| json!(fresh));
         let id = fields.get("id").and_then(Value::as_str).filter(|id| query::is_id(id));
-        let id = id.ok_or_else(|| bad("id is missing or odd"))?.to_owned();
+        let id = id.ok_or_else(|| invalid_argument("id is missing or odd"))?.to_owned();
         let class = fields.get("kind").and_then(Value::as_str).and_then(|name| core.class_id(name));
-        let class = class.ok_or_else(|| bad("the class is unknown"))?;
+        let class = class.ok_or_else(|| invalid_argument("the class is unknown"))?;
         if let Some(Value::Array(ranges)) = fields.get_mut("ranges") {
             // Shards alone have equal shares.
-            let share = 1.0 / ranges.len().max(1) as f64;
+            let portion = 1.0 / ranges.len().max(1) as f64;
             for range in ranges.iter_mut().filter(|range| range.is_u64()) {
-                *range = json!({"range": range.as_u64(), "portion": share});
+                *range = json!({"range": range.as_u64(), "portion": portion});
             }
         }
         Ok(Self { fields, id, class })
@@ -77,7 +76,7 @@
 
     /// The query, of a client that waits for so long; one that states no time waits for as long as the
     /// session or the class allows.
-    pub fn ask(
+    pub fn request(
         &self,
         left: Option<Micros>,
         usual: Option<Micros>,
@@ -86,7 +85,10 @@
         let own = match self.fields.get("deadline_ms") {
             None | Some(Value::Null) => None,
             Some(value) => {
-                let ms = value.as_u64().filter(|&ms| ms > 0).ok_or_else(|| bad("deadline_ms is odd"))?;
+                let ms = value
+                    .as_u64()
+                    .filter(|&ms| ms > 0)
+                    .ok_or_else(|| invalid_argument("deadline_ms is odd"))?;
                 Some(ms.saturating_mul(1000))
             }
         };
@@ -94,7 +96,7 @@
         let expires_in = wait.unwrap_or_else(|| core.deadline(self.class));
         let retry = self.fields.get("retry").and_then(Value::as_bool).unwrap_or(false);
         let frame = Frame { id: self.id.as_str().into(), class: self.class, expires_in, retry };
-        query::read(frame, &Value::Object(self.fields.clone())).map_err(bad)
+        query::read(frame, &Value::Object(self.fields.clone())).map_err(invalid_argument)
     }
 
     /// The command split over the endpoints that it wants: each asks for some of the parts, with their
@@ -105,8 +107,8 @@
             None | Some(Value::Null) => 1,
             Some(value) => value.as_u64().unwrap_or(0) as usize,
         };
-        if wanted == 0 || wanted > MOST_ENDPOINTS {
-            return Err(bad("endpoints is not a whole number from 1 to 16"));
+        if wanted == 0 || wanted > MAX_ENDPOINTS {
+            return Err(invalid_argument("endpoints is not a whole number from 1 to 16"));
         }
         let ranges = self.fields.get("ranges").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
         let wanted = wanted.min(ranges.len()).max(1);
@@ -114,7 +116,7 @@
             return Ok(vec![self.clone()]);
         }
         if !core.is_idempotent(self.class) {
-            return Err(bad("a query with an effect is not split over endpoints"));
+            return Err(invalid_argument("a query with an effect is not split over endpoints"));
         }
         let size = ranges.len().div_ceil(wanted);
         let portion = |range: &Value| range.get("portion").and_then(Value::as_f64).unwrap_or(0.0);
@@ -127,7 +129,7 @@
             }
             let id = format!("{}.{index}", self.id);
             if !query::is_id(&id) {
-                return Err(bad("the id is too long to be split"));
+                return Err(invalid_argument("the id is too long to be split"));
             }
             let mut fields = self.fields.clone();
             fields.remove("endpoints");
--- a/crates/edge/src/front/flight/connection.rs
+++ b/crates/edge/src/front/flight/connection.rs
@@ -14,17 +14,17 @@
 use mallowgauge_router::Micros;
 
 use super::call::Call;
-use super::service::Office;
+use super::service::FlightService;
 use super::stream_accept::accept;
 use crate::wire::{Flag, Wire};
 
 /// A handshake has to be over by then.
-pub const SLOWEST_HANDSHAKE: Micros = 2_000_000;
+pub const HANDSHAKE_TIMEOUT: Micros = 2_000_000;
 /// A connection without a call is kept for so long.
-pub const KEEP_ALIVE: Micros = 120_000_000;
+pub const CONNECTION_IDLE_TIME: Micros = 120_000_000;
 /// A client that goes on sending behind the end of its connection is listened to for so long, and so much: a close
 /// over unread bytes would reset the connection and could take the last answer with it.
-pub const LINGER: Micros = 500_000;
+pub const LINGER_TIME: Micros = 500_000;
 pub const LINGER_BYTES: usize = 256 * 1024;
 
 pub type Handshake = Pin<Box<dyn Future<Output = Result<server::Connection<Wire, Bytes>, h2::Error>>>>;
@@ -41,25 +41,25 @@
     pub waker: Waker,
     pub calls: BTreeMap<u64, Call>,
     pub draining: bool,
-    pub since: Micros,
+    pub idle_since: Micros,
 }
 
 /// A connection that has ended here and not yet at its client.
 pub struct Lingering {
     pub stream: Rc<Stream>,
-    pub until: Micros,
+    pub closes_at: Micros,
     /// So much more of what its client sends is passed over.
-    pub left: usize,
+    pub remaining_bytes: usize,
 }
 
 impl Lingering {
     /// Passes over what has come; `false` once the client has closed too, or sends too much.
-    pub fn goes_on(&mut self) -> bool {
+    pub fn discard_input(&mut self) -> bool {
         let mut passed = Vec::new();
-        match self.stream.read(&mut passed, self.left) {
+        match self.stream.read(&mut passed, self.remaining_bytes) {
             ReadEnd::Blocked => {
-                self.left -= passed.len();
-                self.left > 0
+                self.remaining_bytes -= passed.len();
+                self.remaining_bytes > 0
             }
             ReadEnd::Full | ReadEnd::Closed | ReadEnd::Broken => false,
         }
@@ -70,11 +70,11 @@
     /// How long it is kept while there is no call on it.
     pub fn idle_until(&self, finishing: bool) -> Option<Micros> {
         let rest = match self.state {
-            _ if finishing => LINGER,
-            State::Handshake(_) => SLOWEST_HANDSHAKE,
-            State::Up(_) => KEEP_ALIVE,
+            _ if finishing => LINGER_TIME,
+            State::Handshake(_) => HANDSHAKE_TIMEOUT,
+            State::Up(_) => CONNECTION_IDLE_TIME,
         };
-        self.calls.is_empty().then_some(self.since + rest)
+        self.calls.is_empty().then_some(self.idle_since + rest)
     }
 
     /// Goes on as far as the socket lets it; `false` when the connection is over.
@@ -83,13 +83,13 @@
         now: Micros,
         id: u64,
         homes: &mut BTreeMap<u64, u64>,
-        office: &mut Office,
+        service: &mut FlightService,
         core: &mut Core,
     ) -> bool {
         loop {
             self.flag.take();
             let waker = self.waker.clone();
-            let alive = self.drive(now, id, &mut Context::from_waker(&waker), homes, office, core);
+            let alive = self.drive(now, id, &mut Context::from_waker(&waker), homes, service, core);
             if !alive || !self.flag.take() {
                 return alive;
             }
@@ -100,13 +100,13 @@
         &mut self,
         now: Micros,
         home: u64,
-        cx: &mut Context<'_>,
+        context: &mut Context<'_>,
         homes: &mut BTreeMap<u64, u64>,
-        office: &mut Office,
+        service: &mut FlightService,
         core: &mut Core,
     ) -> bool {
         if let State::Handshake(handshake) = &mut self.state {
-            match handshake.as_mut().poll(cx) {
+            match handshake.as_mut().poll(context) {
                 Poll::Pending => return true,
                 Poll::Ready(Err(e)) => {
                     tracing::debug!("client speaks no HTTP/2: {e}");
@@ -118,11 +118,11 @@
         let State::Up(connection) = &mut self.state else { return true };
         let mut over = false;
         loop {
-            match connection.poll_accept(cx) {
+            match connection.poll_accept(context) {
                 Poll::Pending => break,
                 Poll::Ready(Some(Ok((request, respond)))) => {
-                    if let Some(call) = accept(now, request, respond, office) {
-                        let id = office.number();
+                    if let Some(call) = accept(now, request, respond, service) {
+                        let id = service.next_id();
                         homes.insert(id, home);
                         self.calls.insert(id, call);
                     }
@@ -133,18 +133,18 @@
                 }
             }
         }
-        let mut moved = false;
+        let mut active = false;
         self.calls.retain(|&id, call| {
-            call.drive(now, id, cx, office, core);
-            if call.is_over() {
+            call.drive(now, id, context, service, core);
+            if call.is_finished() {
                 homes.remove(&id);
-                office.admission.call_over();
-                moved = true;
+                service.admission.call_over();
+                active = true;
             }
-            !call.is_over()
+            !call.is_finished()
         });
-        if moved {
-            self.since = now;
+        if active {
+            self.idle_since = now;
         }
         !over
     }
--- a/crates/edge/src/front/flight/method.rs
+++ b/crates/edge/src/front/flight/method.rs
@@ -21,7 +21,7 @@
 
 impl Method {
     /// The method of a path.
-    pub fn of(path: &str) -> Option<Self> {
+    pub fn from_path(path: &str) -> Option<Self> {
         if let Some(name) = path.strip_prefix(grpc::HEALTH) {
             return match name {
                 "Check" => Some(Self::HealthCheck),
@@ -45,7 +45,7 @@
     }
 
     /// Whether callers have to say who they are.
-    pub fn asks_who(self) -> bool {
+    pub fn requires_identity(self) -> bool {
         !matches!(self, Self::Handshake | Self::HealthCheck | Self::HealthWatch)
     }
 }
--- a/crates/edge/src/front/flight/methods/actions.rs
+++ b/crates/edge/src/front/flight/methods/actions.rs
@@ -11,11 +11,11 @@
 use serde_json::json;
 use std::collections::HashMap;
 
-use super::sessions::{setting, unset};
-use crate::front::flight::auth::Who;
+use super::sessions::{option_from_wire, option_to_wire};
+use crate::front::flight::auth::Identity;
 use crate::front::flight::call::Call;
-use crate::front::flight::service::Office;
-use crate::front::flight::status::{bad, refusal};
+use crate::front::flight::service::FlightService;
+use crate::front::flight::status::{invalid_argument, rejection_status};
 use mallowgauge_core::sessions::Bad;
 
 /// The actions, with what they do.
@@ -30,39 +30,40 @@
 ];
 
 impl Call {
-    pub fn act(
+    pub fn do_action(
         &mut self,
         now: Micros,
         action: &Action,
-        office: &mut Office,
+        service: &mut FlightService,
         core: &mut Core,
     ) -> Result<(), Status> {
         let body = action.body.clone();
-        let unread = |_| bad("the action's body cannot be read");
+        let unreadable_body = |_| invalid_argument("the action's body cannot be read");
         let reply = match action.r#type.as_str() {
             "CancelFlightInfo" => {
-                let request = CancelFlightInfoRequest::decode(body).map_err(unread)?;
-                let info = request.info.ok_or_else(|| bad("no FlightInfo"))?;
-                let status = office.cancel(now, &info, &self.head.who, core)? as i32;
+                let request = CancelFlightInfoRequest::decode(body).map_err(unreadable_body)?;
+                let info = request.info.ok_or_else(|| invalid_argument("no FlightInfo"))?;
+                let status = service.cancel_flight(now, &info, &self.head.identity, core)? as i32;
                 Some(CancelFlightInfoResult { status }.encode_to_vec())
             }
             "RenewFlightEndpoint" => {
-                let request = RenewFlightEndpointRequest::decode(body).map_err(unread)?;
-                let endpoint = request.endpoint.ok_or_else(|| bad("no endpoint"))?;
-                Some(office.renew(now, endpoint, &self.head.who, core)?.encode_to_vec())
+                let request = RenewFlightEndpointRequest::decode(body).map_err(unreadable_body)?;
+                let endpoint = request.endpoint.ok_or_else(|| invalid_argument("no endpoint"))?;
+                Some(service.renew_endpoint(now, endpoint, &self.head.identity, core)?.encode_to_vec())
             }
             "ExpireFlightEndpoint" => {
-                let endpoint = FlightEndpoint::decode(body).map_err(unread)?;
-                office.revoke(now, &endpoint, &self.head.who, core)?;
+                let endpoint = FlightEndpoint::decode(body).map_err(unreadable_body)?;
+                service.revoke_endpoint(now, &endpoint, &self.head.identity, core)?;
                 None
             }
             "SetSessionOptions" => {
-                let request = SessionOptions::decode(body).map_err(unread)?;
-                let id = self.session(office);
-                let options = office.sessions.open(now, id);
+                let request = SessionOptions::decode(body).map_err(unreadable_body)?;
+                let id = self.session_or_new(service);
+                let options = service.sessions.open(now, id);
                 let mut errors = HashMap::new();
                 for (name, value) in request.session_options {
-                    let set = setting(value).map_or(Err(Bad::Value), |value| options.set(&name, &value));
+                    let set =
+                        option_from_wire(value).map_or(Err(Bad::Value), |value| options.set(&name, &value));
                     if let Err(bad) = set {
                         let value = if bad == Bad::Name { 1 } else { 2 };
                         errors.insert(name, SessionError { value });
@@ -71,20 +72,22 @@
                 Some(SetSessionOptionsResult { errors }.encode_to_vec())
             }
             "GetSessionOptions" => {
-                let id = self.head.who.session;
-                let options = id.and_then(|id| office.sessions.touch(now, id)).unwrap_or_default();
+                let id = self.head.identity.session;
+                let options = id.and_then(|id| service.sessions.touch(now, id)).unwrap_or_default();
                 let all = options.all().into_iter();
-                let session_options = all.map(|(name, value)| (name.to_owned(), unset(value))).collect();
+                let session_options =
+                    all.map(|(name, value)| (name.to_owned(), option_to_wire(value))).collect();
                 Some(SessionOptions { session_options }.encode_to_vec())
             }
             "CloseSession" => {
-                let closed = self.head.who.session.is_some_and(|id| office.sessions.close(id));
+                let closed = self.head.identity.session.is_some_and(|id| service.sessions.close(id));
                 let status = if closed { 1 } else { 3 };
                 Some(CloseSessionResult { status }.encode_to_vec())
             }
             "Advice" => {
                 let wait = core.retry_after();
-                let advice = json!({"retry_after_ms": wait.div_ceil(1000), "serving": office.health() == 1});
+                let advice =
+                    json!({"retry_after_ms": wait.div_ceil(1000), "serving": service.health_status() == 1});
                 Some(advice.to_string().into_bytes())
             }
             _ => {
@@ -93,29 +96,30 @@
             }
         };
         if let Some(body) = reply {
-            self.message(now, &ActionResult { body: body.into() });
+            self.queue_message(now, &ActionResult { body: body.into() });
         }
         Ok(())
     }
 }
 
-impl Office {
-    pub fn cancel(
+impl FlightService {
+    pub fn cancel_flight(
         &mut self,
         now: Micros,
         info: &FlightInfo,
-        who: &Who,
+        identity: &Identity,
         core: &mut Core,
     ) -> Result<CancelStatus, Status> {
         let mut status = CancelStatus::Cancelled;
-        for (command, made) in self.about(now, info, who, core)? {
-            let key = PolledQueryKey { user: Rc::clone(&who.user), id: command.id.as_str().into() };
-            let done =
-                self.flights.cancel(now, &key, |run| core.possibly_executed(ResponseHandle::Flight(run.0)));
+        for (command, made) in self.commands_of(now, info, identity, core)? {
+            let key = PolledQueryKey { user: Rc::clone(&identity.user), id: command.id.as_str().into() };
+            let done = self
+                .polled_queries
+                .cancel(now, &key, |run| core.possibly_executed(ResponseHandle::Flight(run.0)));
             match done {
-                CancelResult::Cancelled(run, callers) => {
-                    self.give_up(run, core);
-                    self.tell(callers, &Err(refusal(RejectReason::Cancelled)));
+                CancelResult::Cancelled(run, waiters) => {
+                    self.cancel_run(run, core);
+                    self.queue_outcome(waiters, &Err(rejection_status(RejectReason::Cancelled)));
                 }
                 CancelResult::AlreadyCancelled => {}
                 CancelResult::TooLate => status = CancelStatus::NotCancellable,
@@ -127,8 +131,8 @@
                         polled: false,
                         made: Some(made),
                     };
-                    self.cancel_plain(&key, core);
-                    self.flights.revoke(now, &key, spec).map_err(refusal)?;
+                    self.cancel_unshared_runs(&key, core);
+                    self.polled_queries.revoke(now, &key, spec).map_err(rejection_status)?;
                 }
             }
         }
--- a/crates/edge/src/front/flight/methods/mod.rs
+++ b/crates/edge/src/front/flight/methods/mod.rs
@@ -14,94 +14,105 @@
 use prost::Message;
 
 use self::actions::ACTIONS;
-use super::call::{Call, Work};
+use super::call::{Call, CallState};
 use super::command::Command;
 use super::method::Method;
-use super::service::Office;
-use super::status::bad;
+use super::service::FlightService;
+use super::status::invalid_argument;
 
 impl Call {
     /// The request of a method with one message is in.
-    pub fn start(
+    pub fn start_method(
         &mut self,
         now: Micros,
         number: u64,
         method: Method,
         message: &Bytes,
-        office: &mut Office,
+        service: &mut FlightService,
         core: &mut Core,
     ) -> Result<(), Status> {
         let ok = Status::new(Code::Ok, "");
         match method {
             Method::Handshake => {
-                let request = Handshake::decode(message.clone()).map_err(|_| bad("this is no handshake"))?;
-                let basic = BasicAuth::decode(request.payload).map_err(|_| bad("this is no BasicAuth"))?;
-                let user = office.door.check(now, &basic.username, &basic.password, &mut office.admission)?;
-                let token = office.token(now, &user);
-                self.line("authorization", &format!("Bearer {token}"));
-                self.message(now, &Handshake { protocol_version: 0, payload: token.into() });
-                self.end(&ok);
+                let request = Handshake::decode(message.clone())
+                    .map_err(|_| invalid_argument("this is no handshake"))?;
+                let basic = BasicAuth::decode(request.payload)
+                    .map_err(|_| invalid_argument("this is no BasicAuth"))?;
+                let user = service.authenticator.check_password(
+                    now,
+                    &basic.username,
+                    &basic.password,
+                    &mut service.admission,
+                )?;
+                let token = service.issue_token(now, &user);
+                self.add_header("authorization", &format!("Bearer {token}"));
+                self.queue_message(now, &Handshake { protocol_version: 0, payload: token.into() });
+                self.finish(&ok);
             }
             Method::GetFlightInfo => {
                 let descriptor = descriptor(message)?;
-                let command = Command::of(&descriptor, core, &office.fresh())?;
-                let info = office.info(now, descriptor, &command, &self.head.who, core)?;
-                self.message(now, &info);
-                self.end(&ok);
+                let command = Command::from_descriptor(&descriptor, core, &service.generate_query_id())?;
+                let info = service.flight_info(now, descriptor, &command, &self.head.identity, core)?;
+                self.queue_message(now, &info);
+                self.finish(&ok);
             }
             Method::GetSchema => {
                 let descriptor = descriptor(message)?;
                 let class = match descriptor.r#type {
                     PATH => descriptor.path.first().and_then(|name| core.class_id(name)),
-                    _ => Some(Command::of(&descriptor, core, "x")?.class),
+                    _ => Some(Command::from_descriptor(&descriptor, core, "x")?.class),
                 };
-                let class = class.ok_or_else(|| bad("the class is unknown"))?;
-                let schema = office.schema(class).ok_or_else(|| {
+                let class = class.ok_or_else(|| invalid_argument("the class is unknown"))?;
+                let schema = service.schema(class).ok_or_else(|| {
                     Status::new(Code::NotFound, "no host has shown its columns yet").because("SCHEMA_UNKNOWN")
                 })?;
-                self.message(now, &SchemaResult { schema });
-                self.end(&ok);
+                self.queue_message(now, &SchemaResult { schema });
+                self.finish(&ok);
             }
             Method::ListFlights => {
-                let criteria = Criteria::decode(message.clone()).map_err(|_| bad("these are no criteria"))?;
-                for info in office.list(&criteria.expression, &self.head.who, core)? {
-                    self.message(now, &info);
+                let criteria = Criteria::decode(message.clone())
+                    .map_err(|_| invalid_argument("these are no criteria"))?;
+                for info in service.list_flights(&criteria.expression, &self.head.identity, core)? {
+                    self.queue_message(now, &info);
                 }
-                self.end(&ok);
+                self.finish(&ok);
             }
             Method::ListActions => {
                 for (name, words) in ACTIONS {
                     let action = ActionType { r#type: name.to_owned(), description: words.to_owned() };
-                    self.message(now, &action);
+                    self.queue_message(now, &action);
                 }
-                self.end(&ok);
+                self.finish(&ok);
             }
             Method::HealthCheck | Method::HealthWatch => {
-                let request = HealthCheckRequest::decode(message.clone()).map_err(|_| bad("no request"))?;
+                let request = HealthCheckRequest::decode(message.clone())
+                    .map_err(|_| invalid_argument("no request"))?;
                 let known = matches!(request.service.as_str(), "" | "arrow.flight.protocol.FlightService");
-                let status = if known { office.health() } else { 3 };
+                let status = if known { service.health_status() } else { 3 };
                 if method == Method::HealthCheck && !known {
                     return Err(Status::new(Code::NotFound, "there is no such service"));
                 }
-                self.message(now, &HealthCheckResponse { status });
+                self.queue_message(now, &HealthCheckResponse { status });
                 if method == Method::HealthCheck {
-                    self.end(&ok);
+                    self.finish(&ok);
                 } else {
-                    self.work = Work::Watch(status);
+                    self.state = CallState::HealthWatch(status);
                 }
             }
             Method::DoGet => {
-                let ticket = Ticket::decode(message.clone()).map_err(|_| bad("this is no ticket"))?;
-                self.get(now, number, &ticket.ticket, office, core)?;
+                let ticket =
+                    Ticket::decode(message.clone()).map_err(|_| invalid_argument("this is no ticket"))?;
+                self.do_get(now, number, &ticket.ticket, service, core)?;
             }
             Method::PollFlightInfo => {
                 let descriptor = descriptor(message)?;
-                self.poll(now, number, &descriptor, office, core)?;
+                self.poll_flight_info(now, number, &descriptor, service, core)?;
             }
             Method::DoAction => {
-                let action = Action::decode(message.clone()).map_err(|_| bad("this is no action"))?;
-                self.act(now, &action, office, core)?;
-                self.end(&ok);
+                let action =
+                    Action::decode(message.clone()).map_err(|_| invalid_argument("this is no action"))?;
+                self.do_action(now, &action, service, core)?;
+                self.finish(&ok);
             }
             Method::DoPut | Method::DoExchange => {}
         }
@@ -110,5 +121,5 @@
 }
 
 pub fn descriptor(message: &Bytes) -> Result<FlightDescriptor, Status> {
-    FlightDescriptor::decode(message.clone()).map_err(|_| bad("this is no descriptor"))
+    FlightDescriptor::decode(message.clone()).map_err(|_| invalid_argument("this is no descriptor"))
 }
--- a/crates/edge/src/front/flight/methods/sessions.rs
+++ b/crates/edge/src/front/flight/methods/sessions.rs
@@ -5,21 +5,21 @@
 
 use crate::front::flight::auth::COOKIE;
 use crate::front::flight::call::Call;
-use crate::front::flight::service::Office;
+use crate::front::flight::service::FlightService;
 
 impl Call {
     /// The call's session; one that has none is given one, which its client keeps as a cookie.
-    pub fn session(&mut self, office: &mut Office) -> SessionId {
-        if let Some(id) = self.head.who.session {
+    pub fn session_or_new(&mut self, service: &mut FlightService) -> SessionId {
+        if let Some(id) = self.head.identity.session {
             return id;
         }
-        let id = office.session();
-        self.line("set-cookie", &format!("{COOKIE}={:032x}", id.0));
+        let id = service.generate_session_id();
+        self.add_header("set-cookie", &format!("{COOKIE}={:032x}", id.0));
         id
     }
 }
 
-pub fn setting(value: SessionOptionValue) -> Option<Setting> {
+pub fn option_from_wire(value: SessionOptionValue) -> Option<Setting> {
     Some(match value.option_value {
         None => Setting::Unset,
         Some(OptionValue::Text(text)) => Setting::Text(text),
@@ -29,7 +29,7 @@
     })
 }
 
-pub fn unset(value: Setting) -> SessionOptionValue {
+pub fn option_to_wire(value: Setting) -> SessionOptionValue {
     let option_value = match value {
         Setting::Unset => None,
         Setting::Text(text) => Some(OptionValue::Text(text)),
--- a/crates/edge/src/front/flight/mod.rs
+++ b/crates/edge/src/front/flight/mod.rs
@@ -1,7 +1,7 @@
 //! The Flight front: clients that speak Arrow Flight, which is gRPC over HTTP/2.
 //!
 //! `call` is one call, `methods` what each method makes of it, `long` the two long streams, `auth` who calls,
-//! `command` how a query is written. The [`Office`] is what all calls share. What the front decides stands in
+//! `command` how a query is written. The [`FlightService`] is what all calls share. What the front decides stands in
 //! `core`: who is let in (`admission`), what becomes of a ticket and of a polled query (`flights`), what a
 //! long stream may begin (`batch`), which sessions are kept (`sessions`).
 
@@ -35,10 +35,10 @@
 use mallowgauge_router::Micros;
 use mallowgauge_settings::Flight as Settings;
 
-use self::auth::Door;
+use self::auth::Authenticator;
 use self::call::Call;
-use self::connection::{Connection, Lingering, State, LINGER, LINGER_BYTES};
-use self::service::{random, Office, KEEP, REST, UNPOLLED};
+use self::connection::{Connection, Lingering, State, LINGER_BYTES, LINGER_TIME};
+use self::service::{random, FlightService, ABANDONED_POLL_TIME, OUTCOME_RETENTION, SESSION_IDLE_TIME};
 use crate::tls::{self, Acceptor};
 use crate::token;
 use crate::wire::{Flag, Wire};
@@ -48,8 +48,8 @@
     connections: BTreeMap<u64, Connection>,
     lingering: BTreeMap<u64, Lingering>,
     /// Which connection a call is on.
-    homes: BTreeMap<u64, u64>,
-    office: Office,
+    connection_of_call: BTreeMap<u64, u64>,
+    service: FlightService,
     acceptor: Option<Acceptor>,
     /// Connections without a call are not kept any longer.
     finishing: bool,
@@ -78,31 +78,31 @@
         let bounds = polled_queries::PolledQueryLimits {
             flights: limits.flights,
             bytes: limits.outcomes,
-            keep: KEEP,
-            unpolled: UNPOLLED,
+            keep: OUTCOME_RETENTION,
+            unpolled: ABANDONED_POLL_TIME,
         };
-        let office = Office {
+        let service = FlightService {
             admission: Admission::new(*limits),
-            flights: PolledQueries::new(bounds),
+            polled_queries: PolledQueries::new(bounds),
             runs: BTreeMap::new(),
-            callers: BTreeMap::new(),
-            sessions: Sessions::new(limits.sessions, REST),
-            door: Door::new(settings.users.clone(), key.clone(), settings.token_life),
-            key,
+            waiters: BTreeMap::new(),
+            sessions: Sessions::new(limits.sessions, SESSION_IDLE_TIME),
+            authenticator: Authenticator::new(settings.users.clone(), key.clone(), settings.token_life),
+            seal_key: key,
             issuer: u64::from_le_bytes(random()),
-            ticket_life: settings.ticket_life,
-            unpolled: UNPOLLED,
-            tables: settings.every_host || !settings.hosts.is_empty(),
+            ticket_lifetime: settings.ticket_life,
+            abandoned_poll_time: ABANDONED_POLL_TIME,
+            custom_columns: settings.every_host || !settings.hosts.is_empty(),
             text_schema: schema_message(&text_schema()).ok(),
-            learned: vec![None; *classes],
-            shown: vec![None; *classes],
+            known_schemas: vec![None; *classes],
+            seen_headers: vec![None; *classes],
             outbox: Vec::new(),
-            next: 0,
+            next_number: 0,
             draining: false,
         };
         let acceptor = settings.tls.as_ref().map(Acceptor::new).transpose()?;
         let (connections, lingering, homes) = Default::default();
-        Ok(Self { connections, lingering, homes, office, acceptor, finishing: false })
+        Ok(Self { connections, lingering, connection_of_call: homes, service, acceptor, finishing: false })
     }
 
     /// Takes certificate, key and users from settings that were read again; what is open goes on.
@@ -115,30 +115,30 @@
             return Err("flight.tls is turned on or off by a restart alone".to_owned());
         }
         self.acceptor = acceptor;
-        if settings.users.is_some() == self.office.door.asks() {
-            self.office.door.replace(settings.users.clone());
+        if settings.users.is_some() == self.service.authenticator.is_required() {
+            self.service.authenticator.replace_users(settings.users.clone());
         }
         Ok(())
     }
 
     /// Whether one more connection fits; the one that has had no call for longest goes to make room.
     pub fn has_room(&mut self) -> bool {
-        if !self.office.admission.has_room() && self.lingering.pop_first().is_some() {
-            self.office.admission.disconnected();
+        if !self.service.admission.has_room() && self.lingering.pop_first().is_some() {
+            self.service.admission.disconnected();
         }
-        if !self.office.admission.has_room() {
+        if !self.service.admission.has_room() {
             let idle = self.connections.iter().filter(|(_, c)| c.calls.is_empty());
-            if let Some(id) = idle.min_by_key(|(_, c)| c.since).map(|(&id, _)| id) {
+            if let Some(id) = idle.min_by_key(|(_, c)| c.idle_since).map(|(&id, _)| id) {
                 self.connections.remove(&id);
-                self.office.admission.disconnected();
+                self.service.admission.disconnected();
             }
         }
-        self.office.admission.has_room()
+        self.service.admission.has_room()
     }
 
     /// Takes an accepted connection.
     pub fn accept(&mut self, now: Micros, handle: &Handle, socket: std::net::TcpStream) {
-        let id = self.office.number();
+        let id = self.service.next_id();
         let stream = match Stream::accepted(handle, socket, Token { kind: token::FLIGHT, id }) {
             Ok(stream) => Rc::new(stream),
             Err(e) => return tracing::warn!("connection not taken: {e}"),
@@ -148,7 +148,7 @@
             Err(e) => return tracing::warn!("connection not taken: {e}"),
         };
         let (wire, _) = Wire::new(Rc::clone(&stream), session.map(tls::Session::Server));
-        let limits = self.office.admission.limits();
+        let limits = self.service.admission.limits();
         let mut builder = server::Builder::new();
         builder
             .max_concurrent_streams(limits.streams)
@@ -160,81 +160,85 @@
         let (flag, waker) = Flag::waker();
         let calls = BTreeMap::new();
         let draining = false;
-        self.connections.insert(id, Connection { stream, state, flag, waker, calls, draining, since: now });
-        self.office.admission.connected();
+        self.connections
+            .insert(id, Connection { stream, state, flag, waker, calls, draining, idle_since: now });
+        self.service.admission.connected();
     }
 
     /// A connection's socket is ready, or something of it has to go out.
     pub fn ready(&mut self, now: Micros, id: u64, core: &mut Core) {
-        self.touch(now, id, core);
-        self.post(now, core);
+        self.drive_connection(now, id, core);
+        self.deliver_outcomes(now, core);
     }
 
-    fn touch(&mut self, now: Micros, id: u64, core: &mut Core) {
+    fn drive_connection(&mut self, now: Micros, id: u64, core: &mut Core) {
         if let Some(lingering) = self.lingering.get_mut(&id) {
-            if !lingering.goes_on() {
+            if !lingering.discard_input() {
                 self.lingering.remove(&id);
-                self.office.admission.disconnected();
+                self.service.admission.disconnected();
             }
         }
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        if !connection.ready(now, id, &mut self.homes, &mut self.office, core) {
+        if !connection.ready(now, id, &mut self.connection_of_call, &mut self.service, core) {
             self.close(now, id, core);
         }
     }
 
     /// Brings outcomes to the calls that wait for them, until none is left.
-    fn post(&mut self, now: Micros, core: &mut Core) {
-        while !self.office.outbox.is_empty() {
-            let mut moved = std::collections::BTreeSet::new();
-            for (call, tag, id, outcome) in std::mem::take(&mut self.office.outbox) {
-                let Some(&home) = self.homes.get(&call) else { continue };
-                let held = self.connections.get_mut(&home).and_then(|c| c.calls.get_mut(&call));
-                if let Some(held) = held {
-                    held.deliver(now, &tag, &id, outcome, &mut self.office, core);
-                    moved.insert(home);
+    fn deliver_outcomes(&mut self, now: Micros, core: &mut Core) {
+        while !self.service.outbox.is_empty() {
+            let mut active = std::collections::BTreeSet::new();
+            for (call, tag, id, outcome) in std::mem::take(&mut self.service.outbox) {
+                let Some(&home) = self.connection_of_call.get(&call) else { continue };
+                let call = self.connections.get_mut(&home).and_then(|c| c.calls.get_mut(&call));
+                if let Some(call) = call {
+                    call.deliver(now, &tag, &id, outcome, &mut self.service, core);
+                    active.insert(home);
                 }
             }
-            moved.into_iter().for_each(|id| self.touch(now, id, core));
+            active.into_iter().for_each(|id| self.drive_connection(now, id, core));
         }
     }
 
     fn close(&mut self, now: Micros, id: u64, core: &mut Core) {
         let Some(connection) = self.connections.remove(&id) else { return };
         for (number, mut call) in connection.calls {
-            self.homes.remove(&number);
-            call.abandon(&mut self.office, core);
-            self.office.admission.call_over();
+            self.connection_of_call.remove(&number);
+            call.abandon_queries(&mut self.service, core);
+            self.service.admission.call_over();
         }
         let stream = connection.stream;
         stream.finish();
-        let mut lingering = Lingering { stream, until: now + LINGER, left: LINGER_BYTES };
-        if lingering.goes_on() {
+        let mut lingering = Lingering { stream, closes_at: now + LINGER_TIME, remaining_bytes: LINGER_BYTES };
+        if lingering.discard_input() {
             self.lingering.insert(id, lingering);
         } else {
-            self.office.admission.disconnected();
+            self.service.admission.disconnected();
         }
     }
 
     /// The core has decided.
     pub fn answer(&mut self, now: Micros, run: u64, answer: QueryResponse, core: &mut Core) {
         let answer = Rc::new(answer);
-        let callers = self.office.over(now, RunId(run), &answer);
-        self.office.tell(callers, &Ok(answer));
-        self.post(now, core);
+        let waiters = self.service.run_completed(now, RunId(run), &answer);
+        self.service.queue_outcome(waiters, &Ok(answer));
+        self.deliver_outcomes(now, core);
     }
 
     /// Whether an answer is owed or being written, or a flight runs that nobody waits for just now. What h2 holds
     /// of an answer is on its way for as long as the connection is open.
     #[must_use]
     pub fn busy(&self) -> bool {
-        let owes = |c: &Connection| c.calls.is_empty() || c.calls.values().any(Call::is_owed);
-        !self.office.runs.is_empty() || !self.lingering.is_empty() || self.connections.values().any(owes)
+        let expects_response =
+            |c: &Connection| c.calls.is_empty() || c.calls.values().any(Call::expects_response);
+        !self.service.runs.is_empty()
+            || !self.lingering.is_empty()
+            || self.connections.values().any(expects_response)
     }
 
     /// Asks every client to take new calls elsewhere; long streams end once what is open on them is answered.
     pub fn drain(&mut self, now: Micros, core: &mut Core) {
-        self.office.draining = true;
+        self.service.draining = true;
         let ids: Vec<u64> = self.connections.keys().copied().collect();
         for id in ids {
             if let Some(connection) = self.connections.get_mut(&id) {
@@ -260,44 +264,44 @@
     pub fn due(&self) -> Option<Micros> {
         let calls = self.connections.values().flat_map(|c| c.calls.values());
         let idle = self.connections.values().filter_map(|c| c.idle_until(self.finishing));
-        let lingering = self.lingering.values().map(|lingering| lingering.until);
+        let lingering = self.lingering.values().map(|lingering| lingering.closes_at);
         calls
-            .filter_map(Call::due)
+            .filter_map(Call::poll_timeout)
             .chain(idle)
             .chain(lingering)
-            .chain(self.office.flights.poll_timeout())
+            .chain(self.service.polled_queries.poll_timeout())
             .min()
     }
 
     /// Looks at the clock: calls and connections whose clients have kept it waiting for too long are cut off.
     pub fn expire(&mut self, now: Micros, core: &mut Core) {
-        for run in self.office.flights.handle_timeout(now) {
-            self.office.give_up(run, core);
+        for run in self.service.polled_queries.handle_timeout(now) {
+            self.service.cancel_run(run, core);
         }
-        let late = |at: Option<Micros>| at.is_some_and(|at| at <= now);
-        let (mut idle, mut moved) = (Vec::new(), Vec::new());
+        let is_due = |at: Option<Micros>| at.is_some_and(|at| at <= now);
+        let (mut idle, mut active) = (Vec::new(), Vec::new());
         let before = self.lingering.len();
-        self.lingering.retain(|_, lingering| lingering.until > now);
-        (self.lingering.len()..before).for_each(|_| self.office.admission.disconnected());
+        self.lingering.retain(|_, lingering| lingering.closes_at > now);
+        (self.lingering.len()..before).for_each(|_| self.service.admission.disconnected());
         for (&id, connection) in &mut self.connections {
-            if late(connection.idle_until(self.finishing)) {
+            if is_due(connection.idle_until(self.finishing)) {
                 idle.push(id);
             }
             let mut any = false;
-            for call in connection.calls.values_mut().filter(|call| late(call.due())) {
+            for call in connection.calls.values_mut().filter(|call| is_due(call.poll_timeout())) {
                 any = true;
-                call.poll_over(now, &mut self.office, core);
-                if late(call.due()) {
-                    call.abandon(&mut self.office, core);
-                    call.expire(now);
+                call.handle_poll_timeout(now, &mut self.service, core);
+                if is_due(call.poll_timeout()) {
+                    call.abandon_queries(&mut self.service, core);
+                    call.handle_timeout(now);
                 }
             }
             if any {
-                moved.push(id);
+                active.push(id);
             }
         }
         idle.into_iter().for_each(|id| self.close(now, id, core));
         // What was decided about these calls has to go out.
-        moved.into_iter().for_each(|id| self.ready(now, id, core));
+        active.into_iter().for_each(|id| self.ready(now, id, core));
     }
 }
--- a/crates/edge/src/front/flight/response.rs
+++ b/crates/edge/src/front/flight/response.rs
@@ -11,20 +11,20 @@
 use prost::Message;
 use serde_json::{json, Value};
 
-use super::batch_stream::Form;
-use super::call::{Call, Item, Wanted, Work};
-use super::service::Office;
-use super::status::{failure, internal};
+use super::batch_stream::BatchKind;
+use super::call::{Call, CallState, OutboundItem, OutcomeUse};
+use super::service::FlightService;
+use super::status::{failure_status, internal_error};
 use crate::front::query;
 
 impl Call {
     /// The session's rule for partial answers, and the status of those that are none.
-    pub fn shown(&self, answer: &Rc<QueryResponse>) -> Result<Rc<QueryResponse>, Status> {
-        if let Some(status) = failure(answer) {
+    pub fn checked_response(&self, answer: &Rc<QueryResponse>) -> Result<Rc<QueryResponse>, Status> {
+        if let Some(status) = failure_status(answer) {
             return Err(status);
         }
         let part = match &**answer {
-            QueryResponse::Completed { complete: whole, .. } => !whole,
+            QueryResponse::Completed { complete, .. } => !complete,
             // What was pruned by proof is not missing.
             QueryResponse::Ranked(ranked) => !ranked.exact,
             _ => false,
@@ -35,7 +35,7 @@
         Ok(Rc::clone(answer))
     }
 
-    pub fn style(&self) -> Style {
+    pub fn table_style(&self) -> Style {
         let compression = self.head.options.compression;
         Style { compression, encoding: self.encoding(), ..Style::default() }
     }
@@ -47,31 +47,33 @@
         tag: &str,
         id: &str,
         outcome: Result<Rc<QueryResponse>, Status>,
-        office: &mut Office,
+        service: &mut FlightService,
         core: &Core,
     ) {
-        match &mut self.work {
-            Work::Waiting(waiting) => match std::mem::replace(&mut waiting.form, Wanted::Table) {
-                Wanted::Table => match outcome.and_then(|answer| self.shown(&answer)) {
-                    Ok(answer) => self.table(now, &answer),
-                    Err(status) => self.fail(now, &status),
-                },
-                Wanted::Poll(key, command) => match outcome {
-                    Ok(_) => self.stands(now, &key, &command, office, core),
-                    Err(status) => self.fail(now, &status),
-                },
-            },
-            Work::Long(_) => self.deliver_long(now, tag, id, outcome),
+        match &mut self.state {
+            CallState::WaitingForOutcome(waiting) => {
+                match std::mem::replace(&mut waiting.outcome_use, OutcomeUse::Table) {
+                    OutcomeUse::Table => match outcome.and_then(|answer| self.checked_response(&answer)) {
+                        Ok(answer) => self.send_table(now, &answer),
+                        Err(status) => self.finish_with_error(now, &status),
+                    },
+                    OutcomeUse::Poll(key, command) => match outcome {
+                        Ok(_) => self.send_poll_info(now, &key, &command, service, core),
+                        Err(status) => self.finish_with_error(now, &status),
+                    },
+                }
+            }
+            CallState::BatchStream(_) => self.deliver_to_batch(now, tag, id, outcome),
             _ => {}
         }
     }
 
     /// An answer as a table, and the end of the call behind it.
-    pub fn table(&mut self, now: Micros, answer: &QueryResponse) {
-        let style = self.style();
+    pub fn send_table(&mut self, now: Micros, answer: &QueryResponse) {
+        let style = self.table_style();
         let stream = match answer {
-            QueryResponse::Completed { complete: whole, values } => {
-                let last = json!({ "total": whole }).to_string().into();
+            QueryResponse::Completed { complete, values } => {
+                let last = json!({ "total": complete }).to_string().into();
                 Stream::new(values, Style { last, ..style })
             }
             QueryResponse::Ranked(ranked) => {
@@ -82,29 +84,29 @@
         };
         match stream {
             Ok(stream) => {
-                self.push(now, Item::Answer(Box::new(stream)));
-                self.end(&Status::new(Code::Ok, ""));
+                self.queue_item(now, OutboundItem::Table(Box::new(stream)));
+                self.finish(&Status::new(Code::Ok, ""));
             }
-            Err(_) => self.fail(now, &internal()),
+            Err(_) => self.finish_with_error(now, &internal_error()),
         }
     }
 
     /// An answer on a long stream: metadata that say which query it is for, and on an exchange its rows.
-    pub fn deliver_long(
+    pub fn deliver_to_batch(
         &mut self,
         now: Micros,
         tag: &str,
         id: &str,
         outcome: Result<Rc<QueryResponse>, Status>,
     ) {
-        let outcome = outcome.and_then(|answer| match failure(&answer) {
-            // The refusal's own words say more than the status would.
+        let outcome = outcome.and_then(|answer| match failure_status(&answer) {
+            // The rejection_status's own words say more than the status would.
             Some(_) => Ok(answer),
-            None => self.shown(&answer),
+            None => self.checked_response(&answer),
         });
-        let style = self.style();
-        let Work::Long(long) = &mut self.work else { return };
-        let mut told = told(long.form, tag, id, &outcome);
+        let style = self.table_style();
+        let CallState::BatchStream(long) = &mut self.state else { return };
+        let mut metadata = outcome_metadata(long.kind, tag, id, &outcome);
         let mut bytes = 256;
         let values = match outcome.as_deref() {
             Ok(QueryResponse::Completed { values, .. }) => values.as_slice(),
@@ -117,29 +119,29 @@
         let texts = ranked.iter().flat_map(|ranked| &ranked.rows).map(|row| row.text.len());
         let size = values.iter().map(|(_, value)| value.bytes()).chain(texts).sum::<usize>();
         let mut items = Vec::new();
-        if long.form == Form::Put {
+        if long.kind == BatchKind::Put {
             if let Some(ranked) = ranked {
-                told["rows"] = query::ranked(ranked)["rows"].take();
+                metadata["rows"] = query::ranked(ranked)["rows"].take();
             }
             if !values.is_empty() {
-                told["answers"] = values.iter().map(short).collect();
+                metadata["answers"] = values.iter().map(value_json).collect();
             }
-            let metadata = told.to_string();
+            let metadata = metadata.to_string();
             bytes += metadata.len();
             let result = PutResult { app_metadata: metadata.into() }.encode_to_vec();
-            items.push(Item::Pieces(grpc::frame_pieces(vec![result.into()], style.encoding).into()));
+            items.push(OutboundItem::Pieces(grpc::frame_pieces(vec![result.into()], style.encoding).into()));
         } else {
             let header = match ranked {
                 Some(_) => Some(Stream::ranked_header()),
                 None => Stream::header(values).ok().filter(|_| !values.is_empty()),
             };
-            let fits = match (&header, &long.schema) {
+            let fits = match (&header, &long.sent_schema) {
                 (Some(ours), Some(sent)) => ours == sent,
                 (header, _) => header.is_some(),
             };
             let each = json!({ "tag": tag }).to_string().into();
-            let last = |told: &Value| Bytes::from(told.to_string());
-            let style = Style { each, last: last(&told), headless: long.schema.is_some(), ..style };
+            let last = |metadata: &Value| Bytes::from(metadata.to_string());
+            let style = Style { each, last: last(&metadata), headless: long.sent_schema.is_some(), ..style };
             let stream = match ranked {
                 Some(ranked) => Stream::ranked(&ranked.rows, style.clone()),
                 None => Stream::new(values, style.clone()),
@@ -148,28 +150,30 @@
             match stream {
                 Some(stream) => {
                     bytes += size;
-                    long.schema = long.schema.take().or(header);
-                    items.push(Item::Answer(Box::new(stream)));
+                    long.sent_schema = long.sent_schema.take().or(header);
+                    items.push(OutboundItem::Table(Box::new(stream)));
                 }
                 None => {
                     if header.is_some() {
                         // Another table than the stream's: its rows cannot stand here, the outcome can.
-                        told["rows"] = json!("another schema than this stream's; ask for them with DoGet");
+                        metadata["rows"] =
+                            json!("another schema than this stream's; ask for them with DoGet");
                     }
-                    let pieces = answer::flight_data(&Bytes::new(), &last(&told), Vec::new(), style.encoding);
-                    items.push(Item::Pieces(pieces.into()));
+                    let pieces =
+                        answer::flight_data(&Bytes::new(), &last(&metadata), Vec::new(), style.encoding);
+                    items.push(OutboundItem::Pieces(pieces.into()));
                 }
             }
         }
         if !long.batch.answer(&tag.to_owned(), bytes) {
             long.batch.say(bytes);
         }
-        items.into_iter().for_each(|item| self.push(now, item));
+        items.into_iter().for_each(|item| self.queue_item(now, item));
     }
 }
 
 /// A text of an answer as it goes into a result; of a table only how long it is.
-pub fn short((shard, value): &(mallowgauge_router::ShardId, mallowgauge_core::Value)) -> Value {
+pub fn value_json((shard, value): &(mallowgauge_router::ShardId, mallowgauge_core::Value)) -> Value {
     match value {
         mallowgauge_core::Value::Text(text) => json!({"range": shard.0, "blob": **text}),
         mallowgauge_core::Value::Table(table) => json!({"range": shard.0, "rows": table.rows}),
@@ -177,19 +181,24 @@
 }
 
 /// What a client is told of an answer in metadata.
-pub fn told(form: Form, tag: &str, id: &str, answer: &Result<std::rc::Rc<QueryResponse>, Status>) -> Value {
-    let mut told = match answer {
+pub fn outcome_metadata(
+    form: BatchKind,
+    tag: &str,
+    id: &str,
+    answer: &Result<std::rc::Rc<QueryResponse>, Status>,
+) -> Value {
+    let mut metadata = match answer {
         Ok(answer) => match &**answer {
-            QueryResponse::Completed { complete: whole, .. } => {
-                json!({"status": if *whole { "whole" } else { "partial" }, "total": whole})
+            QueryResponse::Completed { complete, .. } => {
+                json!({"status": if *complete { "whole" } else { "partial" }, "total": complete})
             }
             QueryResponse::Ranked(ranked) => {
-                let mut told = query::marks(ranked);
-                told["status"] = json!(if ranked.whole { "whole" } else { "partial" });
-                told
+                let mut metadata = query::marks(ranked);
+                metadata["status"] = json!(if ranked.whole { "whole" } else { "partial" });
+                metadata
             }
-            QueryResponse::Rejected { retry_after, not_executed: untouched } => {
-                json!({"status": "refused", "untouched": untouched, "retry_after_ms": ms(*retry_after)})
+            QueryResponse::Rejected { retry_after, not_executed } => {
+                json!({"status": "refused", "untouched": not_executed, "retry_after_ms": millis(*retry_after)})
             }
             QueryResponse::Failed(Failure::Invalid(words)) => json!({"status": "invalid", "error": words}),
             QueryResponse::Failed(Failure::DeadlineExceeded) => json!({"status": "time_up"}),
@@ -204,24 +213,24 @@
                 Code::Cancelled => "cancelled",
                 _ => "failed",
             };
-            let mut told = json!({"status": kind, "error": status.words});
+            let mut metadata = json!({"status": kind, "error": status.words});
             if let Some(reason) = status.reason {
-                told["reason"] = json!(reason);
+                metadata["reason"] = json!(reason);
             }
             if let Some(wait) = status.retry_after {
-                told["retry_after_ms"] = json!(ms(wait));
+                metadata["retry_after_ms"] = json!(millis(wait));
             }
-            told
+            metadata
         }
     };
     match form {
-        Form::Put => told["row"] = json!(tag.parse::<u64>().unwrap_or_default()),
-        Form::Exchange => told["tag"] = json!(tag),
+        BatchKind::Put => metadata["row"] = json!(tag.parse::<u64>().unwrap_or_default()),
+        BatchKind::Exchange => metadata["tag"] = json!(tag),
     }
-    told["id"] = json!(id);
-    told
+    metadata["id"] = json!(id);
+    metadata
 }
 
-pub fn ms(micros: Micros) -> u64 {
+pub fn millis(micros: Micros) -> u64 {
     micros.div_ceil(1000)
 }
--- a/crates/edge/src/front/flight/status.rs
+++ b/crates/edge/src/front/flight/status.rs
@@ -1,24 +1,26 @@
 //! The statuses of gRPC for what a call or a query can come to.
 
+use std::borrow::Cow;
+
 use mallowgauge_core::polled_queries::RejectReason;
 use mallowgauge_core::{Failure, QueryResponse};
 use mallowgauge_flight::grpc::{Code, Status};
 
-pub fn bad(words: &'static str) -> Status {
+pub fn invalid_argument(words: impl Into<Cow<'static, str>>) -> Status {
     Status::new(Code::InvalidArgument, words)
 }
 
-pub fn internal() -> Status {
+pub fn internal_error() -> Status {
     Status::new(Code::Internal, "the answer could not be written")
 }
 
 /// What the front's wire makes of a final answer that is none to be shown. Standard clients may by themselves
 /// repeat a call that ends with UNAVAILABLE, so that is only said where nothing can have run.
-pub fn failure(answer: &QueryResponse) -> Option<Status> {
+pub fn failure_status(answer: &QueryResponse) -> Option<Status> {
     Some(match answer {
         QueryResponse::Completed { .. } | QueryResponse::Ranked(_) => return None,
-        QueryResponse::Rejected { retry_after, not_executed: untouched } => {
-            let code = if *untouched { Code::Unavailable } else { Code::ResourceExhausted };
+        QueryResponse::Rejected { retry_after, not_executed } => {
+            let code = if *not_executed { Code::Unavailable } else { Code::ResourceExhausted };
             Status::new(code, "refused").because("REFUSED").retry(*retry_after)
         }
         QueryResponse::Failed(Failure::Invalid(words)) => Status::new(Code::InvalidArgument, *words),
@@ -33,7 +35,7 @@
 }
 
 /// RejectReason a flight is not run, in the wire's words.
-pub fn refusal(why: RejectReason) -> Status {
+pub fn rejection_status(why: RejectReason) -> Status {
     match why {
         RejectReason::DifferentBody => {
             Status::new(Code::AlreadyExists, "the id stands for another query").because("ID_IN_USE")
--- a/crates/edge/src/front/flight/stream_accept.rs
+++ b/crates/edge/src/front/flight/stream_accept.rs
@@ -7,11 +7,11 @@
 use mallowgauge_flight::grpc::{self, Code, Encoding, Status};
 use mallowgauge_router::Micros;
 
-use super::batch_stream::{Form, Long};
-use super::call::{Call, Head, Work};
+use super::batch_stream::{BatchKind, BatchStream};
+use super::call::{Call, CallHead, CallState};
 use super::method::Method;
-use super::service::Office;
-use super::status::bad;
+use super::service::FlightService;
+use super::status::invalid_argument;
 
 /// Ends a stream with a status alone.
 pub fn refuse(status: &Status, extra: &[(&'static str, &'static str)], mut respond: SendResponse<Bytes>) {
@@ -30,7 +30,7 @@
     now: Micros,
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
-    office: &mut Office,
+    service: &mut FlightService,
 ) -> Option<Call> {
     let headers = request.headers();
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
@@ -42,24 +42,26 @@
         let _ = respond.send_response(response, true);
         return None;
     }
-    let mut head = Head::default();
+    let mut head = CallHead::default();
     let mut understand = || -> Result<Method, Status> {
-        let method = Method::of(request.uri().path())
+        let method = Method::from_path(request.uri().path())
             .ok_or_else(|| Status::new(Code::Unimplemented, "there is no such method here"))?;
         head.timeout = match text("grpc-timeout") {
             None => None,
-            Some(text) => Some(grpc::read_timeout(text).ok_or_else(|| bad("grpc-timeout makes no sense"))?),
+            Some(text) => Some(
+                grpc::read_timeout(text).ok_or_else(|| invalid_argument("grpc-timeout makes no sense"))?,
+            ),
         };
         let encoding = text("grpc-encoding").map_or(Some(Encoding::Identity), Encoding::named);
         head.encoding = encoding.ok_or_else(|| {
             Status::new(Code::Unimplemented, "this grpc-encoding is not understood").because("ENCODING")
         })?;
-        if method.asks_who() {
-            head.who = office.door.who(now, headers, &mut office.admission)?;
+        if method.requires_identity() {
+            head.identity = service.authenticator.identify(now, headers, &mut service.admission)?;
         }
-        let options = head.who.session.and_then(|id| office.sessions.touch(now, id));
+        let options = head.identity.session.and_then(|id| service.sessions.touch(now, id));
         head.options = options.unwrap_or_default();
-        office.admission.call().map_err(|full| {
+        service.admission.call().map_err(|full| {
             Status::new(Code::Unavailable, full.what).because("FULL").retry(full.retry_after)
         })?;
         Ok(method)
@@ -71,25 +73,27 @@
             return None;
         }
     };
-    let limits = *office.admission.limits();
+    let limits = *service.admission.limits();
     let work = match method {
-        Method::DoPut => Work::Long(Box::new(Long::new(Form::Put, &limits))),
-        Method::DoExchange => Work::Long(Box::new(Long::new(Form::Exchange, &limits))),
-        method => Work::Request(method),
+        Method::DoPut => CallState::BatchStream(Box::new(BatchStream::new(BatchKind::Put, &limits))),
+        Method::DoExchange => {
+            CallState::BatchStream(Box::new(BatchStream::new(BatchKind::Exchange, &limits)))
+        }
+        method => CallState::Request(method),
     };
     // A handshake by header lines alone is answered at once: its client may keep its side open.
     let named = method == Method::Handshake && headers.contains_key("authorization");
     let basic_headers = named.then(|| headers.clone());
     let mut call = Call::new(now, head, work, request, respond, (limits.message, limits.send_buffer));
     if let Some(headers) = basic_headers {
-        match office.door.who(now, &headers, &mut office.admission) {
-            Ok(who) => {
-                let token = office.token(now, &who.user);
-                call.line("authorization", &format!("Bearer {token}"));
-                call.message(now, &mallowgauge_flight::proto::Handshake::default());
-                call.end(&Status::new(Code::Ok, ""));
+        match service.authenticator.identify(now, &headers, &mut service.admission) {
+            Ok(identity) => {
+                let token = service.issue_token(now, &identity.user);
+                call.add_header("authorization", &format!("Bearer {token}"));
+                call.queue_message(now, &mallowgauge_flight::proto::Handshake::default());
+                call.finish(&Status::new(Code::Ok, ""));
             }
-            Err(status) => call.fail(now, &status),
+            Err(status) => call.finish_with_error(now, &status),
         }
     }
     Some(call)
--- a/crates/edge/src/front/flight/submission.rs
+++ b/crates/edge/src/front/flight/submission.rs
@@ -9,33 +9,33 @@
 use mallowgauge_flight::grpc::Status;
 use mallowgauge_router::{ClassId, Micros};
 
-use super::service::{random, Office, Outcome};
-use super::status::refusal;
+use super::service::{random, FlightService, Outcome};
+use super::status::rejection_status;
 
 /// What came of a query that a call has handed in.
-pub enum Submitted {
+pub enum SubmitResult {
     /// Its outcome will come for this caller.
-    Waiting(WaiterId),
+    Pending(WaiterId),
     /// It is over already.
-    Over(Result<Rc<QueryResponse>, Status>),
+    Completed(Result<Rc<QueryResponse>, Status>),
 }
 
 /// A query in the core, and who waits for it.
-pub struct Run {
+pub struct ActiveRun {
     pub class: ClassId,
     pub key: PolledQueryKey,
-    /// Who waits, unless the flight of that key knows.
-    pub plain: Option<WaiterId>,
+    /// Identity waits, unless the flight of that key knows.
+    pub only_waiter: Option<WaiterId>,
 }
 
 /// Where an outcome goes: a call, and which of its queries.
-pub struct Place {
+pub struct OutcomeTarget {
     pub call: u64,
     pub tag: Rc<str>,
     pub id: Rc<str>,
 }
 
-impl Office {
+impl FlightService {
     /// Hands a query in. One with an effect, and a polled one, has one outcome whoever asks.
     #[allow(clippy::too_many_arguments)] // They belong to one call and are named where it is made
     pub fn submit(
@@ -46,104 +46,107 @@
         tag: &str,
         key: PolledQueryKey,
         spec: PolledQuerySpec,
-        ask: QueryRequest,
-    ) -> Submitted {
-        let (run, caller) = (RunId(self.number()), WaiterId(self.number()));
+        request: QueryRequest,
+    ) -> SubmitResult {
+        let (run, waiter) = (RunId(self.next_id()), WaiterId(self.next_id()));
         let shared = spec.effect || spec.polled;
         if shared {
-            match self.flights.submit(now, &key, spec, Some(caller), run) {
+            match self.polled_queries.submit(now, &key, spec, Some(waiter), run) {
                 Submission::Run(_) => {}
                 Submission::Join(_) => {
-                    self.place(caller, call, tag, &key);
-                    return Submitted::Waiting(caller);
+                    self.add_waiter(waiter, call, tag, &key);
+                    return SubmitResult::Pending(waiter);
                 }
-                Submission::Replay(answer) => return Submitted::Over(Ok(answer)),
-                Submission::Reject(why) => return Submitted::Over(Err(refusal(why))),
+                Submission::Replay(answer) => return SubmitResult::Completed(Ok(answer)),
+                Submission::Reject(why) => return SubmitResult::Completed(Err(rejection_status(why))),
             }
-        } else if matches!(self.flights.state(now, &key), Some(PolledState::Cancelled)) {
-            return Submitted::Over(Err(refusal(RejectReason::Cancelled)));
+        } else if matches!(self.polled_queries.state(now, &key), Some(PolledState::Cancelled)) {
+            return SubmitResult::Completed(Err(rejection_status(RejectReason::Cancelled)));
         }
-        let plain = (!shared).then_some(caller);
-        self.runs.insert(run, Run { class: ask.class, key: key.clone(), plain });
-        self.place(caller, call, tag, &key);
-        let ask = Self::unlike(ask, core);
-        match core.submit(now, ResponseHandle::Flight(run.0), ask) {
-            Ok(()) => Submitted::Waiting(caller),
+        let plain = (!shared).then_some(waiter);
+        self.runs.insert(run, ActiveRun { class: request.class, key: key.clone(), only_waiter: plain });
+        self.add_waiter(waiter, call, tag, &key);
+        let request = Self::with_unique_id(request, core);
+        match core.submit(now, ResponseHandle::Flight(run.0), request) {
+            Ok(()) => SubmitResult::Pending(waiter),
             Err(answer) => {
-                self.callers.remove(&caller);
+                self.waiters.remove(&waiter);
                 let answer = Rc::new(answer);
-                self.over(now, run, &answer);
-                Submitted::Over(Ok(answer))
+                self.run_completed(now, run, &answer);
+                SubmitResult::Completed(Ok(answer))
             }
         }
     }
 
     /// Hosts tell queries apart by their ids: a ticket that is used twice at a time is given another.
-    pub fn unlike(mut ask: QueryRequest, core: &Core) -> QueryRequest {
-        if core.is_open(&ask.id) {
-            let short: String = ask.id.chars().take(40).collect();
-            ask.id = format!("{short}~{:08x}", u32::from_le_bytes(random())).into();
+    pub fn with_unique_id(mut request: QueryRequest, core: &Core) -> QueryRequest {
+        if core.is_open(&request.id) {
+            let short: String = request.id.chars().take(40).collect();
+            request.id = format!("{short}~{:08x}", u32::from_le_bytes(random())).into();
         }
-        ask
+        request
     }
 
-    pub fn place(&mut self, caller: WaiterId, call: u64, tag: &str, key: &PolledQueryKey) {
+    pub fn add_waiter(&mut self, waiter: WaiterId, call: u64, tag: &str, key: &PolledQueryKey) {
         let id = Rc::clone(&key.id);
-        self.callers.insert(caller, Place { call, tag: tag.into(), id });
+        self.waiters.insert(waiter, OutcomeTarget { call, tag: tag.into(), id });
     }
 
     /// A run has its final answer: the callers that wait for it.
-    pub fn over(&mut self, now: Micros, run: RunId, answer: &Rc<QueryResponse>) -> Vec<WaiterId> {
+    pub fn run_completed(&mut self, now: Micros, run: RunId, answer: &Rc<QueryResponse>) -> Vec<WaiterId> {
         let Some(known) = self.runs.remove(&run) else { return Vec::new() };
-        self.learn(known.class, answer);
-        if let Some(caller) = known.plain {
-            return vec![caller];
+        self.learn_schema(known.class, answer);
+        if let Some(waiter) = known.only_waiter {
+            return vec![waiter];
         }
-        let (bytes, untouched) = match &**answer {
+        let (bytes, not_executed) = match &**answer {
             QueryResponse::Completed { values, .. } => {
                 (values.iter().map(|(_, value)| value.bytes()).sum(), false)
             }
             QueryResponse::Ranked(ranked) => {
                 (ranked.rows.iter().map(|row| row.text.len() + row.id.len()).sum(), false)
             }
-            QueryResponse::Rejected { not_executed: untouched, .. } => (0, *untouched),
+            QueryResponse::Rejected { not_executed, .. } => (0, *not_executed),
             // What makes no sense has not run.
             QueryResponse::Failed(failure) => (0, matches!(failure, mallowgauge_core::Failure::Invalid(_))),
         };
-        self.flights.complete(now, run, Rc::clone(answer), bytes, untouched)
+        self.polled_queries.complete(now, run, Rc::clone(answer), bytes, not_executed)
     }
 
     /// Puts an outcome into the outbox for these callers.
-    pub fn tell(&mut self, callers: Vec<WaiterId>, outcome: &Outcome) {
-        for caller in callers {
-            if let Some(place) = self.callers.remove(&caller) {
+    pub fn queue_outcome(&mut self, waiters: Vec<WaiterId>, outcome: &Outcome) {
+        for waiter in waiters {
+            if let Some(place) = self.waiters.remove(&waiter) {
                 self.outbox.push((place.call, place.tag, place.id, outcome.clone()));
             }
         }
     }
 
     /// A run is not wanted any more.
-    pub fn give_up(&mut self, run: RunId, core: &mut Core) {
+    pub fn cancel_run(&mut self, run: RunId, core: &mut Core) {
         if self.runs.remove(&run).is_some() {
             core.client_disconnected(ResponseHandle::Flight(run.0));
         }
     }
 
     /// Gives up what runs under this key for one call each.
-    pub fn cancel_plain(&mut self, key: &PolledQueryKey, core: &mut Core) {
-        let of = |(run, known): (&RunId, &Run)| Some((*run, known.plain?)).filter(|_| known.key == *key);
+    pub fn cancel_unshared_runs(&mut self, key: &PolledQueryKey, core: &mut Core) {
+        let of = |(run, known): (&RunId, &ActiveRun)| {
+            Some((*run, known.only_waiter?)).filter(|_| known.key == *key)
+        };
         let found: Vec<(RunId, WaiterId)> = self.runs.iter().filter_map(of).collect();
-        for (run, caller) in found {
-            self.give_up(run, core);
-            self.tell(vec![caller], &Err(refusal(RejectReason::Cancelled)));
+        for (run, waiter) in found {
+            self.cancel_run(run, core);
+            self.queue_outcome(vec![waiter], &Err(rejection_status(RejectReason::Cancelled)));
         }
     }
 
     /// A call no longer waits for an outcome.
-    pub fn leave(&mut self, caller: WaiterId, core: &mut Core) {
-        self.callers.remove(&caller);
-        let plain = self.runs.iter().find(|(_, known)| known.plain == Some(caller)).map(|(&run, _)| run);
-        let run = plain.or_else(|| self.flights.remove_waiter(caller));
-        run.into_iter().for_each(|run| self.give_up(run, core));
+    pub fn remove_waiter(&mut self, waiter: WaiterId, core: &mut Core) {
+        self.waiters.remove(&waiter);
+        let plain =
+            self.runs.iter().find(|(_, known)| known.only_waiter == Some(waiter)).map(|(&run, _)| run);
+        let run = plain.or_else(|| self.polled_queries.remove_waiter(waiter));
+        run.into_iter().for_each(|run| self.cancel_run(run, core));
     }
 }
