--- a/crates/edge/src/front/flight/auth.rs
+++ b/crates/edge/src/front/flight/auth.rs
@@ -1,4 +1,5 @@
-//! Identity calls: users with passwords from a file, tokens that stand for them, cookies that name a session.
+//! Who calls: users with passwords from the operator's settings, tokens that stand for them, and cookies that name a
+//! session.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,16 +16,16 @@
 /// The cookie that names a session, as Flight's clients keep it.
 pub const COOKIE: &str = "arrow_flight_session_id";
 
-/// Identity calls.
+/// Who calls.
 #[derive(Clone, Debug, Default)]
 pub struct Identity {
-    /// The user; empty where nobody is asked.
+    /// The user; empty where no users are configured.
     pub user: Rc<str>,
     /// The session that the call belongs to.
     pub session: Option<SessionId>,
 }
 
-/// How a call says who it is.
+/// The credentials that a call presents.
 enum Credentials<'a> {
     Basic(&'a str),
     Token(Vec<u8>),
@@ -59,7 +60,7 @@
     STANDARD_NO_PAD.decode(text.trim_end_matches('=')).ok()
 }
 
-fn unknown() -> Status {
+fn unauthenticated() -> Status {
     Status::new(Code::Unauthenticated, "who asks is not known").because("UNAUTHENTICATED")
 }
 
@@ -70,7 +71,7 @@
     u128::from_str_radix(value, 16).ok().map(SessionId)
 }
 
-/// The doorkeeper: the users that may call.
+/// The users that may call, and the key of their tokens.
 pub struct Authenticator {
     users: Option<BTreeMap<String, String>>,
     key: Key,
@@ -78,22 +79,26 @@
 }
 
 impl Authenticator {
-    /// For these users; where there are none, everybody may call.
+    /// An authenticator for these users; with `None` everybody may call. `life`: how long a token is valid, in
+    /// microseconds.
     pub fn new(users: Option<BTreeMap<String, String>>, key: Key, life: Micros) -> Self {
         Self { users, key, token_lifetime: life }
     }
 
-    /// Other users from now on; tokens of those who are gone count no longer.
+    /// Replaces the users; tokens of users that are removed are no longer valid.
     pub fn replace_users(&mut self, users: Option<BTreeMap<String, String>>) {
         self.users = users;
     }
 
-    /// Whether callers have to say who they are.
+    /// Whether callers have to present credentials.
     pub fn is_required(&self) -> bool {
         self.users.is_some()
     }
 
-    /// Identity a call is from.
+    /// Who a call is from.
+    ///
+    /// # Errors
+    /// `UNAUTHENTICATED`, or `RESOURCE_EXHAUSTED` where too many passwords are being checked.
     pub fn identify(
         &self,
         now: Micros,
@@ -104,22 +109,23 @@
             return Ok(Identity { user: "".into(), session: session_cookie(headers) });
         };
         match credentials(headers) {
-            Credentials::None => Err(unknown()),
+            Credentials::None => Err(unauthenticated()),
             Credentials::Basic(text) => {
                 let pair = decode_base64(text).and_then(|bytes| String::from_utf8(bytes).ok());
-                let pair = pair.as_deref().and_then(|pair| pair.split_once(':')).ok_or_else(unknown)?;
+                let pair =
+                    pair.as_deref().and_then(|pair| pair.split_once(':')).ok_or_else(unauthenticated)?;
                 let user = self.check_password(now, pair.0, pair.1, admission)?;
                 Ok(Identity { user, session: session_cookie(headers) })
             }
             Credentials::Token(sealed) => {
-                let token = self.key.read_token(now, &sealed).map_err(|bad| match bad {
+                let token = self.key.read_token(now, &sealed).map_err(|error| match error {
                     seal::Bad::Expired => {
                         Status::new(Code::Unauthenticated, "the token has expired").because("TOKEN_EXPIRED")
                     }
-                    seal::Bad::Forged => unknown(),
+                    seal::Bad::Forged => unauthenticated(),
                 })?;
                 if !users.contains_key(&token.user) {
-                    return Err(unknown());
+                    return Err(unauthenticated());
                 }
                 let number = u128::from(token.session_high) << 64 | u128::from(token.session_low);
                 let session = session_cookie(headers).or(Some(SessionId(number)));
@@ -128,7 +134,10 @@
         }
     }
 
-    /// Checks a password, at the rate that the admission allows.
+    /// Checks a password, at the rate that admission allows.
+    ///
+    /// # Errors
+    /// As [`Authenticator::identify`].
     pub fn check_password(
         &self,
         now: Micros,
@@ -147,11 +156,11 @@
         if fits && users.contains_key(name) {
             Ok(name.into())
         } else {
-            Err(unknown())
+            Err(unauthenticated())
         }
     }
 
-    /// A token for a user, as it goes into a header line.
+    /// A token for a user, as it stands in a header.
     pub fn issue_token(&self, now: Micros, user: &str, session: u128) -> String {
         let token = Token {
             user: user.to_owned(),
--- a/crates/edge/src/front/flight/batch_stream.rs
+++ b/crates/edge/src/front/flight/batch_stream.rs
@@ -1,5 +1,6 @@
-//! BatchStream streams: `DoPut`, a table of queries with one result a row, and `DoExchange`, queries and answers as
-//! they come, each with a tag. Which may begin and when the stream is over is decided in `core::batch`.
+//! Batch streams: `DoPut`, a table of queries with one result a row, and `DoExchange`, queries and answers in any
+//! order, each with a tag. Which queries may begin, and when the stream is over, is decided in
+//! `mallowgauge_core::batch`.
 
 use std::collections::VecDeque;
 
@@ -17,16 +18,16 @@
 
 use super::status::invalid_argument;
 
-/// Bytes of answers that wait to be taken, above which no more queries are read.
+/// No more queries are read while more bytes of answers than this wait for the client.
 const RESPONSE_BACKLOG_BYTES: usize = 256 * 1024;
-/// A client's columns may inflate to so many bytes.
+/// Bound, in bytes, on a client's columns after decompression.
 const MAX_INFLATED_BYTES: usize = 4 * 1024 * 1024;
-/// A client's dictionaries may hold so many bytes.
+/// Bound, in bytes, on a client's dictionaries.
 const MAX_DICTIONARY_BYTES: usize = 512 * 1024;
 /// Most rows of one record batch of queries.
 const MAX_BATCH_ROWS: u64 = 4096;
 
-/// Which of the two it is.
+/// Which method the stream belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchKind {
     /// `DoPut`.
@@ -35,28 +36,28 @@
     Exchange,
 }
 
-/// What a client says on a long stream.
+/// A message of a client on a batch stream.
 #[derive(Clone, Debug)]
 pub enum BatchMessage {
     /// A query with its tag.
     Query(String, Value),
-    /// The query of this tag is not wanted any more.
+    /// Cancels the query of this tag.
     Cancel(String),
 }
 
-/// A long stream.
+/// The state of a batch stream.
 pub struct BatchStream {
-    /// Which of the two it is.
+    /// Which method the stream belongs to.
     pub kind: BatchKind,
     /// The queries that are open.
     pub batch: Batch<String, WaiterId>,
-    /// What was said and has not been begun: of one message at most.
+    /// What was read and has not begun yet, of one message at most.
     pub queue: VecDeque<BatchMessage>,
-    /// The schema that the client has been sent.
+    /// The schema that the client has been sent; one stream carries one schema.
     pub sent_schema: Option<Bytes>,
-    /// Why the stream ends with something other than OK once all is answered.
+    /// The status that the stream ends with once all is answered, if it is not `OK`.
     pub final_status: Option<Status>,
-    /// What stands in the descriptor counts for all queries.
+    /// Fields of the descriptor's command; they apply to every query that does not set them.
     defaults: Map<String, Value>,
     started: bool,
     columns: Collector,
@@ -65,7 +66,7 @@
 }
 
 impl BatchStream {
-    /// A stream on which nothing has come.
+    /// A stream on which nothing has been received.
     pub fn new(form: BatchKind, limits: &Limits) -> Self {
         Self {
             kind: form,
@@ -86,19 +87,22 @@
         self.queue.is_empty() && self.batch.reads()
     }
 
-    /// Whether something that was said can be begun.
+    /// Whether something that was read may begin.
     pub fn can_begin(&self) -> bool {
         !self.queue.is_empty() && (self.batch.reads() || self.batch.phase() != Phase::Open)
     }
 
-    /// The client has said its last, and all of it was begun.
-    pub fn input_ended(&mut self, ended: bool) {
-        if ended && self.queue.is_empty() {
+    /// The client sends nothing more.
+    pub fn input_ended(&mut self) {
+        if self.queue.is_empty() {
             self.batch.half_close();
         }
     }
 
-    /// Takes a message.
+    /// Takes a message of the client.
+    ///
+    /// # Errors
+    /// The message is malformed, or exceeds a bound.
     pub fn receive(&mut self, message: Bytes) -> Result<(), Status> {
         let mut data = FlightData::decode(message).map_err(|_| invalid_argument("this is no FlightData"))?;
         if let Some(descriptor) = data.flight_descriptor.take() {
@@ -153,7 +157,7 @@
         Value::Object(all)
     }
 
-    /// Columns: each row is a query.
+    /// Takes a piece of a table; each row of it is a query.
     fn receive_columns(&mut self, data: FlightData) -> Result<(), Status> {
         let schema = self.columns.is_empty();
         let header = data.data_header.clone();
@@ -164,7 +168,7 @@
             self.received_schema = header;
             return Ok(());
         }
-        // Dictionaries stay for the batches to come; a batch is done with once its rows are queries.
+        // Dictionaries are kept for later record batches; a record batch is dropped once its rows are queries.
         let (messages, rows) = self.columns.take_batch();
         if self.columns.bytes() > MAX_DICTIONARY_BYTES {
             return Err(invalid_argument("dictionaries that are too large"));
--- a/crates/edge/src/front/flight/call.rs
+++ b/crates/edge/src/front/flight/call.rs
@@ -1,5 +1,5 @@
 //! One call of a Flight client: a stream of HTTP/2 whose messages come in, go out, and end with a status.
-//! What a method makes of them stands in `methods` and `long`.
+//! What is done with them is in `call_driver`, `methods` and `batch_driver`.
 
 use std::collections::VecDeque;
 use std::task::{Context, Poll};
@@ -20,85 +20,85 @@
 use super::command::Command;
 use super::method::Method;
 
-/// A message has to be whole so long after its first byte, and a request after its head.
+/// Time for a message after its first byte, and for a request after its head, in microseconds.
 pub const REQUEST_TIMEOUT: Micros = 2_000_000;
-/// A long stream on which nothing goes either way is kept for so long.
+/// How long a batch stream on which nothing moves either way is kept, in microseconds.
 const BATCH_IDLE_TIMEOUT: Micros = 600_000_000;
-/// The core and the module end a query in time; a call ends itself so long after its client's time.
+/// The core ends a query before its deadline; a call that is still open ends itself this long after, in microseconds.
 const DEADLINE_GRACE: Micros = 50_000;
 
-/// What a call's head says.
+/// What the head of a call says.
 #[derive(Clone, Debug, Default)]
 pub struct CallHead {
-    /// How long the client waits.
+    /// How long the client waits, in microseconds.
     pub timeout: Option<Micros>,
-    /// How the client's messages may be compressed.
+    /// How the client's messages are compressed.
     pub encoding: Encoding,
-    /// Identity calls.
+    /// Who calls.
     pub identity: Identity,
-    /// What the session has set.
+    /// The options of the caller's session.
     pub options: Options,
 }
 
-/// What a call waits for.
+/// The outcome that a call waits for.
 pub struct PendingOutcome {
-    /// What comes of the outcome.
+    /// What is done with the outcome.
     pub outcome_use: OutcomeUse,
-    /// When the call says how things stand, if there is no outcome by then.
+    /// When the call reports how far the query has come, if there is no outcome by then.
     pub report_at: Option<Micros>,
-    /// The caller under which the outcome comes.
+    /// The waiter that the outcome is delivered to.
     pub waiter: Option<WaiterId>,
 }
 
-/// What comes of an outcome.
+/// What is done with an outcome.
 pub enum OutcomeUse {
-    /// The answer's table.
+    /// It is sent as a table.
     Table,
-    /// How a polled query stands.
+    /// How the polled query stands is sent.
     Poll(PolledQueryKey, Command),
 }
 
-/// What goes out.
+/// Something to be written.
 pub enum OutboundItem {
-    /// Messages that are ready, in gRPC's frames.
+    /// Messages in gRPC's frames.
     Pieces(VecDeque<Bytes>),
-    /// An answer whose messages are made as they go.
+    /// A table whose messages are encoded as they are written.
     Table(Box<answer::Stream>),
 }
 
-/// What a call is about once its head is in.
+/// What a call is doing.
 pub enum CallState {
-    /// Its one message is coming in.
+    /// It reads its one request message.
     Request(Method),
-    /// It waits for an outcome.
+    /// It waits for the outcome of a query.
     WaitingForOutcome(PendingOutcome),
-    /// Many queries on one stream.
+    /// It carries many queries.
     BatchStream(Box<BatchStream>),
-    /// Health is told as it changes: what was told last.
+    /// It reports the health status whenever it changes: the status reported last.
     HealthWatch(i32),
-    /// Nothing more is to be done but to write.
+    /// Nothing is left to do but to write.
     Closing,
 }
 
 /// One call.
 pub struct Call {
-    /// What its head says.
+    /// What its head said.
     pub head: CallHead,
-    /// What it is about.
+    /// What it is doing.
     pub state: CallState,
-    /// When it came.
+    /// When its head was read.
     pub arrived_at: Micros,
     body: Option<RecvStream>,
     deframer: Deframer,
-    /// Bytes whose place in the client's window was not given back: those of messages that are not whole.
+    /// Received bytes that were not released to the client's flow-control window yet: those of incomplete messages.
     unreleased: usize,
-    /// Since when a message has been coming in.
+    /// Since when a message has been incomplete.
     partial_since: Option<Micros>,
     respond: SendResponse<Bytes>,
     stream: Option<SendStream<Bytes>>,
     outbound: VecDeque<OutboundItem>,
     trailers: Option<HeaderMap>,
-    /// Lines that go with the head of the answer.
+    /// Headers that go with the head of the response.
     extra_headers: HeaderMap,
     reader: Reader,
     last_activity: Micros,
@@ -106,18 +106,19 @@
     is_closed: bool,
 }
 
-/// What reading came to.
+/// The result of reading.
 pub enum Read {
     /// Nothing more for now.
     Pending,
-    /// A message.
+    /// A complete message.
     Message(Bytes),
-    /// The client has said its last.
+    /// The client sends nothing more.
     End,
 }
 
 impl Call {
-    /// Takes a stream whose head was understood.
+    /// A call on a stream whose head was read. The last argument: bounds, in bytes, on a message and on what is buffered
+    /// in the connection.
     pub fn new(
         now: Micros,
         head: CallHead,
@@ -146,27 +147,27 @@
         }
     }
 
-    /// When its client's time is up, by the clock here.
+    /// When its client's deadline passes, on the server's clock.
     pub fn deadline(&self) -> Option<Micros> {
         self.head.timeout.map(|wait| self.arrived_at.saturating_add(wait))
     }
 
-    /// How long its client still waits.
+    /// The time left until the client's deadline.
     pub fn remaining_time(&self, now: Micros) -> Option<Micros> {
         self.deadline().map(|until| until.saturating_sub(now))
     }
 
-    /// Whether the call is over and can be dropped.
+    /// Whether the stream has ended and the call can be dropped.
     pub fn is_finished(&self) -> bool {
         self.is_closed
     }
 
-    /// Whether an answer is owed or being written; who watches health is owed nothing.
+    /// Whether a response is expected or being written. A health watch has no final response.
     pub fn expects_response(&self) -> bool {
         !matches!(self.state, CallState::HealthWatch(_))
     }
 
-    /// When something has to be done about it.
+    /// When its first time-out is due.
     pub fn poll_timeout(&self) -> Option<Micros> {
         let slow = self.partial_since.map(|since| since + REQUEST_TIMEOUT);
         let first = matches!(self.state, CallState::Request(_)).then_some(self.arrived_at + REQUEST_TIMEOUT);
@@ -181,12 +182,12 @@
         [slow, first, stalled, waits, time].into_iter().flatten().min()
     }
 
-    /// Looks at the clock; the call may be over afterwards.
+    /// Ends the call if one of its time-outs is due.
     pub fn handle_timeout(&mut self, now: Micros) {
         let late = |at: Option<Micros>| at.is_some_and(|at| at <= now);
         let written = !self.outbound.is_empty() || self.trailers.is_some();
         if written && self.reader.deadline() <= now {
-            // A client that takes nothing would not take a status either.
+            // A client that reads nothing would not read a status either.
             return self.reset(Reason::CANCEL);
         }
         if late(self.deadline().map(|until| until + DEADLINE_GRACE)) {
@@ -202,7 +203,10 @@
         }
     }
 
-    /// The next message, if one is whole.
+    /// The next message, if it is complete.
+    ///
+    /// # Errors
+    /// The message is malformed or too large, or the stream broke off.
     pub fn read(&mut self, now: Micros, context: &mut Context<'_>) -> Result<Read, Status> {
         loop {
             if let Some(message) = self.deframer.take().map_err(grpc::Bad::status)? {
@@ -252,19 +256,19 @@
         }
     }
 
-    /// A header line that goes with the answer.
+    /// Adds a header to the head of the response.
     pub fn add_header(&mut self, name: &'static str, value: &str) {
         if let Ok(value) = HeaderValue::from_str(value) {
             self.extra_headers.append(name, value);
         }
     }
 
-    /// The encoding of what goes out: a client that compresses its requests gets compressed answers.
+    /// The encoding of responses: a client that compresses its requests gets compressed responses.
     pub fn encoding(&self) -> Encoding {
         self.head.encoding
     }
 
-    /// Puts something behind what goes out.
+    /// Queues something to be written.
     pub fn queue_item(&mut self, now: Micros, item: OutboundItem) {
         if self.outbound.is_empty() {
             self.reader.rested(now);
@@ -272,13 +276,13 @@
         self.outbound.push_back(item);
     }
 
-    /// Puts a message behind what goes out.
+    /// Queues a message to be written.
     pub fn queue_message(&mut self, now: Micros, message: &impl prost::Message) {
         let pieces = grpc::frame_pieces(vec![message.encode_to_vec().into()], self.encoding());
         self.queue_item(now, OutboundItem::Pieces(pieces.into()));
     }
 
-    /// After what goes out the call ends with this status.
+    /// Ends the call with this status, behind what is queued.
     pub fn finish(&mut self, status: &Status) {
         if self.trailers.is_none() {
             self.trailers = Some(status.trailers());
@@ -286,7 +290,7 @@
         self.state = CallState::Closing;
     }
 
-    /// The call ends with this status now; what was to go out does not.
+    /// Ends the call with this status, and drops what is queued.
     pub fn finish_with_error(&mut self, now: Micros, status: &Status) {
         if self.outbound.is_empty() {
             self.reader.rested(now);
@@ -296,7 +300,7 @@
         self.state = CallState::Closing;
     }
 
-    /// The stream is reset.
+    /// Resets the stream.
     pub fn reset(&mut self, reason: Reason) {
         match &mut self.stream {
             Some(stream) => stream.send_reset(reason),
@@ -318,7 +322,7 @@
         response
     }
 
-    /// Writes as much as the client's window takes, and says how much that was.
+    /// Writes as much as the client's flow-control window takes; returns the number of bytes.
     pub fn write(&mut self, now: Micros, context: &mut Context<'_>) -> usize {
         let mut written = 0;
         if self.is_closed
@@ -329,7 +333,7 @@
         if self.stream.is_none() {
             let mut response = self.response();
             if self.outbound.is_empty() && !self.keeps_stream_open() {
-                // A status alone goes with the head.
+                // A status without messages goes with the head.
                 response.headers_mut().extend(self.trailers.take().unwrap_or_default());
                 let _ = self.respond.send_response(response, true);
                 self.is_closed = true;
@@ -387,7 +391,7 @@
         matches!(self.state, CallState::HealthWatch(_) | CallState::BatchStream(_))
     }
 
-    /// The piece that goes next; answers are turned into messages one at a time.
+    /// The piece to be written next; tables are encoded one message at a time.
     fn next_piece(&mut self) -> Option<Bytes> {
         loop {
             match self.outbound.front_mut()? {
@@ -414,8 +418,7 @@
 
 impl Drop for Call {
     fn drop(&mut self) {
-        // A call that ends without a status must not look whole: its stream is reset with a reason that
-        // clients know.
+        // A call that ends without a status must not look complete to its client.
         if !self.is_closed {
             self.reset(Reason::CANCEL);
         }
--- a/crates/edge/src/front/flight/call_driver.rs
+++ b/crates/edge/src/front/flight/call_driver.rs
@@ -10,10 +10,10 @@
 use super::call::{Call, CallState, PendingOutcome, Read};
 use super::method::Method;
 use super::service::FlightService;
-use super::status::invalid_argument;
+use super::status::{draining, invalid_argument};
 
 impl Call {
-    /// Goes on as far as it can.
+    /// Reads, begins and writes as far as the stream lets it.
     pub fn drive(
         &mut self,
         now: Micros,
@@ -24,20 +24,9 @@
     ) {
         match self.state {
             CallState::Request(method) => self.read_request(now, id, method, context, service, core),
-            CallState::BatchStream(_) => {
-                if let Err(status) = self.drive_batch(now, id, context, service, core) {
-                    self.abandon_queries(service, core);
-                    self.finish_with_error(now, &status);
-                }
-            }
-            CallState::HealthWatch(told) if told != service.health_status() => {
-                self.state = CallState::HealthWatch(service.health_status());
-                self.queue_message(now, &HealthCheckResponse { status: service.health_status() });
-                if service.draining {
-                    self.finish(&Status::new(Code::Unavailable, "this gatherer ends"));
-                }
-            }
-            _ => {}
+            CallState::BatchStream(_) => self.drive_batch_or_fail(now, id, context, service, core),
+            CallState::HealthWatch(reported) => self.report_health_change(now, reported, service),
+            CallState::WaitingForOutcome(_) | CallState::Closing => {}
         }
         if !self.is_finished() && self.is_reset(context) {
             self.abandon_queries(service, core);
@@ -45,20 +34,45 @@
         }
         loop {
             let written = self.write(now, context);
-            let CallState::BatchStream(long) = &mut self.state else { break };
-            long.batch.taken(written);
-            // What was taken makes room for more queries.
-            if written == 0 || !(long.can_read() || long.can_begin()) {
+            let CallState::BatchStream(stream) = &mut self.state else { break };
+            stream.batch.taken(written);
+            // What the client has taken makes room for more queries.
+            if written == 0 || !(stream.can_read() || stream.can_begin()) {
                 break;
             }
-            if let Err(status) = self.drive_batch(now, id, context, service, core) {
-                self.abandon_queries(service, core);
-                self.finish_with_error(now, &status);
-            }
+            self.drive_batch_or_fail(now, id, context, service, core);
+        }
+    }
+
+    fn drive_batch_or_fail(
+        &mut self,
+        now: Micros,
+        id: u64,
+        context: &mut Context<'_>,
+        service: &mut FlightService,
+        core: &mut Core,
+    ) {
+        if let Err(status) = self.drive_batch(now, id, context, service, core) {
+            self.abandon_queries(service, core);
+            self.finish_with_error(now, &status);
         }
     }
 
-    pub fn read_request(
+    /// Sends the health status if it is another than the one sent last.
+    fn report_health_change(&mut self, now: Micros, reported: i32, service: &FlightService) {
+        let status = service.health_status();
+        if reported == status {
+            return;
+        }
+        self.state = CallState::HealthWatch(status);
+        self.queue_message(now, &HealthCheckResponse { status });
+        if service.draining {
+            self.finish(&Status::new(Code::Unavailable, "this gatherer ends"));
+        }
+    }
+
+    /// Reads the one request message of a method, and starts the method once it is in.
+    fn read_request(
         &mut self,
         now: Micros,
         id: u64,
@@ -74,34 +88,35 @@
             Err(status) => Err(status),
         };
         self.state = CallState::Closing;
-        let begun = message.and_then(|message| self.start_method(now, id, method, &message, service, core));
-        if let Err(status) = begun {
+        let started = message.and_then(|message| self.start_method(now, id, method, &message, service, core));
+        if let Err(status) = started {
             self.finish_with_error(now, &status);
         }
     }
 
-    /// Nobody waits for what this call has asked any more.
+    /// Withdraws this call from every query that it waits for; a query that nobody else waits for is cancelled.
     pub fn abandon_queries(&mut self, service: &mut FlightService, core: &mut Core) {
         match &mut self.state {
             CallState::WaitingForOutcome(PendingOutcome { waiter, .. }) => {
-                waiter.take().into_iter().for_each(|waiter| service.remove_waiter(waiter, core));
+                if let Some(waiter) = waiter.take() {
+                    service.remove_waiter(waiter, core);
+                }
             }
-            CallState::BatchStream(long) => {
-                for (_, waiter) in long.batch.abort() {
+            CallState::BatchStream(stream) => {
+                for (_, waiter) in stream.batch.abort() {
                     service.remove_waiter(waiter, core);
                 }
-                long.queue.clear();
+                stream.queue.clear();
             }
             _ => {}
         }
     }
 
-    /// The program ends.
+    /// The server shuts down: a batch stream begins nothing new, and ends with `UNAVAILABLE` once all is answered.
     pub fn drain(&mut self) {
-        if let CallState::BatchStream(long) = &mut self.state {
-            long.batch.drain();
-            long.final_status =
-                Some(Status::new(Code::Unavailable, "this gatherer ends").because("DRAINING").retry(1));
+        if let CallState::BatchStream(stream) = &mut self.state {
+            stream.batch.drain();
+            stream.final_status = Some(draining());
         }
     }
 }
--- a/crates/edge/src/front/flight/command.rs
+++ b/crates/edge/src/front/flight/command.rs
@@ -1,5 +1,5 @@
-//! Commands: a query as Flight's clients write it, the platform's body with what stands in its headers
-//! beside it. Rows of a table are commands too.
+//! Commands: a query as Flight clients write it, as JSON with the fields of the HTTP frontend's body and headers. A row
+//! of a table on a batch stream is a command, too.
 
 use bytes::Bytes;
 use mallowgauge_core::{Core, QueryRequest};
@@ -12,10 +12,12 @@
 use super::status::invalid_argument;
 use crate::front::query::{self, Frame};
 
-/// Most endpoints that a query is split over.
+/// The id for commands that are read without being submitted, where the client gives none.
+pub const UNUSED_ID: &str = "x";
+/// Bound on the endpoints that a query is split over.
 const MAX_ENDPOINTS: usize = 16;
 
-/// A command that makes sense.
+/// A valid command.
 #[derive(Clone, Debug)]
 pub struct Command {
     fields: Map<String, Value>,
@@ -26,32 +28,39 @@
 }
 
 impl Command {
-    /// Reads a descriptor's command; a client that names no id is given `fresh`.
-    pub fn from_descriptor(descriptor: &FlightDescriptor, core: &Core, fresh: &str) -> Result<Self, Status> {
+    /// Reads a descriptor's command; `default_id` stands in where the client gives no id.
+    ///
+    /// # Errors
+    /// `INVALID_ARGUMENT`, also of the next two.
+    pub fn from_descriptor(
+        descriptor: &FlightDescriptor,
+        core: &Core,
+        default_id: &str,
+    ) -> Result<Self, Status> {
         if descriptor.r#type != COMMAND {
             return Err(invalid_argument("the descriptor holds no command"));
         }
-        Self::from_json(&descriptor.cmd, core, fresh)
+        Self::from_json(&descriptor.cmd, core, default_id)
     }
 
     /// Reads a command's text.
-    pub fn from_json(text: &[u8], core: &Core, fresh: &str) -> Result<Self, Status> {
+    pub fn from_json(text: &[u8], core: &Core, default_id: &str) -> Result<Self, Status> {
         let value = serde_json::from_slice(text).map_err(|_| invalid_argument("the command is not JSON"))?;
-        Self::from_value(value, core, fresh)
+        Self::from_value(value, core, default_id)
     }
 
-    /// Takes a command that was read.
-    pub fn from_value(value: Value, core: &Core, fresh: &str) -> Result<Self, Status> {
+    /// Takes a command from JSON that was read.
+    pub fn from_value(value: Value, core: &Core, default_id: &str) -> Result<Self, Status> {
         let Value::Object(mut fields) = value else {
             return Err(invalid_argument("the command is no object"));
         };
-        fields.entry("id").or_insert_with(|| json!(fresh));
+        fields.entry("id").or_insert_with(|| json!(default_id));
         let id = fields.get("id").and_then(Value::as_str).filter(|id| query::is_id(id));
         let id = id.ok_or_else(|| invalid_argument("id is missing or odd"))?.to_owned();
         let class = fields.get("kind").and_then(Value::as_str).and_then(|name| core.class_id(name));
         let class = class.ok_or_else(|| invalid_argument("the class is unknown"))?;
         if let Some(Value::Array(ranges)) = fields.get_mut("ranges") {
-            // Shards alone have equal shares.
+            // Shards that are named without a portion have equal ones.
             let portion = 1.0 / ranges.len().max(1) as f64;
             for range in ranges.iter_mut().filter(|range| range.is_u64()) {
                 *range = json!({"range": range.as_u64(), "portion": portion});
@@ -65,7 +74,7 @@
         Value::Object(self.fields.clone()).to_string().into()
     }
 
-    /// A hash of what is asked, whoever asks and for however long.
+    /// A hash of what is queried, without id, retry mark, deadline, tag and endpoints.
     pub fn fingerprint(&self) -> u64 {
         let mut fields = self.fields.clone();
         for beside in ["id", "retry", "deadline_ms", "tag", "endpoints"] {
@@ -74,12 +83,15 @@
         fingerprint(Value::Object(fields).to_string().as_bytes())
     }
 
-    /// The query, of a client that waits for so long; one that states no time waits for as long as the
-    /// session or the class allows.
+    /// The query. Its time is the smaller of the command's own and `remaining`, the call's; without either it is `default`,
+    /// the session's, and then its class's. All in microseconds.
+    ///
+    /// # Errors
+    /// The command makes no valid query.
     pub fn request(
         &self,
-        left: Option<Micros>,
-        usual: Option<Micros>,
+        remaining: Option<Micros>,
+        default: Option<Micros>,
         core: &Core,
     ) -> Result<QueryRequest, Status> {
         let own = match self.fields.get("deadline_ms") {
@@ -92,16 +104,19 @@
                 Some(ms.saturating_mul(1000))
             }
         };
-        let wait = own.into_iter().chain(left).min().or(usual);
+        let wait = own.into_iter().chain(remaining).min().or(default);
         let expires_in = wait.unwrap_or_else(|| core.deadline(self.class));
         let retry = self.fields.get("retry").and_then(Value::as_bool).unwrap_or(false);
         let frame = Frame { id: self.id.as_str().into(), class: self.class, expires_in, retry };
         query::read(frame, &Value::Object(self.fields.clone())).map_err(invalid_argument)
     }
 
-    /// The command split over the endpoints that it wants: each asks for some of the parts, with their
-    /// shares of these. Only a query that may be repeated freely is split: its endpoints are queries of
-    /// their own, and a client may come for one of them twice.
+    /// The command split over the endpoints that it asks for: each queries some of the parts, with their weights scaled
+    /// to 1. Only an idempotent query is split: its endpoints are queries of their own, and a client may use one of them
+    /// twice.
+    ///
+    /// # Errors
+    /// The number of endpoints is out of range, the query is not idempotent, or its id is too long.
     pub fn split(&self, core: &Core) -> Result<Vec<Command>, Status> {
         let wanted = match self.fields.get("endpoints") {
             None | Some(Value::Null) => 1,
--- a/crates/edge/src/front/flight/connection.rs
+++ b/crates/edge/src/front/flight/connection.rs
@@ -18,47 +18,61 @@
 use super::stream_accept::accept;
 use crate::wire::{Flag, Wire};
 
-/// A handshake has to be over by then.
+/// Time for the handshakes of TLS and HTTP/2 together, in microseconds.
 pub const HANDSHAKE_TIMEOUT: Micros = 2_000_000;
-/// A connection without a call is kept for so long.
+/// How long a connection without a call is kept, in microseconds.
 pub const CONNECTION_IDLE_TIME: Micros = 120_000_000;
-/// A client that goes on sending behind the end of its connection is listened to for so long, and so much: a close
-/// over unread bytes would reset the connection and could take the last answer with it.
+/// How long, in microseconds, what a client sends behind the end of its connection is read and dropped: a close over
+/// unread bytes would reset the connection, and the last answer could be lost with it.
 pub const LINGER_TIME: Micros = 500_000;
+/// How many bytes are dropped at most.
 pub const LINGER_BYTES: usize = 256 * 1024;
 
-pub type Handshake = Pin<Box<dyn Future<Output = Result<server::Connection<Wire, Bytes>, h2::Error>>>>;
+type Handshake = Pin<Box<dyn Future<Output = Result<server::Connection<Wire, Bytes>, h2::Error>>>>;
 
+/// How far a connection has come.
 pub enum State {
+    /// HTTP/2's preface and settings are being exchanged.
     Handshake(Handshake),
+    /// Streams are accepted.
     Up(Box<server::Connection<Wire, Bytes>>),
 }
 
+/// A client's connection.
 pub struct Connection {
+    /// Its socket.
     pub stream: Rc<Stream>,
+    /// How far it has come.
     pub state: State,
+    /// Set when something of it has to be driven again.
     pub flag: Arc<Flag>,
+    /// Sets the flag.
     pub waker: Waker,
+    /// Its open calls, by number.
     pub calls: BTreeMap<u64, Call>,
+    /// The client was sent a GOAWAY.
     pub draining: bool,
+    /// When it was accepted, or its last call ended.
     pub idle_since: Micros,
 }
 
-/// A connection that has ended here and not yet at its client.
+/// A connection whose last bytes have been written, and whose client has not closed it yet.
 pub struct Lingering {
+    /// Its socket.
     pub stream: Rc<Stream>,
+    /// When it is closed whatever its client does.
     pub closes_at: Micros,
-    /// So much more of what its client sends is passed over.
+    /// How many more bytes of its client are dropped.
     pub remaining_bytes: usize,
 }
 
 impl Lingering {
-    /// Passes over what has come; `false` once the client has closed too, or sends too much.
+    /// Drops what was received; `false` once the client has closed too, or has sent too much.
     pub fn discard_input(&mut self) -> bool {
-        let mut passed = Vec::new();
-        match self.stream.read(&mut passed, self.remaining_bytes) {
+        let mut dropped = Vec::new();
+        match self.stream.read(&mut dropped, self.remaining_bytes) {
             ReadEnd::Blocked => {
-                self.remaining_bytes -= passed.len();
+                self.remaining_bytes -= dropped.len();
                 self.remaining_bytes > 0
             }
             ReadEnd::Full | ReadEnd::Closed | ReadEnd::Broken => false,
@@ -67,41 +81,42 @@
 }
 
 impl Connection {
-    /// How long it is kept while there is no call on it.
+    /// When it is closed for want of a call; `None` while a call is open.
     pub fn idle_until(&self, finishing: bool) -> Option<Micros> {
-        let rest = match self.state {
+        let idle_time = match self.state {
             _ if finishing => LINGER_TIME,
             State::Handshake(_) => HANDSHAKE_TIMEOUT,
             State::Up(_) => CONNECTION_IDLE_TIME,
         };
-        self.calls.is_empty().then_some(self.idle_since + rest)
+        self.calls.is_empty().then_some(self.idle_since + idle_time)
     }
 
-    /// Goes on as far as the socket lets it; `false` when the connection is over.
+    /// Drives the connection and its calls as far as the socket lets them; `false` when the connection is over.
     pub fn ready(
         &mut self,
         now: Micros,
         id: u64,
-        homes: &mut BTreeMap<u64, u64>,
+        connection_of_call: &mut BTreeMap<u64, u64>,
         service: &mut FlightService,
         core: &mut Core,
     ) -> bool {
         loop {
             self.flag.take();
             let waker = self.waker.clone();
-            let alive = self.drive(now, id, &mut Context::from_waker(&waker), homes, service, core);
+            let alive =
+                self.drive(now, id, &mut Context::from_waker(&waker), connection_of_call, service, core);
             if !alive || !self.flag.take() {
                 return alive;
             }
         }
     }
 
-    pub fn drive(
+    fn drive(
         &mut self,
         now: Micros,
-        home: u64,
+        id: u64,
         context: &mut Context<'_>,
-        homes: &mut BTreeMap<u64, u64>,
+        connection_of_call: &mut BTreeMap<u64, u64>,
         service: &mut FlightService,
         core: &mut Core,
     ) -> bool {
@@ -115,37 +130,55 @@
                 Poll::Ready(Ok(connection)) => self.state = State::Up(Box::new(connection)),
             }
         }
+        let open = self.accept_streams(now, id, context, connection_of_call, service);
+        self.drive_calls(now, context, connection_of_call, service, core);
+        open
+    }
+
+    /// Accepts the streams that the client has opened; `false` when it opens no more.
+    fn accept_streams(
+        &mut self,
+        now: Micros,
+        id: u64,
+        context: &mut Context<'_>,
+        connection_of_call: &mut BTreeMap<u64, u64>,
+        service: &mut FlightService,
+    ) -> bool {
         let State::Up(connection) = &mut self.state else { return true };
-        let mut over = false;
         loop {
             match connection.poll_accept(context) {
-                Poll::Pending => break,
+                Poll::Pending => return true,
                 Poll::Ready(Some(Ok((request, respond)))) => {
                     if let Some(call) = accept(now, request, respond, service) {
-                        let id = service.next_id();
-                        homes.insert(id, home);
-                        self.calls.insert(id, call);
+                        let call_id = service.next_id();
+                        connection_of_call.insert(call_id, id);
+                        self.calls.insert(call_id, call);
                     }
                 }
-                Poll::Ready(_) => {
-                    over = true;
-                    break;
-                }
+                Poll::Ready(_) => return false,
             }
         }
-        let mut active = false;
-        self.calls.retain(|&id, call| {
-            call.drive(now, id, context, service, core);
+    }
+
+    fn drive_calls(
+        &mut self,
+        now: Micros,
+        context: &mut Context<'_>,
+        connection_of_call: &mut BTreeMap<u64, u64>,
+        service: &mut FlightService,
+        core: &mut Core,
+    ) {
+        let open_before = self.calls.len();
+        self.calls.retain(|&call_id, call| {
+            call.drive(now, call_id, context, service, core);
             if call.is_finished() {
-                homes.remove(&id);
+                connection_of_call.remove(&call_id);
                 service.admission.call_over();
-                active = true;
             }
             !call.is_finished()
         });
-        if active {
+        if self.calls.len() < open_before {
             self.idle_since = now;
         }
-        !over
     }
 }
--- a/crates/edge/src/front/flight/method.rs
+++ b/crates/edge/src/front/flight/method.rs
@@ -2,7 +2,7 @@
 
 use mallowgauge_flight::grpc;
 
-/// The methods.
+/// A method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
     Handshake,
@@ -44,7 +44,7 @@
         })
     }
 
-    /// Whether callers have to say who they are.
+    /// Whether callers have to present credentials.
     pub fn requires_identity(self) -> bool {
         !matches!(self, Self::Handshake | Self::HealthCheck | Self::HealthWatch)
     }
--- a/crates/edge/src/front/flight/methods/actions.rs
+++ b/crates/edge/src/front/flight/methods/actions.rs
@@ -1,25 +1,31 @@
-//! `DoAction` and `ListActions`: cancels, renews and expires, and the session's options.
+//! `DoAction` and `ListActions`: cancels, renews and revokes flights, and sets a session's options.
 
+use std::collections::HashMap;
 use std::rc::Rc;
 
+use bytes::Bytes;
 use mallowgauge_core::polled_queries::{CancelResult, PolledQueryKey, PolledQuerySpec, RejectReason};
+use mallowgauge_core::sessions::Bad as OptionError;
 use mallowgauge_core::{Core, ResponseHandle};
 use mallowgauge_flight::grpc::{Code, Status};
-use mallowgauge_flight::proto::*;
+use mallowgauge_flight::proto::{
+    Action, ActionResult, ActionType, CancelFlightInfoRequest, CancelFlightInfoResult, CancelStatus,
+    CloseSessionResult, FlightEndpoint, FlightInfo, RenewFlightEndpointRequest, SessionError, SessionOptions,
+    SetSessionOptionsResult,
+};
 use mallowgauge_router::Micros;
 use prost::Message;
 use serde_json::json;
-use std::collections::HashMap;
 
+use super::decode;
 use super::sessions::{option_from_wire, option_to_wire};
 use crate::front::flight::auth::Identity;
 use crate::front::flight::call::Call;
-use crate::front::flight::service::FlightService;
+use crate::front::flight::service::{health, FlightService};
 use crate::front::flight::status::{invalid_argument, rejection_status};
-use mallowgauge_core::sessions::Bad;
 
-/// The actions, with what they do.
-pub const ACTIONS: [(&str, &str); 7] = [
+/// The actions, with the descriptions that clients are shown.
+const ACTIONS: [(&str, &str); 7] = [
     ("CancelFlightInfo", "Gives a flight up. In: CancelFlightInfoRequest. Out: CancelFlightInfoResult."),
     ("RenewFlightEndpoint", "Makes an endpoint count for longer. In: RenewFlightEndpointRequest. Out: FlightEndpoint."),
     ("ExpireFlightEndpoint", "Makes an endpoint count no longer. In: FlightEndpoint. Out: nothing."),
@@ -29,81 +35,124 @@
     ("Advice", "Tells when a client that finds no room may come back. In: nothing. Out: JSON."),
 ];
 
+/// `SetSessionOptionsResult.ErrorValue`: there is no such option.
+const INVALID_NAME: i32 = 1;
+/// `SetSessionOptionsResult.ErrorValue`: the option does not take that value.
+const INVALID_VALUE: i32 = 2;
+/// `CloseSessionResult.Status`: the session is closed.
+const CLOSED: i32 = 1;
+/// `CloseSessionResult.Status`: there is no session to close.
+const NOT_CLOSEABLE: i32 = 3;
+
 impl Call {
+    /// `ListActions`: names the actions.
+    ///
+    /// # Errors
+    /// None.
+    pub fn list_actions(&mut self, now: Micros) -> Result<(), Status> {
+        for (name, description) in ACTIONS {
+            let action = ActionType { r#type: name.to_owned(), description: description.to_owned() };
+            self.queue_message(now, &action);
+        }
+        self.finish_ok();
+        Ok(())
+    }
+
+    /// `DoAction`: carries out one action, and replies with its result if it has one.
+    ///
+    /// # Errors
+    /// There is no such action, its body cannot be read, or it is not possible.
     pub fn do_action(
         &mut self,
         now: Micros,
-        action: &Action,
+        message: &Bytes,
         service: &mut FlightService,
         core: &mut Core,
     ) -> Result<(), Status> {
-        let body = action.body.clone();
-        let unreadable_body = |_| invalid_argument("the action's body cannot be read");
-        let reply = match action.r#type.as_str() {
+        let Action { r#type: name, body } = decode(message, "this is no action")?;
+        let identity = &self.head.identity;
+        let result = match name.as_str() {
             "CancelFlightInfo" => {
-                let request = CancelFlightInfoRequest::decode(body).map_err(unreadable_body)?;
+                let request: CancelFlightInfoRequest = decode_body(&body)?;
                 let info = request.info.ok_or_else(|| invalid_argument("no FlightInfo"))?;
-                let status = service.cancel_flight(now, &info, &self.head.identity, core)? as i32;
+                let status = service.cancel_flight(now, &info, identity, core)? as i32;
                 Some(CancelFlightInfoResult { status }.encode_to_vec())
             }
             "RenewFlightEndpoint" => {
-                let request = RenewFlightEndpointRequest::decode(body).map_err(unreadable_body)?;
+                let request: RenewFlightEndpointRequest = decode_body(&body)?;
                 let endpoint = request.endpoint.ok_or_else(|| invalid_argument("no endpoint"))?;
-                Some(service.renew_endpoint(now, endpoint, &self.head.identity, core)?.encode_to_vec())
+                Some(service.renew_endpoint(now, endpoint, identity, core)?.encode_to_vec())
             }
             "ExpireFlightEndpoint" => {
-                let endpoint = FlightEndpoint::decode(body).map_err(unreadable_body)?;
-                service.revoke_endpoint(now, &endpoint, &self.head.identity, core)?;
+                let endpoint: FlightEndpoint = decode_body(&body)?;
+                service.revoke_endpoint(now, &endpoint, identity, core)?;
                 None
             }
-            "SetSessionOptions" => {
-                let request = SessionOptions::decode(body).map_err(unreadable_body)?;
-                let id = self.session_or_new(service);
-                let options = service.sessions.open(now, id);
-                let mut errors = HashMap::new();
-                for (name, value) in request.session_options {
-                    let set =
-                        option_from_wire(value).map_or(Err(Bad::Value), |value| options.set(&name, &value));
-                    if let Err(bad) = set {
-                        let value = if bad == Bad::Name { 1 } else { 2 };
-                        errors.insert(name, SessionError { value });
-                    }
-                }
-                Some(SetSessionOptionsResult { errors }.encode_to_vec())
-            }
-            "GetSessionOptions" => {
-                let id = self.head.identity.session;
-                let options = id.and_then(|id| service.sessions.touch(now, id)).unwrap_or_default();
-                let all = options.all().into_iter();
-                let session_options =
-                    all.map(|(name, value)| (name.to_owned(), option_to_wire(value))).collect();
-                Some(SessionOptions { session_options }.encode_to_vec())
-            }
+            "SetSessionOptions" => Some(self.set_session_options(now, &body, service)?.encode_to_vec()),
+            "GetSessionOptions" => Some(self.session_options(now, service).encode_to_vec()),
             "CloseSession" => {
-                let closed = self.head.identity.session.is_some_and(|id| service.sessions.close(id));
-                let status = if closed { 1 } else { 3 };
+                let closed = identity.session.is_some_and(|id| service.sessions.close(id));
+                let status = if closed { CLOSED } else { NOT_CLOSEABLE };
                 Some(CloseSessionResult { status }.encode_to_vec())
             }
-            "Advice" => {
-                let wait = core.retry_after();
-                let advice =
-                    json!({"retry_after_ms": wait.div_ceil(1000), "serving": service.health_status() == 1});
-                Some(advice.to_string().into_bytes())
-            }
+            "Advice" => Some(retry_advice(service, core).into_bytes()),
             _ => {
                 let status = Status::new(Code::Unimplemented, "there is no such action here");
                 return Err(status.because("NO_SUCH_ACTION"));
             }
         };
-        if let Some(body) = reply {
+        if let Some(body) = result {
             self.queue_message(now, &ActionResult { body: body.into() });
         }
+        self.finish_ok();
         Ok(())
     }
+
+    fn set_session_options(
+        &mut self,
+        now: Micros,
+        body: &Bytes,
+        service: &mut FlightService,
+    ) -> Result<SetSessionOptionsResult, Status> {
+        let request: SessionOptions = decode_body(body)?;
+        let id = self.session_or_new(service);
+        let options = service.sessions.open(now, id);
+        let mut errors = HashMap::new();
+        for (name, value) in request.session_options {
+            let value = option_from_wire(value).ok_or(OptionError::Value);
+            if let Err(error) = value.and_then(|value| options.set(&name, &value)) {
+                let value = if error == OptionError::Name { INVALID_NAME } else { INVALID_VALUE };
+                errors.insert(name, SessionError { value });
+            }
+        }
+        Ok(SetSessionOptionsResult { errors })
+    }
+
+    fn session_options(&self, now: Micros, service: &mut FlightService) -> SessionOptions {
+        let session = self.head.identity.session;
+        let options = session.and_then(|id| service.sessions.touch(now, id)).unwrap_or_default();
+        let named = options.all().into_iter().map(|(name, value)| (name.to_owned(), option_to_wire(value)));
+        SessionOptions { session_options: named.collect() }
+    }
+}
+
+fn decode_body<M: Message + Default>(body: &Bytes) -> Result<M, Status> {
+    decode(body, "the action's body cannot be read")
+}
+
+/// When a client that would be rejected now may come back, as JSON.
+fn retry_advice(service: &FlightService, core: &mut Core) -> String {
+    let retry_after_ms = core.retry_after().div_ceil(1000);
+    let serving = service.health_status() == health::SERVING;
+    json!({"retry_after_ms": retry_after_ms, "serving": serving}).to_string()
 }
 
 impl FlightService {
-    pub fn cancel_flight(
+    /// Cancels the queries of a `FlightInfo`, also those that have not been run yet.
+    ///
+    /// # Errors
+    /// One of its tickets is not valid, or its query can no longer be revoked.
+    fn cancel_flight(
         &mut self,
         now: Micros,
         info: &FlightInfo,
@@ -113,10 +162,10 @@
         let mut status = CancelStatus::Cancelled;
         for (command, made) in self.commands_of(now, info, identity, core)? {
             let key = PolledQueryKey { user: Rc::clone(&identity.user), id: command.id.as_str().into() };
-            let done = self
+            let result = self
                 .polled_queries
                 .cancel(now, &key, |run| core.possibly_executed(ResponseHandle::Flight(run.0)));
-            match done {
+            match result {
                 CancelResult::Cancelled(run, waiters) => {
                     self.cancel_run(run, core);
                     self.queue_outcome(waiters, &Err(rejection_status(RejectReason::Cancelled)));
--- a/crates/edge/src/front/flight/methods/info.rs
+++ b/crates/edge/src/front/flight/methods/info.rs
@@ -1,26 +1,94 @@
-//! `GetFlightInfo`, `GetSchema` and `ListFlights`: what can be asked, and with which columns it is answered.
+//! `GetFlightInfo`, `GetSchema` and `ListFlights`: what can be queried, and which schema its answers have.
 
 use bytes::Bytes;
-use mallowgauge_core::{Core, QueryResponse};
+use mallowgauge_core::{Core, QueryResponse, Value as QueryValue};
 use mallowgauge_flight::answer::{self, Stream};
-use mallowgauge_flight::grpc::Status;
-use mallowgauge_flight::proto::{FlightDescriptor, FlightEndpoint, FlightInfo, PATH};
-use mallowgauge_router::{ClassId, Micros};
-use serde_json::{json, Value};
+use mallowgauge_flight::grpc::{Code, Status};
+use mallowgauge_flight::proto::{Criteria, FlightDescriptor, FlightEndpoint, FlightInfo, SchemaResult, PATH};
+use mallowgauge_router::{ClassId, Micros, ShardId};
+use serde_json::{json, Map, Value};
 
+use super::{decode, decode_descriptor};
 use crate::front::flight::auth::Identity;
-use crate::front::flight::command::Command;
+use crate::front::flight::call::Call;
+use crate::front::flight::command::{Command, UNUSED_ID};
 use crate::front::flight::service::FlightService;
 use crate::front::flight::status::invalid_argument;
 
-/// Most flights that are listed.
-pub const MAX_LISTED_QUERIES: usize = 1000;
+/// Bound on the shared queries that one list names.
+const MAX_LISTED_QUERIES: usize = 1000;
 
-/// The columns of an answer as `FlightInfo` carries them.
-pub fn schema_of_values(values: &[(mallowgauge_router::ShardId, mallowgauge_core::Value)]) -> Option<Bytes> {
+/// `total_records` and `total_bytes` where they are not known.
+pub const UNKNOWN_TOTAL: i64 = -1;
+
+/// The schema of a response's values, as `FlightInfo` carries it.
+pub fn schema_of_values(values: &[(ShardId, QueryValue)]) -> Option<Bytes> {
     Stream::columns(values).ok().and_then(|schema| answer::schema_message(&schema).ok())
 }
 
+impl Call {
+    /// `GetFlightInfo`: the endpoints and the schema of a query.
+    ///
+    /// # Errors
+    /// The query is invalid: it is rejected here and not when its ticket is used.
+    pub fn get_flight_info(
+        &mut self,
+        now: Micros,
+        message: &Bytes,
+        service: &mut FlightService,
+        core: &Core,
+    ) -> Result<(), Status> {
+        let descriptor = decode_descriptor(message)?;
+        let command = Command::from_descriptor(&descriptor, core, &service.generate_query_id())?;
+        let info = service.flight_info(now, descriptor, &command, &self.head.identity, core)?;
+        self.reply(now, &info);
+        Ok(())
+    }
+
+    /// `GetSchema`: the schema of a query's or a class's answers.
+    ///
+    /// # Errors
+    /// There is no such class, or no backend has answered it yet.
+    pub fn get_schema(
+        &mut self,
+        now: Micros,
+        message: &Bytes,
+        service: &FlightService,
+        core: &Core,
+    ) -> Result<(), Status> {
+        let descriptor = decode_descriptor(message)?;
+        let class = match descriptor.r#type {
+            PATH => descriptor.path.first().and_then(|name| core.class_id(name)),
+            _ => Some(Command::from_descriptor(&descriptor, core, UNUSED_ID)?.class),
+        };
+        let class = class.ok_or_else(|| invalid_argument("the class is unknown"))?;
+        let schema = service.schema(class).ok_or_else(|| {
+            Status::new(Code::NotFound, "no host has shown its columns yet").because("SCHEMA_UNKNOWN")
+        })?;
+        self.reply(now, &SchemaResult { schema });
+        Ok(())
+    }
+
+    /// `ListFlights`: the classes that can be queried, and the caller's shared queries.
+    ///
+    /// # Errors
+    /// The criteria are malformed.
+    pub fn list_flights(
+        &mut self,
+        now: Micros,
+        message: &Bytes,
+        service: &FlightService,
+        core: &Core,
+    ) -> Result<(), Status> {
+        let criteria: Criteria = decode(message, "these are no criteria")?;
+        for info in service.matching_flights(&criteria.expression, &self.head.identity, core)? {
+            self.queue_message(now, &info);
+        }
+        self.finish_ok();
+        Ok(())
+    }
+}
+
 impl FlightService {
     /// The schema of a class's answers, as far as it is known.
     pub fn schema(&self, class: ClassId) -> Option<Bytes> {
@@ -28,30 +96,30 @@
         learned.cloned().or_else(|| if self.custom_columns { None } else { self.text_schema.clone() })
     }
 
-    /// An answer has shown what a class's columns are.
-    pub fn learn_schema(&mut self, class: ClassId, answer: &QueryResponse) {
-        let QueryResponse::Completed { values, .. } = answer else { return };
-        let Some(slot) = self.known_schemas.get_mut(class.0) else { return };
-        // The schema as it lies was seen before in nearly every case.
+    /// Takes the schema of a class from a response to a query of it.
+    pub fn learn_schema(&mut self, class: ClassId, response: &QueryResponse) {
+        let QueryResponse::Completed { values, .. } = response else { return };
+        let Some(known) = self.known_schemas.get_mut(class.0) else { return };
+        // Comparing encoded schemas spares the decoding: nearly every response has the schema of the last one.
         let first = values.iter().find_map(|(_, value)| match value {
-            mallowgauge_core::Value::Table(table) => Some(&table.schema),
-            mallowgauge_core::Value::Text(_) => None,
+            QueryValue::Table(table) => Some(&table.schema),
+            QueryValue::Text(_) => None,
         });
         let same = match (&self.seen_headers.get(class.0), first) {
             (Some(Some(seen)), Some(header)) => seen == header,
-            (_, None) => slot.is_some() && self.seen_headers.get(class.0).is_some_and(Option::is_none),
+            (_, None) => known.is_some() && self.seen_headers.get(class.0).is_some_and(Option::is_none),
             _ => false,
         };
         if same || values.is_empty() {
             return;
         }
-        *slot = schema_of_values(values);
+        *known = schema_of_values(values);
         if let Some(seen) = self.seen_headers.get_mut(class.0) {
             *seen = first.cloned();
         }
     }
 
-    pub fn flight_info(
+    fn flight_info(
         &mut self,
         now: Micros,
         descriptor: FlightDescriptor,
@@ -59,72 +127,93 @@
         identity: &Identity,
         core: &Core,
     ) -> Result<FlightInfo, Status> {
-        // What cannot be asked is told now and not when the ticket is used.
         let commands = command.split(core)?;
         commands.iter().try_for_each(|command| command.request(Some(1), None, core).map(|_| ()))?;
-        let endpoint =
-            commands.iter().map(|command| self.issue_endpoint(now, command, &identity.user, now, false));
-        let endpoint: Vec<FlightEndpoint> = endpoint.collect();
+        let endpoint: Vec<FlightEndpoint> = commands
+            .iter()
+            .map(|command| self.issue_endpoint(now, command, &identity.user, now, false))
+            .collect();
         Ok(FlightInfo {
             schema: self.schema(command.class).unwrap_or_default(),
             flight_descriptor: Some(descriptor),
             ordered: endpoint.len() > 1,
             endpoint,
-            total_records: -1,
-            total_bytes: -1,
+            total_records: UNKNOWN_TOTAL,
+            total_bytes: UNKNOWN_TOTAL,
             app_metadata: json!({"id": command.id}).to_string().into(),
         })
     }
 
-    /// The classes that can be asked, and the caller's flights.
-    pub fn list_flights(
+    /// The classes that can be queried, and the caller's shared queries, as far as the criteria let them pass.
+    fn matching_flights(
         &self,
         expression: &[u8],
         identity: &Identity,
         core: &Core,
     ) -> Result<Vec<FlightInfo>, Status> {
-        let criteria: Value = match expression {
-            b"" => json!({}),
-            text => {
-                serde_json::from_slice(text).map_err(|_| invalid_argument("the criteria are not JSON"))?
-            }
-        };
-        let fields = criteria.as_object().ok_or_else(|| invalid_argument("the criteria are no object"))?;
-        if fields.keys().any(|key| key != "kind" && key != "state") {
-            return Err(invalid_argument("criteria are kind and state"));
-        }
-        let matches_filter = |name: &str, value: &str| fields.get(name).is_none_or(|wish| wish == value);
-        let mut all = Vec::new();
+        let criteria = ListCriteria::parse(expression)?;
+        let mut flights = Vec::new();
         for (index, name) in core.classes().enumerate() {
-            if matches_filter("kind", name) && matches_filter("state", "class") {
-                let class = ClassId(index);
-                let told = json!({"kind": name, "state": "class", "harmless": core.is_idempotent(class),
-                                  "deadline_ms": core.deadline(class) / 1000});
-                let descriptor =
-                    FlightDescriptor { r#type: PATH, cmd: Bytes::new(), path: vec![name.to_owned()] };
-                all.push(FlightInfo {
-                    schema: self.schema(class).unwrap_or_default(),
-                    flight_descriptor: Some(descriptor),
-                    total_records: -1,
-                    total_bytes: -1,
-                    app_metadata: told.to_string().into(),
-                    ..FlightInfo::default()
-                });
+            if criteria.matches("kind", name) && criteria.matches("state", "class") {
+                flights.push(self.class_info(ClassId(index), name, core));
             }
         }
         for (key, state) in self.polled_queries.list(&identity.user).take(MAX_LISTED_QUERIES) {
-            if matches_filter("state", state) && !fields.contains_key("kind") {
-                let path = vec!["flights".to_owned(), key.id.to_string()];
-                let descriptor = FlightDescriptor { r#type: PATH, cmd: Bytes::new(), path };
-                all.push(FlightInfo {
-                    flight_descriptor: Some(descriptor),
-                    total_records: -1,
-                    total_bytes: -1,
-                    app_metadata: json!({"id": *key.id, "state": state}).to_string().into(),
-                    ..FlightInfo::default()
-                });
+            if criteria.matches("state", state) && !criteria.has("kind") {
+                flights.push(shared_query_info(&key.id, state));
             }
         }
-        Ok(all)
+        Ok(flights)
+    }
+
+    fn class_info(&self, class: ClassId, name: &str, core: &Core) -> FlightInfo {
+        let metadata = json!({"kind": name, "state": "class", "harmless": core.is_idempotent(class),
+                              "deadline_ms": core.deadline(class) / 1000});
+        FlightInfo {
+            schema: self.schema(class).unwrap_or_default(),
+            ..listed_info(vec![name.to_owned()], &metadata)
+        }
+    }
+}
+
+fn shared_query_info(id: &str, state: &str) -> FlightInfo {
+    listed_info(vec!["flights".to_owned(), id.to_owned()], &json!({"id": id, "state": state}))
+}
+
+fn listed_info(path: Vec<String>, metadata: &Value) -> FlightInfo {
+    FlightInfo {
+        flight_descriptor: Some(FlightDescriptor { r#type: PATH, cmd: Bytes::new(), path }),
+        total_records: UNKNOWN_TOTAL,
+        total_bytes: UNKNOWN_TOTAL,
+        app_metadata: metadata.to_string().into(),
+        ..FlightInfo::default()
+    }
+}
+
+/// Which flights a client wants to see: a JSON object with `kind` and `state`, both optional.
+struct ListCriteria(Map<String, Value>);
+
+impl ListCriteria {
+    fn parse(expression: &[u8]) -> Result<Self, Status> {
+        if expression.is_empty() {
+            return Ok(Self(Map::new()));
+        }
+        let criteria: Value =
+            serde_json::from_slice(expression).map_err(|_| invalid_argument("the criteria are not JSON"))?;
+        let Value::Object(fields) = criteria else {
+            return Err(invalid_argument("the criteria are no object"));
+        };
+        if fields.keys().any(|key| key != "kind" && key != "state") {
+            return Err(invalid_argument("criteria are kind and state"));
+        }
+        Ok(Self(fields))
+    }
+
+    fn has(&self, name: &str) -> bool {
+        self.0.contains_key(name)
+    }
+
+    fn matches(&self, name: &str, value: &str) -> bool {
+        self.0.get(name).is_none_or(|wanted| wanted == value)
     }
 }
--- a/crates/edge/src/front/flight/methods/sessions.rs
+++ b/crates/edge/src/front/flight/methods/sessions.rs
@@ -8,7 +8,7 @@
 use crate::front::flight::service::FlightService;
 
 impl Call {
-    /// The call's session; one that has none is given one, which its client keeps as a cookie.
+    /// The call's session, or a new one, which its client keeps as a cookie.
     pub fn session_or_new(&mut self, service: &mut FlightService) -> SessionId {
         if let Some(id) = self.head.identity.session {
             return id;
@@ -19,6 +19,7 @@
     }
 }
 
+/// The value of an option; `None` for a type that no option has.
 pub fn option_from_wire(value: SessionOptionValue) -> Option<Setting> {
     Some(match value.option_value {
         None => Setting::Unset,
@@ -29,6 +30,7 @@
     })
 }
 
+/// The value of an option as Flight's messages carry it.
 pub fn option_to_wire(value: Setting) -> SessionOptionValue {
     let option_value = match value {
         Setting::Unset => None,
--- a/crates/edge/src/front/flight/mod.rs
+++ b/crates/edge/src/front/flight/mod.rs
@@ -1,9 +1,17 @@
-//! The Flight front: clients that speak Arrow Flight, which is gRPC over HTTP/2.
+//! The Flight frontend: clients that speak Arrow Flight, which is gRPC over HTTP/2.
 //!
-//! `call` is one call, `methods` what each method makes of it, `long` the two long streams, `auth` who calls,
-//! `command` how a query is written. The [`FlightService`] is what all calls share. What the front decides stands in
-//! `core`: who is let in (`admission`), what becomes of a ticket and of a polled query (`flights`), what a
-//! long stream may begin (`batch`), which sessions are kept (`sessions`).
+//! | module | job |
+//! | --- | --- |
+//! | `connection`, `stream_accept` | a client's connection; the head of a new call |
+//! | `call`, `call_driver` | one call: its messages in and out; what is done with them |
+//! | `method`, `methods` | the methods with one request message, a module each |
+//! | `batch_stream`, `batch_driver` | `DoPut` and `DoExchange`: many queries on one stream |
+//! | `submission`, `response`, `status` | queries to the core; outcomes back to calls, as tables, metadata or statuses |
+//! | `auth`, `tickets`, `command` | who calls; sealed tickets; how a query is written |
+//! | `service` | the state that all calls share |
+//!
+//! Decisions are taken in `mallowgauge_core`: who is admitted (`stream_admission`), what becomes of a ticket and of a
+//! polled query (`polled_queries`), what a batch stream may begin (`batch`), which sessions are kept (`sessions`).
 
 mod auth;
 mod batch_driver;
@@ -21,7 +29,7 @@
 mod submission;
 mod tickets;
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 use h2::server;
@@ -39,40 +47,41 @@
 use self::call::Call;
 use self::connection::{Connection, Lingering, State, LINGER_BYTES, LINGER_TIME};
 use self::service::{random, FlightService, ABANDONED_POLL_TIME, OUTCOME_RETENTION, SESSION_IDLE_TIME};
+use self::submission::Delivery;
 use crate::tls::{self, Acceptor};
 use crate::token;
 use crate::wire::{Flag, Wire};
 
-/// The connections of the Flight front.
+/// The Flight frontend: its connections, and what their calls share.
 pub struct Front {
     connections: BTreeMap<u64, Connection>,
     lingering: BTreeMap<u64, Lingering>,
-    /// Which connection a call is on.
+    /// The connection of each open call.
     connection_of_call: BTreeMap<u64, u64>,
     service: FlightService,
     acceptor: Option<Acceptor>,
-    /// Connections without a call are not kept any longer.
+    /// No more connections are accepted, and those without a call end soon.
     finishing: bool,
 }
 
-/// The bounds of the table that the front uses, and what is told of it.
+/// What a frontend is made of.
 pub struct Setup<'a> {
-    /// The table of bounds.
+    /// Its limits.
     pub limits: Limits,
-    /// What the operator's file says.
+    /// The operator's settings.
     pub settings: &'a Settings,
-    /// How many classes there are.
+    /// The number of query classes.
     pub classes: usize,
 }
 
 impl Front {
-    /// A front on which nobody has called.
+    /// A frontend without connections.
     ///
     /// # Errors
-    /// Its certificate or key makes no sense.
+    /// The certificate or key cannot be used.
     pub fn new(setup: &Setup<'_>) -> Result<Self, String> {
         let Setup { limits, settings, classes } = setup;
-        // Without a key of the operator's, tickets and tokens count until this copy ends.
+        // Without an operator's key, tickets and tokens are valid until this process ends.
         let secret: [u8; 32] = random();
         let key = seal::Key::new(settings.key.as_deref().unwrap_or(&secret));
         let bounds = polled_queries::PolledQueryLimits {
@@ -101,14 +110,20 @@
             draining: false,
         };
         let acceptor = settings.tls.as_ref().map(Acceptor::new).transpose()?;
-        let (connections, lingering, homes) = Default::default();
-        Ok(Self { connections, lingering, connection_of_call: homes, service, acceptor, finishing: false })
+        Ok(Self {
+            connections: BTreeMap::new(),
+            lingering: BTreeMap::new(),
+            connection_of_call: BTreeMap::new(),
+            service,
+            acceptor,
+            finishing: false,
+        })
     }
 
-    /// Takes certificate, key and users from settings that were read again; what is open goes on.
+    /// Takes certificate, key and users from settings that were read again; open connections stay.
     ///
     /// # Errors
-    /// They make no sense, and nothing has changed.
+    /// The settings cannot be used; nothing has changed then.
     pub fn reload(&mut self, settings: &Settings) -> Result<(), String> {
         let acceptor = settings.tls.as_ref().map(Acceptor::new).transpose()?;
         if acceptor.is_some() != self.acceptor.is_some() {
@@ -121,7 +136,8 @@
         Ok(())
     }
 
-    /// Whether one more connection fits; the one that has had no call for longest goes to make room.
+    /// Whether one more connection may be accepted. Closes a lingering connection, or the one that has been idle for
+    /// longest, to make room.
     pub fn has_room(&mut self) -> bool {
         if !self.service.admission.has_room() && self.lingering.pop_first().is_some() {
             self.service.admission.disconnected();
@@ -136,7 +152,7 @@
         self.service.admission.has_room()
     }
 
-    /// Takes an accepted connection.
+    /// Starts a connection on an accepted socket.
     pub fn accept(&mut self, now: Micros, handle: &Handle, socket: std::net::TcpStream) {
         let id = self.service.next_id();
         let stream = match Stream::accepted(handle, socket, Token { kind: token::FLIGHT, id }) {
@@ -165,7 +181,7 @@
         self.service.admission.connected();
     }
 
-    /// A connection's socket is ready, or something of it has to go out.
+    /// A connection's socket is ready, or something has to be written to it.
     pub fn ready(&mut self, now: Micros, id: u64, core: &mut Core) {
         self.drive_connection(now, id, core);
         self.deliver_outcomes(now, core);
@@ -184,26 +200,28 @@
         }
     }
 
-    /// Brings outcomes to the calls that wait for them, until none is left.
+    /// Delivers queued outcomes to their calls, until none is left.
     fn deliver_outcomes(&mut self, now: Micros, core: &mut Core) {
         while !self.service.outbox.is_empty() {
-            let mut active = std::collections::BTreeSet::new();
-            for (call, tag, id, outcome) in std::mem::take(&mut self.service.outbox) {
-                let Some(&home) = self.connection_of_call.get(&call) else { continue };
-                let call = self.connections.get_mut(&home).and_then(|c| c.calls.get_mut(&call));
+            let mut active = BTreeSet::new();
+            for Delivery { target, outcome } in std::mem::take(&mut self.service.outbox) {
+                let Some(&id) = self.connection_of_call.get(&target.call) else { continue };
+                let connection = self.connections.get_mut(&id);
+                let call = connection.and_then(|connection| connection.calls.get_mut(&target.call));
                 if let Some(call) = call {
-                    call.deliver(now, &tag, &id, outcome, &mut self.service, core);
-                    active.insert(home);
+                    call.deliver(now, &target.tag, &target.id, outcome, &mut self.service, core);
+                    active.insert(id);
                 }
             }
             active.into_iter().for_each(|id| self.drive_connection(now, id, core));
         }
     }
 
+    /// Ends a connection: its calls no longer wait for their queries.
     fn close(&mut self, now: Micros, id: u64, core: &mut Core) {
         let Some(connection) = self.connections.remove(&id) else { return };
-        for (number, mut call) in connection.calls {
-            self.connection_of_call.remove(&number);
+        for (call_id, mut call) in connection.calls {
+            self.connection_of_call.remove(&call_id);
             call.abandon_queries(&mut self.service, core);
             self.service.admission.call_over();
         }
@@ -217,7 +235,7 @@
         }
     }
 
-    /// The core has decided.
+    /// The core's final response to a run.
     pub fn answer(&mut self, now: Micros, run: u64, answer: QueryResponse, core: &mut Core) {
         let answer = Rc::new(answer);
         let waiters = self.service.run_completed(now, RunId(run), &answer);
@@ -225,18 +243,18 @@
         self.deliver_outcomes(now, core);
     }
 
-    /// Whether an answer is owed or being written, or a flight runs that nobody waits for just now. What h2 holds
-    /// of an answer is on its way for as long as the connection is open.
+    /// Whether a response is expected or being written, or a polled query runs that nobody waits for just now. What h2
+    /// buffers of a response is on its way for as long as its connection is open.
     #[must_use]
     pub fn busy(&self) -> bool {
         let expects_response =
-            |c: &Connection| c.calls.is_empty() || c.calls.values().any(Call::expects_response);
+            |open: &Connection| open.calls.is_empty() || open.calls.values().any(Call::expects_response);
         !self.service.runs.is_empty()
             || !self.lingering.is_empty()
             || self.connections.values().any(expects_response)
     }
 
-    /// Asks every client to take new calls elsewhere; long streams end once what is open on them is answered.
+    /// Sends every client a GOAWAY; batch streams end once what is open on them is answered.
     pub fn drain(&mut self, now: Micros, core: &mut Core) {
         self.service.draining = true;
         let ids: Vec<u64> = self.connections.keys().copied().collect();
@@ -253,13 +271,13 @@
         }
     }
 
-    /// The program takes no more connections: those without a call end soon.
+    /// No more connections are accepted; those without a call end soon.
     pub fn finish(&mut self, now: Micros, core: &mut Core) {
         self.finishing = true;
         self.drain(now, core);
     }
 
-    /// When the first client has kept it waiting for too long, or a flight is over.
+    /// When the first time-out of a client, connection or polled query is due.
     #[must_use]
     pub fn due(&self) -> Option<Micros> {
         let calls = self.connections.values().flat_map(|c| c.calls.values());
@@ -273,7 +291,7 @@
             .min()
     }
 
-    /// Looks at the clock: calls and connections whose clients have kept it waiting for too long are cut off.
+    /// Ends the calls, connections and polled queries whose time-outs are due.
     pub fn expire(&mut self, now: Micros, core: &mut Core) {
         for run in self.service.polled_queries.handle_timeout(now) {
             self.service.cancel_run(run, core);
@@ -287,21 +305,21 @@
             if is_due(connection.idle_until(self.finishing)) {
                 idle.push(id);
             }
-            let mut any = false;
+            let mut any_due = false;
             for call in connection.calls.values_mut().filter(|call| is_due(call.poll_timeout())) {
-                any = true;
+                any_due = true;
                 call.handle_poll_timeout(now, &mut self.service, core);
                 if is_due(call.poll_timeout()) {
                     call.abandon_queries(&mut self.service, core);
                     call.handle_timeout(now);
                 }
             }
-            if any {
+            if any_due {
                 active.push(id);
             }
         }
         idle.into_iter().for_each(|id| self.close(now, id, core));
-        // What was decided about these calls has to go out.
+        // What these calls were told has to be written.
         active.into_iter().for_each(|id| self.ready(now, id, core));
     }
 }
--- a/crates/edge/src/front/flight/response.rs
+++ b/crates/edge/src/front/flight/response.rs
@@ -3,60 +3,70 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use mallowgauge_core::{Core, Failure, QueryResponse};
+use mallowgauge_core::two_phase::Ranked;
+use mallowgauge_core::{Core, Failure, QueryResponse, Value as QueryValue};
 use mallowgauge_flight::answer::{self, Stream, Style};
 use mallowgauge_flight::grpc::{self, Code, Status};
 use mallowgauge_flight::proto::PutResult;
-use mallowgauge_router::Micros;
+use mallowgauge_router::{Micros, ShardId};
 use prost::Message;
 use serde_json::{json, Value};
 
-use super::batch_stream::BatchKind;
+use super::batch_stream::{BatchKind, BatchStream};
 use super::call::{Call, CallState, OutboundItem, OutcomeUse};
-use super::service::FlightService;
+use super::service::{FlightService, Outcome};
 use super::status::{failure_status, internal_error};
 use crate::front::query;
 
+/// Bytes that a message takes in the backlog beside its rows or metadata.
+const MESSAGE_OVERHEAD: usize = 256;
+
 impl Call {
-    /// The session's rule for partial answers, and the status of those that are none.
-    pub fn checked_response(&self, answer: &Rc<QueryResponse>) -> Result<Rc<QueryResponse>, Status> {
-        if let Some(status) = failure_status(answer) {
+    /// The response, unless it is a rejection or failure, or partial where the session accepts complete ones only.
+    ///
+    /// # Errors
+    /// The status that the client gets instead.
+    pub fn checked_response(&self, response: &Rc<QueryResponse>) -> Result<Rc<QueryResponse>, Status> {
+        if let Some(status) = failure_status(response) {
             return Err(status);
         }
-        let part = match &**answer {
+        let partial = match &**response {
             QueryResponse::Completed { complete, .. } => !complete,
-            // What was pruned by proof is not missing.
+            // Rows that are proved not to belong to the answer are not missing.
             QueryResponse::Ranked(ranked) => !ranked.exact,
             _ => false,
         };
-        if self.head.options.whole_only && part {
+        if self.head.options.whole_only && partial {
             return Err(Status::new(Code::Aborted, "only a part of it is in").because("PARTIAL"));
         }
-        Ok(Rc::clone(answer))
+        Ok(Rc::clone(response))
     }
 
-    pub fn table_style(&self) -> Style {
+    /// How tables to this client are encoded.
+    fn table_style(&self) -> Style {
         let compression = self.head.options.compression;
         Style { compression, encoding: self.encoding(), ..Style::default() }
     }
 
-    /// An outcome has come for this call.
+    /// Takes the outcome of one of this call's queries.
     pub fn deliver(
         &mut self,
         now: Micros,
         tag: &str,
         id: &str,
-        outcome: Result<Rc<QueryResponse>, Status>,
+        outcome: Outcome,
         service: &mut FlightService,
         core: &Core,
     ) {
         match &mut self.state {
             CallState::WaitingForOutcome(waiting) => {
                 match std::mem::replace(&mut waiting.outcome_use, OutcomeUse::Table) {
-                    OutcomeUse::Table => match outcome.and_then(|answer| self.checked_response(&answer)) {
-                        Ok(answer) => self.send_table(now, &answer),
-                        Err(status) => self.finish_with_error(now, &status),
-                    },
+                    OutcomeUse::Table => {
+                        match outcome.and_then(|response| self.checked_response(&response)) {
+                            Ok(response) => self.send_table(now, &response),
+                            Err(status) => self.finish_with_error(now, &status),
+                        }
+                    }
                     OutcomeUse::Poll(key, command) => match outcome {
                         Ok(_) => self.send_poll_info(now, &key, &command, service, core),
                         Err(status) => self.finish_with_error(now, &status),
@@ -68,10 +78,10 @@
         }
     }
 
-    /// An answer as a table, and the end of the call behind it.
-    pub fn send_table(&mut self, now: Micros, answer: &QueryResponse) {
+    /// Sends a response as a table, and ends the call behind it.
+    pub fn send_table(&mut self, now: Micros, response: &QueryResponse) {
         let style = self.table_style();
-        let stream = match answer {
+        let stream = match response {
             QueryResponse::Completed { complete, values } => {
                 let last = json!({ "total": complete }).to_string().into();
                 Stream::new(values, Style { last, ..style })
@@ -91,139 +101,117 @@
         }
     }
 
-    /// An answer on a long stream: metadata that say which query it is for, and on an exchange its rows.
-    pub fn deliver_to_batch(
-        &mut self,
-        now: Micros,
-        tag: &str,
-        id: &str,
-        outcome: Result<Rc<QueryResponse>, Status>,
-    ) {
-        let outcome = outcome.and_then(|answer| match failure_status(&answer) {
-            // The rejection_status's own words say more than the status would.
-            Some(_) => Ok(answer),
-            None => self.checked_response(&answer),
+    /// An outcome on a batch stream: metadata that name the query, and on an exchange the rows.
+    fn deliver_to_batch(&mut self, now: Micros, tag: &str, id: &str, outcome: Outcome) {
+        let outcome = outcome.and_then(|response| match failure_status(&response) {
+            // The metadata of a rejection or failure say more than its status would.
+            Some(_) => Ok(response),
+            None => self.checked_response(&response),
         });
         let style = self.table_style();
-        let CallState::BatchStream(long) = &mut self.state else { return };
-        let mut metadata = outcome_metadata(long.kind, tag, id, &outcome);
-        let mut bytes = 256;
-        let values = match outcome.as_deref() {
-            Ok(QueryResponse::Completed { values, .. }) => values.as_slice(),
-            _ => &[],
-        };
-        let ranked = match outcome.as_deref() {
-            Ok(QueryResponse::Ranked(ranked)) => Some(ranked),
-            _ => None,
+        let CallState::BatchStream(stream) = &mut self.state else { return };
+        let metadata = outcome_metadata(stream.kind, tag, id, &outcome);
+        let response = outcome.as_deref().ok();
+        let (item, bytes) = match stream.kind {
+            BatchKind::Put => put_result(metadata, response, &style),
+            BatchKind::Exchange => exchange_item(stream, tag, metadata, response, style),
         };
+        if !stream.batch.answer(&tag.to_owned(), bytes) {
+            stream.batch.say(bytes);
+        }
+        self.queue_item(now, item);
+    }
+}
+
+/// The values of a response, if they are no ranked rows.
+fn values_of(response: Option<&QueryResponse>) -> &[(ShardId, QueryValue)] {
+    match response {
+        Some(QueryResponse::Completed { values, .. }) => values,
+        _ => &[],
+    }
+}
+
+fn ranked_of(response: Option<&QueryResponse>) -> Option<&Ranked> {
+    match response {
+        Some(QueryResponse::Ranked(ranked)) => Some(ranked),
+        _ => None,
+    }
+}
+
+/// The result of one row of a `DoPut`, and its size in bytes: all of the outcome stands in its metadata.
+fn put_result(mut metadata: Value, response: Option<&QueryResponse>, style: &Style) -> (OutboundItem, usize) {
+    if let Some(ranked) = ranked_of(response) {
+        metadata["rows"] = query::ranked(ranked)["rows"].take();
+    }
+    let values = values_of(response);
+    if !values.is_empty() {
+        metadata["answers"] = values.iter().map(value_json).collect();
+    }
+    let metadata = metadata.to_string();
+    let bytes = MESSAGE_OVERHEAD + metadata.len();
+    let result = PutResult { app_metadata: metadata.into() }.encode_to_vec();
+    let pieces = grpc::frame_pieces(vec![result.into()], style.encoding);
+    (OutboundItem::Pieces(pieces.into()), bytes)
+}
+
+/// The answer to one query of a `DoExchange`, and its size in bytes: its rows if they have the stream's schema,
+/// otherwise its metadata alone.
+fn exchange_item(
+    stream: &mut BatchStream,
+    tag: &str,
+    mut metadata: Value,
+    response: Option<&QueryResponse>,
+    style: Style,
+) -> (OutboundItem, usize) {
+    let (values, ranked) = (values_of(response), ranked_of(response));
+    let header = match ranked {
+        Some(_) => Some(Stream::ranked_header()),
+        None => Stream::header(values).ok().filter(|_| !values.is_empty()),
+    };
+    let fits = match (&header, &stream.sent_schema) {
+        (Some(header), Some(sent)) => header == sent,
+        (header, _) => header.is_some(),
+    };
+    let style = Style {
+        each: json!({ "tag": tag }).to_string().into(),
+        last: metadata.to_string().into(),
+        headless: stream.sent_schema.is_some(),
+        ..style
+    };
+    let encoding = style.encoding;
+    let table = match ranked {
+        Some(ranked) => Stream::ranked(&ranked.rows, style),
+        None => Stream::new(values, style),
+    };
+    if let Some(table) = table.ok().filter(|_| fits) {
+        stream.sent_schema = stream.sent_schema.take().or(header);
         let texts = ranked.iter().flat_map(|ranked| &ranked.rows).map(|row| row.text.len());
         let size = values.iter().map(|(_, value)| value.bytes()).chain(texts).sum::<usize>();
-        let mut items = Vec::new();
-        if long.kind == BatchKind::Put {
-            if let Some(ranked) = ranked {
-                metadata["rows"] = query::ranked(ranked)["rows"].take();
-            }
-            if !values.is_empty() {
-                metadata["answers"] = values.iter().map(value_json).collect();
-            }
-            let metadata = metadata.to_string();
-            bytes += metadata.len();
-            let result = PutResult { app_metadata: metadata.into() }.encode_to_vec();
-            items.push(OutboundItem::Pieces(grpc::frame_pieces(vec![result.into()], style.encoding).into()));
-        } else {
-            let header = match ranked {
-                Some(_) => Some(Stream::ranked_header()),
-                None => Stream::header(values).ok().filter(|_| !values.is_empty()),
-            };
-            let fits = match (&header, &long.sent_schema) {
-                (Some(ours), Some(sent)) => ours == sent,
-                (header, _) => header.is_some(),
-            };
-            let each = json!({ "tag": tag }).to_string().into();
-            let last = |metadata: &Value| Bytes::from(metadata.to_string());
-            let style = Style { each, last: last(&metadata), headless: long.sent_schema.is_some(), ..style };
-            let stream = match ranked {
-                Some(ranked) => Stream::ranked(&ranked.rows, style.clone()),
-                None => Stream::new(values, style.clone()),
-            };
-            let stream = stream.ok().filter(|_| fits);
-            match stream {
-                Some(stream) => {
-                    bytes += size;
-                    long.sent_schema = long.sent_schema.take().or(header);
-                    items.push(OutboundItem::Table(Box::new(stream)));
-                }
-                None => {
-                    if header.is_some() {
-                        // Another table than the stream's: its rows cannot stand here, the outcome can.
-                        metadata["rows"] =
-                            json!("another schema than this stream's; ask for them with DoGet");
-                    }
-                    let pieces =
-                        answer::flight_data(&Bytes::new(), &last(&metadata), Vec::new(), style.encoding);
-                    items.push(OutboundItem::Pieces(pieces.into()));
-                }
-            }
-        }
-        if !long.batch.answer(&tag.to_owned(), bytes) {
-            long.batch.say(bytes);
-        }
-        items.into_iter().for_each(|item| self.queue_item(now, item));
+        return (OutboundItem::Table(Box::new(table)), MESSAGE_OVERHEAD + size);
+    }
+    if header.is_some() {
+        metadata["rows"] = json!("another schema than this stream's; ask for them with DoGet");
     }
+    let last = Bytes::from(metadata.to_string());
+    let pieces = answer::flight_data(&Bytes::new(), &last, Vec::new(), encoding);
+    (OutboundItem::Pieces(pieces.into()), MESSAGE_OVERHEAD)
 }
 
-/// A text of an answer as it goes into a result; of a table only how long it is.
-pub fn value_json((shard, value): &(mallowgauge_router::ShardId, mallowgauge_core::Value)) -> Value {
+/// A value as metadata carry it: a text in full, of a table only its number of rows.
+fn value_json((shard, value): &(ShardId, QueryValue)) -> Value {
     match value {
-        mallowgauge_core::Value::Text(text) => json!({"range": shard.0, "blob": **text}),
-        mallowgauge_core::Value::Table(table) => json!({"range": shard.0, "rows": table.rows}),
+        QueryValue::Text(text) => json!({"range": shard.0, "blob": **text}),
+        QueryValue::Table(table) => json!({"range": shard.0, "rows": table.rows}),
     }
 }
 
-/// What a client is told of an answer in metadata.
-pub fn outcome_metadata(
-    form: BatchKind,
-    tag: &str,
-    id: &str,
-    answer: &Result<std::rc::Rc<QueryResponse>, Status>,
-) -> Value {
-    let mut metadata = match answer {
-        Ok(answer) => match &**answer {
-            QueryResponse::Completed { complete, .. } => {
-                json!({"status": if *complete { "whole" } else { "partial" }, "total": complete})
-            }
-            QueryResponse::Ranked(ranked) => {
-                let mut metadata = query::marks(ranked);
-                metadata["status"] = json!(if ranked.whole { "whole" } else { "partial" });
-                metadata
-            }
-            QueryResponse::Rejected { retry_after, not_executed } => {
-                json!({"status": "refused", "untouched": not_executed, "retry_after_ms": millis(*retry_after)})
-            }
-            QueryResponse::Failed(Failure::Invalid(words)) => json!({"status": "invalid", "error": words}),
-            QueryResponse::Failed(Failure::DeadlineExceeded) => json!({"status": "time_up"}),
-            QueryResponse::Failed(Failure::PartsFailed | Failure::MemoryExhausted) => {
-                json!({"status": "failed"})
-            }
-        },
-        Err(status) => {
-            let kind = match status.code {
-                Code::InvalidArgument => "invalid",
-                Code::Unavailable | Code::ResourceExhausted => "refused",
-                Code::Cancelled => "cancelled",
-                _ => "failed",
-            };
-            let mut metadata = json!({"status": kind, "error": status.words});
-            if let Some(reason) = status.reason {
-                metadata["reason"] = json!(reason);
-            }
-            if let Some(wait) = status.retry_after {
-                metadata["retry_after_ms"] = json!(millis(wait));
-            }
-            metadata
-        }
+/// The metadata of an outcome on a batch stream. The words of its status are part of the wire.
+fn outcome_metadata(kind: BatchKind, tag: &str, id: &str, outcome: &Outcome) -> Value {
+    let mut metadata = match outcome {
+        Ok(response) => response_metadata(response),
+        Err(status) => status_metadata(status),
     };
-    match form {
+    match kind {
         BatchKind::Put => metadata["row"] = json!(tag.parse::<u64>().unwrap_or_default()),
         BatchKind::Exchange => metadata["tag"] = json!(tag),
     }
@@ -231,6 +219,51 @@
     metadata
 }
 
-pub fn millis(micros: Micros) -> u64 {
+fn completeness(complete: bool) -> &'static str {
+    if complete {
+        "whole"
+    } else {
+        "partial"
+    }
+}
+
+fn response_metadata(response: &QueryResponse) -> Value {
+    match response {
+        QueryResponse::Completed { complete, .. } => {
+            json!({"status": completeness(*complete), "total": complete})
+        }
+        QueryResponse::Ranked(ranked) => {
+            let mut metadata = query::marks(ranked);
+            metadata["status"] = json!(completeness(ranked.whole));
+            metadata
+        }
+        QueryResponse::Rejected { retry_after, not_executed } => {
+            json!({"status": "refused", "untouched": not_executed, "retry_after_ms": millis(*retry_after)})
+        }
+        QueryResponse::Failed(Failure::Invalid(words)) => json!({"status": "invalid", "error": words}),
+        QueryResponse::Failed(Failure::DeadlineExceeded) => json!({"status": "time_up"}),
+        QueryResponse::Failed(Failure::PartsFailed | Failure::MemoryExhausted) => json!({"status": "failed"}),
+    }
+}
+
+fn status_metadata(status: &Status) -> Value {
+    let kind = match status.code {
+        Code::InvalidArgument => "invalid",
+        Code::Unavailable | Code::ResourceExhausted => "refused",
+        Code::Cancelled => "cancelled",
+        _ => "failed",
+    };
+    let mut metadata = json!({"status": kind, "error": status.words});
+    if let Some(reason) = status.reason {
+        metadata["reason"] = json!(reason);
+    }
+    if let Some(retry_after) = status.retry_after {
+        metadata["retry_after_ms"] = json!(millis(retry_after));
+    }
+    metadata
+}
+
+/// Whole milliseconds, rounded up.
+fn millis(micros: Micros) -> u64 {
     micros.div_ceil(1000)
 }
--- a/crates/edge/src/front/flight/service.rs
+++ b/crates/edge/src/front/flight/service.rs
@@ -13,76 +13,104 @@
 use mallowgauge_router::Micros;
 
 use super::auth::Authenticator;
-use super::submission::{ActiveRun, OutcomeTarget};
+use super::submission::{ActiveRun, Delivery, OutcomeTarget};
 
-/// Outcomes are kept for so long, and sessions after their last call.
+/// The values of `HealthCheckResponse.ServingStatus`, from gRPC's health checking protocol.
+pub mod health {
+    /// The service takes calls.
+    pub const SERVING: i32 = 1;
+    /// The service takes no new calls.
+    pub const NOT_SERVING: i32 = 2;
+    /// There is no such service; only a watch reports it.
+    pub const SERVICE_UNKNOWN: i32 = 3;
+}
+
+/// How long the outcome of a shared query is kept, in microseconds.
 pub const OUTCOME_RETENTION: Micros = 600_000_000;
+/// How long a session is kept after its last call, in microseconds.
 pub const SESSION_IDLE_TIME: Micros = 3_600_000_000;
-/// A polled query that nobody asks about for so long is given up.
+/// A polled query that nobody polls for this long is cancelled, in microseconds.
 pub const ABANDONED_POLL_TIME: Micros = 30_000_000;
 
-/// Numbers that nobody can foretell, and that no two copies share: the system's, not the platform's seed.
+/// Unpredictable bytes that no two instances share: from the operating system, not from the configured seed.
 pub fn random<const N: usize>() -> [u8; N] {
     let mut bytes = [0; N];
     if let Err(e) = getrandom::fill(&mut bytes) {
-        // The system has given some since long before this program began.
         tracing::error!("no random numbers: {e}");
     }
     bytes
 }
 
+/// What a query came to: a response of the core, or the status of a query that never reached it.
 pub type Outcome = Result<Rc<QueryResponse>, Status>;
 
-/// What all calls share.
+/// The state that all calls share. The decisions behind it are taken in `mallowgauge_core`.
 pub struct FlightService {
+    /// Counts connections, calls and handshakes against their limits.
     pub admission: Admission,
+    /// Queries that several calls may share: polled ones, and those that must run once.
     pub polled_queries: PolledQueries<Rc<QueryResponse>>,
+    /// Queries in the core.
     pub runs: BTreeMap<RunId, ActiveRun>,
+    /// Which call each waiter stands for.
     pub waiters: BTreeMap<WaiterId, OutcomeTarget>,
+    /// Options that clients have set.
     pub sessions: Sessions,
+    /// Users and tokens.
     pub authenticator: Authenticator,
+    /// Seals tickets and tokens.
     pub seal_key: seal::Key,
+    /// Names this process in the tickets that it issues.
     pub issuer: u64,
+    /// In microseconds.
     pub ticket_lifetime: Micros,
+    /// A polled query that nobody polls for this long is cancelled, in microseconds.
     pub abandoned_poll_time: Micros,
-    /// Some hosts may answer with tables of their own columns.
+    /// Some backends may answer with tables of their own columns.
     pub custom_columns: bool,
+    /// The schema of an answer of plain texts, as `FlightInfo` carries it.
     pub text_schema: Option<Bytes>,
-    /// What each class's columns were last, as `FlightInfo` carries them, and as the first host wrote them.
+    /// The last schema of each class's answers, as `FlightInfo` carries it.
     pub known_schemas: Vec<Option<Bytes>>,
+    /// The same, as the first backend encoded it.
     pub seen_headers: Vec<Option<Bytes>>,
-    /// Outcomes that are on their way to calls.
-    pub outbox: Vec<(u64, Rc<str>, Rc<str>, Outcome)>,
+    /// Outcomes on their way to calls.
+    pub outbox: Vec<Delivery>,
+    /// The last number given out by [`FlightService::next_id`].
     pub next_number: u64,
+    /// The server shuts down.
     pub draining: bool,
 }
 
 impl FlightService {
+    /// A number for a connection, call, run or waiter; never given out twice.
     pub fn next_id(&mut self) -> u64 {
         self.next_number += 1;
         self.next_number
     }
 
-    /// An id for a query whose client names none.
+    /// An id for a query whose client gives none.
     pub fn generate_query_id(&self) -> String {
         format!("{:016x}", u64::from_le_bytes(random()))
     }
 
+    /// An id for a new session.
     pub fn generate_session_id(&self) -> SessionId {
         SessionId(u128::from_le_bytes(random()))
     }
 
+    /// A bearer token for a user, with a session of its own.
     pub fn issue_token(&mut self, now: Micros, user: &str) -> String {
         let session = self.generate_session_id();
         self.authenticator.issue_token(now, user, session.0)
     }
 
-    /// The status of the service in the words of gRPC's health checks.
+    /// The serving status of gRPC's health checks.
     pub fn health_status(&self) -> i32 {
         if self.draining {
-            2
+            health::NOT_SERVING
         } else {
-            1
+            health::SERVING
         }
     }
 }
--- a/crates/edge/src/front/flight/status.rs
+++ b/crates/edge/src/front/flight/status.rs
@@ -5,17 +5,30 @@
 use mallowgauge_core::polled_queries::RejectReason;
 use mallowgauge_core::{Failure, QueryResponse};
 use mallowgauge_flight::grpc::{Code, Status};
+use mallowgauge_router::Micros;
 
+/// When a client whose query finds no place may come back, in microseconds.
+const FULL_RETRY_AFTER: Micros = 250_000;
+
+/// The request is malformed.
 pub fn invalid_argument(words: impl Into<Cow<'static, str>>) -> Status {
     Status::new(Code::InvalidArgument, words)
 }
 
+/// A response could not be encoded.
 pub fn internal_error() -> Status {
     Status::new(Code::Internal, "the answer could not be written")
 }
 
-/// What the front's wire makes of a final answer that is none to be shown. Standard clients may by themselves
-/// repeat a call that ends with UNAVAILABLE, so that is only said where nothing can have run.
+/// The server shuts down and begins nothing new.
+pub fn draining() -> Status {
+    Status::new(Code::Unavailable, "this gatherer ends").because("DRAINING").retry(1)
+}
+
+/// The status of a query that was rejected or failed; `None` for one that was answered.
+///
+/// Standard clients may repeat a call that ends with `UNAVAILABLE`, so that code is only used where nothing can have
+/// been executed.
 pub fn failure_status(answer: &QueryResponse) -> Option<Status> {
     Some(match answer {
         QueryResponse::Completed { .. } | QueryResponse::Ranked(_) => return None,
@@ -34,9 +47,9 @@
     })
 }
 
-/// RejectReason a flight is not run, in the wire's words.
-pub fn rejection_status(why: RejectReason) -> Status {
-    match why {
+/// Why a query under an id is not run.
+pub fn rejection_status(reason: RejectReason) -> Status {
+    match reason {
         RejectReason::DifferentBody => {
             Status::new(Code::AlreadyExists, "the id stands for another query").because("ID_IN_USE")
         }
@@ -47,7 +60,7 @@
         RejectReason::Cancelled => Status::new(Code::Cancelled, "it was cancelled").because("CANCELLED"),
         RejectReason::Full => {
             let status = Status::new(Code::Unavailable, "too many flights run");
-            status.because("FULL").retry(250_000)
+            status.because("FULL").retry(FULL_RETRY_AFTER)
         }
     }
 }
--- a/crates/edge/src/front/flight/submission.rs
+++ b/crates/edge/src/front/flight/submission.rs
@@ -1,43 +1,61 @@
-//! Hands the queries of calls to the core and brings their outcomes back to the calls that wait.
+//! Submits the queries of calls to the core, and routes their outcomes to the calls that wait.
+//!
+//! A query that must run once, or that is polled, is shared: every call that submits it under the same key waits for the
+//! same run. Any other query has a run, and one waiter, of its own.
 
 use std::rc::Rc;
 
 use mallowgauge_core::polled_queries::{
     PolledQueryKey, PolledQuerySpec, PolledState, RejectReason, RunId, Submission, WaiterId,
 };
-use mallowgauge_core::{Core, QueryRequest, QueryResponse, ResponseHandle};
-use mallowgauge_flight::grpc::Status;
+use mallowgauge_core::{Core, Failure, QueryRequest, QueryResponse, ResponseHandle};
 use mallowgauge_router::{ClassId, Micros};
 
 use super::service::{random, FlightService, Outcome};
 use super::status::rejection_status;
 
-/// What came of a query that a call has handed in.
+/// Characters of a query's id that are kept where it is made unique.
+const UNIQUE_ID_PREFIX: usize = 40;
+
+/// What came of a query that a call has submitted.
 pub enum SubmitResult {
-    /// Its outcome will come for this caller.
+    /// Its outcome will come for this waiter.
     Pending(WaiterId),
-    /// It is over already.
-    Completed(Result<Rc<QueryResponse>, Status>),
+    /// It has its outcome already.
+    Completed(Outcome),
 }
 
-/// A query in the core, and who waits for it.
+/// A query in the core.
 pub struct ActiveRun {
+    /// Its class.
     pub class: ClassId,
+    /// What it is known by.
     pub key: PolledQueryKey,
-    /// Identity waits, unless the flight of that key knows.
+    /// Who waits for a run that is not shared.
     pub only_waiter: Option<WaiterId>,
 }
 
-/// Where an outcome goes: a call, and which of its queries.
+/// Where an outcome goes.
 pub struct OutcomeTarget {
+    /// The call.
     pub call: u64,
+    /// Which of the call's queries; empty where a call has one.
     pub tag: Rc<str>,
+    /// The client's id of the query.
     pub id: Rc<str>,
 }
 
+/// An outcome on its way to a call.
+pub struct Delivery {
+    /// Where it goes.
+    pub target: OutcomeTarget,
+    /// The outcome.
+    pub outcome: Outcome,
+}
+
 impl FlightService {
-    /// Hands a query in. One with an effect, and a polled one, has one outcome whoever asks.
-    #[allow(clippy::too_many_arguments)] // They belong to one call and are named where it is made
+    /// Submits a query. One that is not idempotent, and a polled one, has one outcome whoever submits it.
+    #[allow(clippy::too_many_arguments)] // All of them describe one query of one call.
     pub fn submit(
         &mut self,
         now: Micros,
@@ -58,13 +76,15 @@
                     return SubmitResult::Pending(waiter);
                 }
                 Submission::Replay(answer) => return SubmitResult::Completed(Ok(answer)),
-                Submission::Reject(why) => return SubmitResult::Completed(Err(rejection_status(why))),
+                Submission::Reject(reason) => {
+                    return SubmitResult::Completed(Err(rejection_status(reason)));
+                }
             }
         } else if matches!(self.polled_queries.state(now, &key), Some(PolledState::Cancelled)) {
             return SubmitResult::Completed(Err(rejection_status(RejectReason::Cancelled)));
         }
-        let plain = (!shared).then_some(waiter);
-        self.runs.insert(run, ActiveRun { class: request.class, key: key.clone(), only_waiter: plain });
+        let only_waiter = (!shared).then_some(waiter);
+        self.runs.insert(run, ActiveRun { class: request.class, key: key.clone(), only_waiter });
         self.add_waiter(waiter, call, tag, &key);
         let request = Self::with_unique_id(request, core);
         match core.submit(now, ResponseHandle::Flight(run.0), request) {
@@ -78,25 +98,25 @@
         }
     }
 
-    /// Hosts tell queries apart by their ids: a ticket that is used twice at a time is given another.
-    pub fn with_unique_id(mut request: QueryRequest, core: &Core) -> QueryRequest {
+    /// Backends tell queries apart by their ids: a ticket that is used twice at a time gets another id.
+    fn with_unique_id(mut request: QueryRequest, core: &Core) -> QueryRequest {
         if core.is_open(&request.id) {
-            let short: String = request.id.chars().take(40).collect();
-            request.id = format!("{short}~{:08x}", u32::from_le_bytes(random())).into();
+            let prefix: String = request.id.chars().take(UNIQUE_ID_PREFIX).collect();
+            request.id = format!("{prefix}~{:08x}", u32::from_le_bytes(random())).into();
         }
         request
     }
 
-    pub fn add_waiter(&mut self, waiter: WaiterId, call: u64, tag: &str, key: &PolledQueryKey) {
+    fn add_waiter(&mut self, waiter: WaiterId, call: u64, tag: &str, key: &PolledQueryKey) {
         let id = Rc::clone(&key.id);
         self.waiters.insert(waiter, OutcomeTarget { call, tag: tag.into(), id });
     }
 
-    /// A run has its final answer: the callers that wait for it.
+    /// Takes the final response of a run, and returns who waits for it.
     pub fn run_completed(&mut self, now: Micros, run: RunId, answer: &Rc<QueryResponse>) -> Vec<WaiterId> {
-        let Some(known) = self.runs.remove(&run) else { return Vec::new() };
-        self.learn_schema(known.class, answer);
-        if let Some(waiter) = known.only_waiter {
+        let Some(completed) = self.runs.remove(&run) else { return Vec::new() };
+        self.learn_schema(completed.class, answer);
+        if let Some(waiter) = completed.only_waiter {
             return vec![waiter];
         }
         let (bytes, not_executed) = match &**answer {
@@ -107,34 +127,33 @@
                 (ranked.rows.iter().map(|row| row.text.len() + row.id.len()).sum(), false)
             }
             QueryResponse::Rejected { not_executed, .. } => (0, *not_executed),
-            // What makes no sense has not run.
-            QueryResponse::Failed(failure) => (0, matches!(failure, mallowgauge_core::Failure::Invalid(_))),
+            // An invalid query has not been executed.
+            QueryResponse::Failed(failure) => (0, matches!(failure, Failure::Invalid(_))),
         };
         self.polled_queries.complete(now, run, Rc::clone(answer), bytes, not_executed)
     }
 
-    /// Puts an outcome into the outbox for these callers.
+    /// Queues an outcome for the calls of these waiters.
     pub fn queue_outcome(&mut self, waiters: Vec<WaiterId>, outcome: &Outcome) {
         for waiter in waiters {
-            if let Some(place) = self.waiters.remove(&waiter) {
-                self.outbox.push((place.call, place.tag, place.id, outcome.clone()));
+            if let Some(target) = self.waiters.remove(&waiter) {
+                self.outbox.push(Delivery { target, outcome: outcome.clone() });
             }
         }
     }
 
-    /// A run is not wanted any more.
+    /// Cancels a run that nobody waits for.
     pub fn cancel_run(&mut self, run: RunId, core: &mut Core) {
         if self.runs.remove(&run).is_some() {
             core.client_disconnected(ResponseHandle::Flight(run.0));
         }
     }
 
-    /// Gives up what runs under this key for one call each.
+    /// Cancels the runs under this key that are not shared.
     pub fn cancel_unshared_runs(&mut self, key: &PolledQueryKey, core: &mut Core) {
-        let of = |(run, known): (&RunId, &ActiveRun)| {
-            Some((*run, known.only_waiter?)).filter(|_| known.key == *key)
-        };
-        let found: Vec<(RunId, WaiterId)> = self.runs.iter().filter_map(of).collect();
+        let unshared =
+            |(id, run): (&RunId, &ActiveRun)| Some((*id, run.only_waiter?)).filter(|_| run.key == *key);
+        let found: Vec<(RunId, WaiterId)> = self.runs.iter().filter_map(unshared).collect();
         for (run, waiter) in found {
             self.cancel_run(run, core);
             self.queue_outcome(vec![waiter], &Err(rejection_status(RejectReason::Cancelled)));
@@ -144,9 +163,8 @@
     /// A call no longer waits for an outcome.
     pub fn remove_waiter(&mut self, waiter: WaiterId, core: &mut Core) {
         self.waiters.remove(&waiter);
-        let plain =
-            self.runs.iter().find(|(_, known)| known.only_waiter == Some(waiter)).map(|(&run, _)| run);
-        let run = plain.or_else(|| self.polled_queries.remove_waiter(waiter));
+        let unshared = self.runs.iter().find(|(_, run)| run.only_waiter == Some(waiter)).map(|(&id, _)| id);
+        let run = unshared.or_else(|| self.polled_queries.remove_waiter(waiter));
         run.into_iter().for_each(|run| self.cancel_run(run, core));
     }
 }
--- a/crates/edge/src/front/flight/tickets.rs
+++ b/crates/edge/src/front/flight/tickets.rs
@@ -1,4 +1,7 @@
 //! Tickets and endpoints: sealed for a user, read back, renewed and revoked.
+//!
+//! A ticket carries its query. One of a query that is not idempotent is valid only at the instance that issued it, which
+//! remembers whether the query was run.
 
 use std::rc::Rc;
 
@@ -11,16 +14,18 @@
 use prost_types::Timestamp;
 
 use super::auth::Identity;
-use super::command::Command;
+use super::command::{Command, UNUSED_ID};
 use super::service::FlightService;
 use super::status::{invalid_argument, rejection_status};
 
+/// A point of the server's clock, in microseconds since the Unix epoch, as Flight's messages carry it.
 pub fn timestamp(at: Micros) -> Timestamp {
     Timestamp { seconds: (at / 1_000_000) as i64, nanos: (at % 1_000_000) as i32 * 1000 }
 }
 
 impl FlightService {
-    /// Seals a ticket for a command.
+    /// An endpoint whose ticket stands for a command. `made` is when the query was first issued a ticket; `polled`: the
+    /// ticket fetches the outcome of a polled query and runs nothing.
     pub fn issue_endpoint(
         &self,
         now: Micros,
@@ -42,14 +47,17 @@
         FlightEndpoint { ticket, expiration_time: Some(timestamp(expires)), ..FlightEndpoint::default() }
     }
 
-    /// Reads a ticket of this caller's.
+    /// Reads a sealed ticket.
+    ///
+    /// # Errors
+    /// The ticket has expired, is forged, or belongs to another user.
     pub fn open_ticket(
         &self,
         now: Micros,
         sealed: &[u8],
         identity: &Identity,
     ) -> Result<seal::Ticket, Status> {
-        let ticket = self.seal_key.read_ticket(now, sealed).map_err(|bad| match bad {
+        let ticket = self.seal_key.read_ticket(now, sealed).map_err(|error| match error {
             seal::Bad::Expired => {
                 Status::new(Code::NotFound, "the ticket has expired").because("TICKET_EXPIRED")
             }
@@ -61,7 +69,10 @@
         Ok(ticket)
     }
 
-    /// What a `FlightInfo` is about: the commands of its tickets, or of its descriptor.
+    /// The commands of a `FlightInfo`'s tickets, or else of its descriptor, each with when its ticket was made.
+    ///
+    /// # Errors
+    /// There is neither, or one of them cannot be read.
     pub fn commands_of(
         &self,
         now: Micros,
@@ -70,21 +81,26 @@
         core: &Core,
     ) -> Result<Vec<(Command, Micros)>, Status> {
         let tickets = info.endpoint.iter().filter_map(|endpoint| endpoint.ticket.as_ref());
-        let mut all = Vec::new();
+        let mut commands = Vec::new();
         for ticket in tickets {
             let ticket = self.open_ticket(now, &ticket.ticket, identity)?;
-            all.push((Command::from_json(&ticket.command, core, "x")?, ticket.made));
+            commands.push((Command::from_json(&ticket.command, core, UNUSED_ID)?, ticket.made));
         }
-        if all.is_empty() {
+        if commands.is_empty() {
             let descriptor = info
                 .flight_descriptor
                 .as_ref()
                 .ok_or_else(|| invalid_argument("neither ticket nor descriptor"))?;
-            all.push((Command::from_descriptor(descriptor, core, "x")?, now));
+            commands.push((Command::from_descriptor(descriptor, core, UNUSED_ID)?, now));
         }
-        Ok(all)
+        Ok(commands)
     }
 
+    /// The endpoint with a ticket that is valid for longer. The query's age stays: what may have been forgotten of it does
+    /// not become new.
+    ///
+    /// # Errors
+    /// The ticket is not valid, was cancelled, or is valid at another instance only.
     pub fn renew_endpoint(
         &mut self,
         now: Micros,
@@ -94,7 +110,7 @@
     ) -> Result<FlightEndpoint, Status> {
         let sealed = endpoint.ticket.as_ref().ok_or_else(|| invalid_argument("no ticket"))?;
         let ticket = self.open_ticket(now, &sealed.ticket, identity)?;
-        let command = Command::from_json(&ticket.command, core, "x")?;
+        let command = Command::from_json(&ticket.command, core, UNUSED_ID)?;
         let key = PolledQueryKey { user: Rc::clone(&identity.user), id: command.id.as_str().into() };
         if matches!(self.polled_queries.state(now, &key), Some(PolledState::Cancelled)) {
             return Err(rejection_status(RejectReason::Cancelled));
@@ -104,11 +120,14 @@
                 .because("OTHER_ISSUER"));
         }
         self.polled_queries.renew(now, &key);
-        // It stays as old as it is: what may have been forgotten of it does not become new.
-        let fresh = self.issue_endpoint(now, &command, &identity.user, ticket.made, ticket.polled);
-        Ok(FlightEndpoint { app_metadata: endpoint.app_metadata, location: endpoint.location, ..fresh })
+        let renewed = self.issue_endpoint(now, &command, &identity.user, ticket.made, ticket.polled);
+        Ok(FlightEndpoint { app_metadata: endpoint.app_metadata, location: endpoint.location, ..renewed })
     }
 
+    /// Makes an endpoint's ticket invalid.
+    ///
+    /// # Errors
+    /// The ticket is not valid, or its query can no longer be revoked.
     pub fn revoke_endpoint(
         &mut self,
         now: Micros,
@@ -118,7 +137,7 @@
     ) -> Result<(), Status> {
         let sealed = endpoint.ticket.as_ref().ok_or_else(|| invalid_argument("no ticket"))?;
         let ticket = self.open_ticket(now, &sealed.ticket, identity)?;
-        let command = Command::from_json(&ticket.command, core, "x")?;
+        let command = Command::from_json(&ticket.command, core, UNUSED_ID)?;
         let key = PolledQueryKey { user: Rc::clone(&identity.user), id: command.id.as_str().into() };
         let effect = !core.is_idempotent(command.class);
         let spec =
