--- a/crates/edge/src/front/flight/call.rs
+++ b/crates/edge/src/front/flight/call.rs
@@ -324,66 +324,78 @@
 
     /// Writes as much as the client's flow-control window takes; returns the number of bytes.
     pub fn write(&mut self, now: Micros, context: &mut Context<'_>) -> usize {
-        let mut written = 0;
-        if self.is_closed
-            || (self.outbound.is_empty() && self.trailers.is_none() && !self.keeps_stream_open())
-        {
-            return written;
+        let nothing_queued = self.outbound.is_empty() && self.trailers.is_none();
+        if self.is_closed || (nothing_queued && !self.keeps_stream_open()) {
+            return 0;
         }
         if self.stream.is_none() {
-            let mut response = self.response();
-            if self.outbound.is_empty() && !self.keeps_stream_open() {
-                // A status without messages goes with the head.
-                response.headers_mut().extend(self.trailers.take().unwrap_or_default());
-                let _ = self.respond.send_response(response, true);
+            self.send_head();
+        }
+        if self.is_closed {
+            return 0;
+        }
+        let written = self.write_outbound(context);
+        if self.is_closed {
+            return written;
+        }
+        self.reader.took(now, written);
+        if written > 0 {
+            self.last_activity = now;
+        }
+        if self.outbound.is_empty() {
+            if let (Some(trailers), Some(stream)) = (self.trailers.take(), &mut self.stream) {
+                let _ = stream.send_trailers(trailers);
                 self.is_closed = true;
-                return written;
-            }
-            match self.respond.send_response(response, false) {
-                Ok(stream) => self.stream = Some(stream),
-                Err(_) => {
-                    self.is_closed = true;
-                    return written;
-                }
             }
         }
+        written
+    }
+
+    /// Sends the head of the response; a status without messages goes with it and closes the stream.
+    fn send_head(&mut self) {
+        let mut response = self.response();
+        if self.outbound.is_empty() && !self.keeps_stream_open() {
+            response.headers_mut().extend(self.trailers.take().unwrap_or_default());
+            let _ = self.respond.send_response(response, true);
+            self.is_closed = true;
+            return;
+        }
+        match self.respond.send_response(response, false) {
+            Ok(stream) => self.stream = Some(stream),
+            Err(_) => self.is_closed = true,
+        }
+    }
+
+    /// Writes queued pieces while the client's window has capacity; returns the number of bytes.
+    fn write_outbound(&mut self, context: &mut Context<'_>) -> usize {
+        let mut written = 0;
         while let Some(piece) = self.next_piece() {
-            let Some(stream) = &mut self.stream else { return written };
+            let Some(stream) = &mut self.stream else { break };
             stream.reserve_capacity(piece.len().min(self.send_buffer));
-            let room = match stream.capacity() {
+            let capacity = match stream.capacity() {
                 0 => match stream.poll_capacity(context) {
                     Poll::Pending => break,
-                    Poll::Ready(Some(Ok(room))) => room,
+                    Poll::Ready(Some(Ok(capacity))) => capacity,
                     Poll::Ready(_) => {
                         self.is_closed = true;
-                        return written;
+                        break;
                     }
                 },
-                room => room,
+                capacity => capacity,
             };
-            let size = room.min(piece.len());
+            let size = capacity.min(piece.len());
             let Some(OutboundItem::Pieces(pieces)) = self.outbound.front_mut() else { break };
             let Some(piece) = pieces.front_mut() else { break };
-            let now_goes = piece.split_to(size);
+            let sent = piece.split_to(size);
             if piece.is_empty() {
                 pieces.pop_front();
             }
-            if stream.send_data(now_goes, false).is_err() {
+            if stream.send_data(sent, false).is_err() {
                 self.is_closed = true;
-                return written;
+                break;
             }
             written += size;
         }
-        self.reader.took(now, written);
-        if written > 0 {
-            self.last_activity = now;
-        }
-        if self.outbound.is_empty() {
-            if let (Some(trailers), Some(stream)) = (self.trailers.take(), &mut self.stream) {
-                let _ = stream.send_trailers(trailers);
-                self.is_closed = true;
-            }
-        }
         written
     }
 
