--- a/crates/edge/src/front/flight/call.rs
+++ b/crates/edge/src/front/flight/call.rs
@@ -1,5 +1,5 @@
 //! One call of a Flight client: a stream of HTTP/2 whose messages come in, go out, and end with a status.
-//! What a method makes of them stands in `methods` and `long`.
+//! What is done with them is in `call_driver`, `methods` and `batch_driver`.
 
 use std::collections::VecDeque;
 use std::task::{Context, Poll};
@@ -8,182 +8,222 @@
 use h2::server::SendResponse;
 use h2::{Reason, RecvStream, SendStream};
 use http::{HeaderMap, HeaderValue, Request, Response};
+use mallowgauge_core::polled_queries::{PolledQueryKey, WaiterId};
+use mallowgauge_core::sessions::Options;
 use mallowgauge_core::stream_admission::Reader;
 use mallowgauge_flight::answer;
 use mallowgauge_flight::grpc::{self, Code, Deframer, Encoding, Status};
 use mallowgauge_router::Micros;
 
-use super::long::Long;
-use super::methods::{Head, Method, Waiting};
+use super::auth::Identity;
+use super::batch_stream::BatchStream;
+use super::command::Command;
+use super::method::Method;
 
-/// A message has to be whole so long after its first byte, and a request after its head.
-pub const SLOWEST_REQUEST: Micros = 2_000_000;
-/// A long stream on which nothing goes either way is kept for so long.
-const LONGEST_REST: Micros = 600_000_000;
-/// The core and the module end a query in time; a call ends itself so long after its client's time.
-const SLACK: Micros = 50_000;
+/// Time for a message after its first byte, and for a request after its head, in microseconds.
+pub const REQUEST_TIMEOUT: Micros = 2_000_000;
+/// How long a batch stream on which nothing moves either way is kept, in microseconds.
+const BATCH_IDLE_TIMEOUT: Micros = 600_000_000;
+/// The core ends a query before its deadline; a call that is still open ends itself this long after, in microseconds.
+const DEADLINE_GRACE: Micros = 50_000;
 
-/// What goes out.
-pub enum Item {
-    /// Messages that are ready, in gRPC's frames.
+/// What the head of a call says.
+#[derive(Clone, Debug, Default)]
+pub struct CallHead {
+    /// How long the client waits, in microseconds.
+    pub timeout: Option<Micros>,
+    /// How the client's messages are compressed.
+    pub encoding: Encoding,
+    /// Who calls.
+    pub identity: Identity,
+    /// The options of the caller's session.
+    pub options: Options,
+}
+
+/// The outcome that a call waits for.
+pub struct PendingOutcome {
+    /// What is done with the outcome.
+    pub outcome_use: OutcomeUse,
+    /// When the call reports how far the query has come, if there is no outcome by then.
+    pub report_at: Option<Micros>,
+    /// The waiter that the outcome is delivered to.
+    pub waiter: Option<WaiterId>,
+}
+
+/// What is done with an outcome.
+pub enum OutcomeUse {
+    /// It is sent as a table.
+    Table,
+    /// How the polled query stands is sent.
+    Poll(PolledQueryKey, Command),
+}
+
+/// Something to be written.
+pub enum OutboundItem {
+    /// Messages in gRPC's frames.
     Pieces(VecDeque<Bytes>),
-    /// An answer whose messages are made as they go.
-    Answer(Box<answer::Stream>),
+    /// A table whose messages are encoded as they are written.
+    Table(Box<answer::Stream>),
 }
 
-/// What a call is about once its head is in.
-pub enum Work {
-    /// Its one message is coming in.
+/// What a call is doing.
+pub enum CallState {
+    /// It reads its one request message.
     Request(Method),
-    /// It waits for an outcome.
-    Waiting(Waiting),
-    /// Many queries on one stream.
-    Long(Box<Long>),
-    /// Health is told as it changes: what was told last.
-    Watch(i32),
-    /// Nothing more is to be done but to write.
-    Ending,
+    /// It waits for the outcome of a query.
+    WaitingForOutcome(PendingOutcome),
+    /// It carries many queries.
+    BatchStream(Box<BatchStream>),
+    /// It reports the health status whenever it changes: the status reported last.
+    HealthWatch(i32),
+    /// Nothing is left to do but to write.
+    Closing,
 }
 
 /// One call.
 pub struct Call {
-    /// What its head says.
-    pub head: Head,
-    /// What it is about.
-    pub work: Work,
-    /// When it came.
-    pub arrived: Micros,
+    /// What its head said.
+    pub head: CallHead,
+    /// What it is doing.
+    pub state: CallState,
+    /// When its head was read.
+    pub arrived_at: Micros,
     body: Option<RecvStream>,
-    frames: Deframer,
-    /// Bytes whose place in the client's window was not given back: those of messages that are not whole.
+    deframer: Deframer,
+    /// Received bytes that were not released to the client's flow-control window yet: those of incomplete messages.
     unreleased: usize,
-    /// Since when a message has been coming in.
-    partial: Option<Micros>,
+    /// Since when a message has been incomplete.
+    partial_since: Option<Micros>,
     respond: SendResponse<Bytes>,
     stream: Option<SendStream<Bytes>>,
-    out: VecDeque<Item>,
+    outbound: VecDeque<OutboundItem>,
     trailers: Option<HeaderMap>,
-    /// Lines that go with the head of the answer.
-    extra: HeaderMap,
+    /// Headers that go with the head of the response.
+    extra_headers: HeaderMap,
     reader: Reader,
-    moved: Micros,
+    last_activity: Micros,
     send_buffer: usize,
-    over: bool,
+    is_closed: bool,
 }
 
-/// What reading came to.
+/// The result of reading.
 pub enum Read {
     /// Nothing more for now.
     Pending,
-    /// A message.
+    /// A complete message.
     Message(Bytes),
-    /// The client has said its last.
+    /// The client sends nothing more.
     End,
 }
 
 impl Call {
-    /// Takes a stream whose head was understood.
+    /// A call on a stream whose head was read. The last argument: bounds, in bytes, on a message and on what is buffered
+    /// in the connection.
     pub fn new(
         now: Micros,
-        head: Head,
-        work: Work,
+        head: CallHead,
+        work: CallState,
         request: Request<RecvStream>,
         respond: SendResponse<Bytes>,
         (message, send_buffer): (usize, usize),
     ) -> Self {
         Self {
-            work,
-            arrived: now,
+            state: work,
+            arrived_at: now,
             body: Some(request.into_body()),
-            frames: Deframer::new(message).encoded(head.encoding),
+            deframer: Deframer::new(message).encoded(head.encoding),
             head,
             unreleased: 0,
-            partial: None,
+            partial_since: None,
             respond,
             stream: None,
-            out: VecDeque::new(),
+            outbound: VecDeque::new(),
             trailers: None,
-            extra: HeaderMap::new(),
+            extra_headers: HeaderMap::new(),
             reader: Reader::new(now),
-            moved: now,
+            last_activity: now,
             send_buffer,
-            over: false,
+            is_closed: false,
         }
     }
 
-    /// When its client's time is up, by the clock here.
-    pub fn until(&self) -> Option<Micros> {
-        self.head.timeout.map(|wait| self.arrived.saturating_add(wait))
+    /// When its client's deadline passes, on the server's clock.
+    pub fn deadline(&self) -> Option<Micros> {
+        self.head.timeout.map(|wait| self.arrived_at.saturating_add(wait))
     }
 
-    /// How long its client still waits.
-    pub fn left(&self, now: Micros) -> Option<Micros> {
-        self.until().map(|until| until.saturating_sub(now))
+    /// The time left until the client's deadline.
+    pub fn remaining_time(&self, now: Micros) -> Option<Micros> {
+        self.deadline().map(|until| until.saturating_sub(now))
     }
 
-    /// Whether the call is over and can be dropped.
-    pub fn is_over(&self) -> bool {
-        self.over
+    /// Whether the stream has ended and the call can be dropped.
+    pub fn is_finished(&self) -> bool {
+        self.is_closed
     }
 
-    /// Whether an answer is owed or being written; who watches health is owed nothing.
-    pub fn is_owed(&self) -> bool {
-        !matches!(self.work, Work::Watch(_))
+    /// Whether a response is expected or being written. A health watch has no final response.
+    pub fn expects_response(&self) -> bool {
+        !matches!(self.state, CallState::HealthWatch(_))
     }
 
-    /// When something has to be done about it.
-    pub fn due(&self) -> Option<Micros> {
-        let slow = self.partial.map(|since| since + SLOWEST_REQUEST);
-        let first = matches!(self.work, Work::Request(_)).then_some(self.arrived + SLOWEST_REQUEST);
-        let written = !self.out.is_empty() || self.trailers.is_some();
+    /// When its first time-out is due.
+    pub fn poll_timeout(&self) -> Option<Micros> {
+        let slow = self.partial_since.map(|since| since + REQUEST_TIMEOUT);
+        let first = matches!(self.state, CallState::Request(_)).then_some(self.arrived_at + REQUEST_TIMEOUT);
+        let written = !self.outbound.is_empty() || self.trailers.is_some();
         let stalled = written.then(|| self.reader.deadline());
-        let waits = match &self.work {
-            Work::Waiting(waiting) => waiting.until,
-            Work::Long(_) => Some(self.moved + LONGEST_REST),
+        let waits = match &self.state {
+            CallState::WaitingForOutcome(waiting) => waiting.report_at,
+            CallState::BatchStream(_) => Some(self.last_activity + BATCH_IDLE_TIMEOUT),
             _ => None,
         };
-        let time = self.until().map(|until| until + SLACK);
+        let time = self.deadline().map(|until| until + DEADLINE_GRACE);
         [slow, first, stalled, waits, time].into_iter().flatten().min()
     }
 
-    /// Looks at the clock; the call may be over afterwards.
-    pub fn expire(&mut self, now: Micros) {
+    /// Ends the call if one of its time-outs is due.
+    pub fn handle_timeout(&mut self, now: Micros) {
         let late = |at: Option<Micros>| at.is_some_and(|at| at <= now);
-        let written = !self.out.is_empty() || self.trailers.is_some();
+        let written = !self.outbound.is_empty() || self.trailers.is_some();
         if written && self.reader.deadline() <= now {
-            // A client that takes nothing would not take a status either.
+            // A client that reads nothing would not read a status either.
             return self.reset(Reason::CANCEL);
         }
-        if late(self.until().map(|until| until + SLACK)) {
-            return self.fail(now, &Status::new(Code::DeadlineExceeded, "time ran out"));
+        if late(self.deadline().map(|until| until + DEADLINE_GRACE)) {
+            return self.finish_with_error(now, &Status::new(Code::DeadlineExceeded, "time ran out"));
         }
-        let first = matches!(self.work, Work::Request(_)) && self.arrived + SLOWEST_REQUEST <= now;
-        if first || late(self.partial.map(|since| since + SLOWEST_REQUEST)) {
+        let first = matches!(self.state, CallState::Request(_)) && self.arrived_at + REQUEST_TIMEOUT <= now;
+        if first || late(self.partial_since.map(|since| since + REQUEST_TIMEOUT)) {
             let status = Status::new(Code::DeadlineExceeded, "the request did not come in time");
-            return self.fail(now, &status);
+            return self.finish_with_error(now, &status);
         }
-        if matches!(self.work, Work::Long(_)) && self.moved + LONGEST_REST <= now {
-            self.fail(now, &Status::new(Code::Cancelled, "nothing was said for too long"));
+        if matches!(self.state, CallState::BatchStream(_)) && self.last_activity + BATCH_IDLE_TIMEOUT <= now {
+            self.finish_with_error(now, &Status::new(Code::Cancelled, "nothing was said for too long"));
         }
     }
 
-    /// The next message, if one is whole.
-    pub fn read(&mut self, now: Micros, cx: &mut Context<'_>) -> Result<Read, Status> {
+    /// The next message, if it is complete.
+    ///
+    /// # Errors
+    /// The message is malformed or too large, or the stream broke off.
+    pub fn read(&mut self, now: Micros, context: &mut Context<'_>) -> Result<Read, Status> {
         loop {
-            if let Some(message) = self.frames.take().map_err(grpc::Bad::status)? {
-                let used = self.unreleased - self.frames.len();
+            if let Some(message) = self.deframer.take().map_err(grpc::Bad::status)? {
+                let used = self.unreleased - self.deframer.len();
                 self.release(used);
-                self.partial = (!self.frames.is_empty()).then_some(now);
-                self.moved = now;
+                self.partial_since = (!self.deframer.is_empty()).then_some(now);
+                self.last_activity = now;
                 return Ok(Read::Message(message));
             }
             let Some(body) = &mut self.body else { return Ok(Read::End) };
-            match body.poll_data(cx) {
+            match body.poll_data(context) {
                 Poll::Pending => return Ok(Read::Pending),
                 Poll::Ready(Some(Ok(bytes))) => {
                     self.unreleased += bytes.len();
-                    self.frames.push(&bytes);
-                    self.partial = (!self.frames.is_empty()).then(|| self.partial.unwrap_or(now));
+                    self.deframer.push(&bytes);
+                    self.partial_since =
+                        (!self.deframer.is_empty()).then(|| self.partial_since.unwrap_or(now));
                 }
                 Poll::Ready(Some(Err(_))) => {
                     self.body = None;
@@ -191,8 +231,8 @@
                 }
                 Poll::Ready(None) => {
                     self.body = None;
-                    self.partial = None;
-                    if !self.frames.is_empty() {
+                    self.partial_since = None;
+                    if !self.deframer.is_empty() {
                         return Err(Status::new(Code::InvalidArgument, "the request ends within a message"));
                     }
                     return Ok(Read::End);
@@ -209,65 +249,65 @@
     }
 
     /// Whether the client has reset the stream.
-    pub fn is_reset(&mut self, cx: &mut Context<'_>) -> bool {
+    pub fn is_reset(&mut self, context: &mut Context<'_>) -> bool {
         match &mut self.stream {
-            Some(stream) => stream.poll_reset(cx).is_ready(),
-            None => self.respond.poll_reset(cx).is_ready(),
+            Some(stream) => stream.poll_reset(context).is_ready(),
+            None => self.respond.poll_reset(context).is_ready(),
         }
     }
 
-    /// A header line that goes with the answer.
-    pub fn line(&mut self, name: &'static str, value: &str) {
+    /// Adds a header to the head of the response.
+    pub fn add_header(&mut self, name: &'static str, value: &str) {
         if let Ok(value) = HeaderValue::from_str(value) {
-            self.extra.append(name, value);
+            self.extra_headers.append(name, value);
         }
     }
 
-    /// The encoding of what goes out: a client that compresses its requests gets compressed answers.
+    /// The encoding of responses: a client that compresses its requests gets compressed responses.
     pub fn encoding(&self) -> Encoding {
         self.head.encoding
     }
 
-    /// Puts something behind what goes out.
-    pub fn push(&mut self, now: Micros, item: Item) {
-        if self.out.is_empty() {
+    /// Queues something to be written.
+    pub fn queue_item(&mut self, now: Micros, item: OutboundItem) {
+        if self.outbound.is_empty() {
             self.reader.rested(now);
         }
-        self.out.push_back(item);
+        self.outbound.push_back(item);
     }
 
-    /// Puts a message behind what goes out.
-    pub fn message(&mut self, now: Micros, message: &impl prost::Message) {
+    /// Queues a message to be written.
+    pub fn queue_message(&mut self, now: Micros, message: &impl prost::Message) {
         let pieces = grpc::frame_pieces(vec![message.encode_to_vec().into()], self.encoding());
-        self.push(now, Item::Pieces(pieces.into()));
+        self.queue_item(now, OutboundItem::Pieces(pieces.into()));
     }
 
-    /// After what goes out the call ends with this status.
-    pub fn end(&mut self, status: &Status) {
+    /// Ends the call with this status, behind what is queued.
+    pub fn finish(&mut self, status: &Status) {
         if self.trailers.is_none() {
             self.trailers = Some(status.trailers());
         }
-        self.work = Work::Ending;
+        self.state = CallState::Closing;
     }
 
-    /// The call ends with this status now; what was to go out does not.
-    pub fn fail(&mut self, now: Micros, status: &Status) {
-        if self.out.is_empty() {
+    /// Ends the call with this status, and drops what is queued.
+    pub fn finish_with_error(&mut self, now: Micros, status: &Status) {
+        if self.outbound.is_empty() {
             self.reader.rested(now);
         }
-        self.out.clear();
+        self.outbound.clear();
         self.trailers = Some(status.trailers());
-        self.work = Work::Ending;
+        self.state = CallState::Closing;
     }
 
-    /// The stream is reset.
+    /// Resets the stream.
     pub fn reset(&mut self, reason: Reason) {
         match &mut self.stream {
             Some(stream) => stream.send_reset(reason),
             None => self.respond.send_reset(reason),
         }
-        self.out.clear();
-        self.over = true;
+        self.outbound.clear();
+        self.is_closed = true;
     }
 
     fn response(&mut self) -> Response<()> {
@@ -278,93 +318,107 @@
         if self.head.encoding == Encoding::Gzip {
             headers.insert("grpc-encoding", HeaderValue::from_static("gzip"));
         }
-        headers.extend(std::mem::take(&mut self.extra));
+        headers.extend(std::mem::take(&mut self.extra_headers));
         response
     }
 
-    /// Writes as much as the client's window takes, and says how much that was.
-    pub fn write(&mut self, now: Micros, cx: &mut Context<'_>) -> usize {
-        let mut written = 0;
-        if self.over || (self.out.is_empty() && self.trailers.is_none() && !self.is_watched()) {
-            return written;
+    /// Writes as much as the client's flow-control window takes; returns the number of bytes.
+    pub fn write(&mut self, now: Micros, context: &mut Context<'_>) -> usize {
+        let nothing_queued = self.outbound.is_empty() && self.trailers.is_none();
+        if self.is_closed || (nothing_queued && !self.keeps_stream_open()) {
+            return 0;
         }
         if self.stream.is_none() {
-            let mut response = self.response();
-            if self.out.is_empty() && !self.is_watched() {
-                // A status alone goes with the head.
-                response.headers_mut().extend(self.trailers.take().unwrap_or_default());
-                let _ = self.respond.send_response(response, true);
-                self.over = true;
-                return written;
-            }
-            match self.respond.send_response(response, false) {
-                Ok(stream) => self.stream = Some(stream),
-                Err(_) => {
-                    self.over = true;
-                    return written;
-                }
+            self.send_head();
+        }
+        if self.is_closed {
+            return 0;
+        }
+        let written = self.write_outbound(context);
+        if self.is_closed {
+            return written;
+        }
+        self.reader.took(now, written);
+        if written > 0 {
+            self.last_activity = now;
+        }
+        if self.outbound.is_empty() {
+            if let (Some(trailers), Some(stream)) = (self.trailers.take(), &mut self.stream) {
+                let _ = stream.send_trailers(trailers);
+                self.is_closed = true;
             }
         }
+        written
+    }
+
+    /// Sends the head of the response; a status without messages goes with it and closes the stream.
+    fn send_head(&mut self) {
+        let mut response = self.response();
+        if self.outbound.is_empty() && !self.keeps_stream_open() {
+            response.headers_mut().extend(self.trailers.take().unwrap_or_default());
+            let _ = self.respond.send_response(response, true);
+            self.is_closed = true;
+            return;
+        }
+        match self.respond.send_response(response, false) {
+            Ok(stream) => self.stream = Some(stream),
+            Err(_) => self.is_closed = true,
+        }
+    }
+
+    /// Writes queued pieces while the client's window has capacity; returns the number of bytes.
+    fn write_outbound(&mut self, context: &mut Context<'_>) -> usize {
+        let mut written = 0;
         while let Some(piece) = self.next_piece() {
-            let Some(stream) = &mut self.stream else { return written };
+            let Some(stream) = &mut self.stream else { break };
             stream.reserve_capacity(piece.len().min(self.send_buffer));
-            let room = match stream.capacity() {
-                0 => match stream.poll_capacity(cx) {
+            let capacity = match stream.capacity() {
+                0 => match stream.poll_capacity(context) {
                     Poll::Pending => break,
-                    Poll::Ready(Some(Ok(room))) => room,
+                    Poll::Ready(Some(Ok(capacity))) => capacity,
                     Poll::Ready(_) => {
-                        self.over = true;
-                        return written;
+                        self.is_closed = true;
+                        break;
                     }
                 },
-                room => room,
+                capacity => capacity,
             };
-            let size = room.min(piece.len());
-            let Some(Item::Pieces(pieces)) = self.out.front_mut() else { break };
+            let size = capacity.min(piece.len());
+            let Some(OutboundItem::Pieces(pieces)) = self.outbound.front_mut() else { break };
             let Some(piece) = pieces.front_mut() else { break };
-            let now_goes = piece.split_to(size);
+            let sent = piece.split_to(size);
             if piece.is_empty() {
                 pieces.pop_front();
             }
-            if stream.send_data(now_goes, false).is_err() {
-                self.over = true;
-                return written;
+            if stream.send_data(sent, false).is_err() {
+                self.is_closed = true;
+                break;
             }
             written += size;
         }
-        self.reader.took(now, written);
-        if written > 0 {
-            self.moved = now;
-        }
-        if self.out.is_empty() {
-            if let (Some(trailers), Some(stream)) = (self.trailers.take(), &mut self.stream) {
-                let _ = stream.send_trailers(trailers);
-                self.over = true;
-            }
-        }
         written
     }
 
-    fn is_watched(&self) -> bool {
-        matches!(self.work, Work::Watch(_) | Work::Long(_))
+    fn keeps_stream_open(&self) -> bool {
+        matches!(self.state, CallState::HealthWatch(_) | CallState::BatchStream(_))
     }
 
-    /// The piece that goes next; answers are turned into messages one at a time.
+    /// The piece to be written next; tables are encoded one message at a time.
     fn next_piece(&mut self) -> Option<Bytes> {
         loop {
-            match self.out.front_mut()? {
-                Item::Pieces(pieces) => match pieces.front() {
+            match self.outbound.front_mut()? {
+                OutboundItem::Pieces(pieces) => match pieces.front() {
                     Some(piece) if piece.has_remaining() => return Some(piece.clone()),
                     Some(_) => drop(pieces.pop_front()),
-                    None => drop(self.out.pop_front()),
+                    None => drop(self.outbound.pop_front()),
                 },
-                Item::Answer(answer) => match answer.message() {
-                    Ok(Some(pieces)) => self.out.push_front(Item::Pieces(pieces.into())),
-                    Ok(None) => drop(self.out.pop_front()),
-                    Err(why) => {
-                        tracing::warn!("an answer could not be written: {why}");
+                OutboundItem::Table(answer) => match answer.message() {
+                    Ok(Some(pieces)) => self.outbound.push_front(OutboundItem::Pieces(pieces.into())),
+                    Ok(None) => drop(self.outbound.pop_front()),
+                    Err(reason) => {
+                        tracing::warn!("an answer could not be written: {reason}");
                         let status = Status::new(Code::Internal, "the answer could not be written");
-                        self.out.clear();
+                        self.outbound.clear();
                         self.trailers = Some(status.trailers());
                         return None;
                     }
@@ -376,9 +430,8 @@
 
 impl Drop for Call {
     fn drop(&mut self) {
-        // A call that ends without a status must not look whole: its stream is reset with a reason that
-        // clients know.
-        if !self.over {
+        // A call that ends without a status must not look complete to its client.
+        if !self.is_closed {
             self.reset(Reason::CANCEL);
         }
     }
--- /dev/null
+++ b/crates/edge/src/front/flight/methods/poll.rs
@@ -0,0 +1,176 @@
+//! `PollFlightInfo`: a query that runs on between calls, and reports how far it has come.
+
+use std::rc::Rc;
+
+use bytes::Bytes;
+use mallowgauge_core::polled_queries::{PolledQueryKey, PolledQuerySpec, PolledState, RejectReason};
+use mallowgauge_core::{Core, QueryResponse, ResponseHandle, Value};
+use mallowgauge_flight::answer;
+use mallowgauge_flight::grpc::{Code, Status};
+use mallowgauge_flight::proto::{FlightDescriptor, FlightInfo, PollInfo};
+use mallowgauge_router::Micros;
+use serde_json::json;
+
+use super::decode_descriptor;
+use super::info::{schema_of_values, UNKNOWN_TOTAL};
+use crate::front::flight::call::{Call, CallState, OutcomeUse, PendingOutcome};
+use crate::front::flight::command::Command;
+use crate::front::flight::service::FlightService;
+use crate::front::flight::status::{failure_status, rejection_status};
+use crate::front::flight::submission::SubmitResult;
+use crate::front::flight::tickets::timestamp;
+use crate::front::query;
+
+/// A poll is answered after this long at the latest, in microseconds.
+const POLL_WAIT: Micros = 1_000_000;
+
+impl Call {
+    /// `PollFlightInfo`: submits a polled query, or waits a while for the outcome of one that runs.
+    ///
+    /// # Errors
+    /// The query is invalid, or its outcome is a rejection or failure.
+    pub fn poll_flight_info(
+        &mut self,
+        now: Micros,
+        id: u64,
+        message: &Bytes,
+        service: &mut FlightService,
+        core: &mut Core,
+    ) -> Result<(), Status> {
+        let descriptor = decode_descriptor(message)?;
+        let command = Command::from_descriptor(&descriptor, core, &service.generate_query_id())?;
+        let key =
+            PolledQueryKey { user: Rc::clone(&self.head.identity.user), id: command.id.as_str().into() };
+        let first = service.polled_queries.state(now, &key).is_none();
+        // The query runs on between calls: its deadline is its class's, not the call's.
+        let request = command.request(None, self.head.options.timeout, core)?;
+        let effect = !core.is_idempotent(command.class);
+        let spec = PolledQuerySpec { body: command.fingerprint(), effect, polled: true, made: None };
+        match service.submit(now, core, id, "", key.clone(), spec, request) {
+            SubmitResult::Pending(waiter) if first => {
+                // The first call is answered at once, so that the client knows its descriptor.
+                service.remove_waiter(waiter, core);
+                self.send_poll_info(now, &key, &command, service, core);
+            }
+            SubmitResult::Pending(waiter) => {
+                let wait = self.remaining_time(now).map_or(POLL_WAIT, |left| (left / 2).min(POLL_WAIT));
+                self.state = CallState::WaitingForOutcome(PendingOutcome {
+                    outcome_use: OutcomeUse::Poll(key, command),
+                    report_at: Some(now + wait),
+                    waiter: Some(waiter),
+                });
+            }
+            SubmitResult::Completed(outcome) => {
+                outcome?;
+                self.send_poll_info(now, &key, &command, service, core);
+            }
+        }
+        Ok(())
+    }
+
+    /// Reports how a polled query stands if the call has waited for long enough.
+    pub fn handle_poll_timeout(&mut self, now: Micros, service: &mut FlightService, core: &mut Core) {
+        let CallState::WaitingForOutcome(pending) = &mut self.state else { return };
+        if pending.report_at.is_none_or(|report_at| report_at > now) {
+            return;
+        }
+        let waiter = pending.waiter.take();
+        let OutcomeUse::Poll(key, command) = std::mem::replace(&mut pending.outcome_use, OutcomeUse::Table)
+        else {
+            return;
+        };
+        if let Some(waiter) = waiter {
+            service.remove_waiter(waiter, core);
+        }
+        self.send_poll_info(now, &key, &command, service, core);
+    }
+
+    /// Sends how a polled query stands, and ends the call.
+    pub fn send_poll_info(
+        &mut self,
+        now: Micros,
+        key: &PolledQueryKey,
+        command: &Command,
+        service: &mut FlightService,
+        core: &Core,
+    ) {
+        let state = service.polled_queries.state(now, key);
+        match service.poll_info(now, &key.user, state, command, core) {
+            Ok(info) => self.reply(now, &info),
+            Err(status) => self.finish_with_error(now, &status),
+        }
+    }
+}
+
+impl FlightService {
+    /// How a polled query stands: running with its progress, or complete with an endpoint for its outcome.
+    fn poll_info(
+        &mut self,
+        now: Micros,
+        user: &str,
+        state: Option<PolledState<Rc<QueryResponse>>>,
+        command: &Command,
+        core: &Core,
+    ) -> Result<PollInfo, Status> {
+        let next = FlightDescriptor::command(command.text());
+        let mut info = FlightInfo {
+            schema: self.schema(command.class).unwrap_or_default(),
+            flight_descriptor: Some(next.clone()),
+            total_records: UNKNOWN_TOTAL,
+            total_bytes: UNKNOWN_TOTAL,
+            ..FlightInfo::default()
+        };
+        match state {
+            Some(PolledState::Running(run)) => {
+                let progress = core.progress(ResponseHandle::Flight(run.0));
+                let fraction = progress.map_or(0.0, |(received, all)| received as f64 / all.max(1) as f64);
+                Ok(PollInfo {
+                    info: Some(info),
+                    flight_descriptor: Some(next),
+                    progress: Some(fraction),
+                    expiration_time: Some(timestamp(now + self.abandoned_poll_time)),
+                })
+            }
+            Some(PolledState::Done(response, kept_until)) => {
+                if let Some(status) = failure_status(&response) {
+                    return Err(status);
+                }
+                describe_response(&mut info, &response);
+                info.endpoint = vec![self.issue_endpoint(now, command, user, now, true)];
+                Ok(PollInfo {
+                    info: Some(info),
+                    flight_descriptor: None,
+                    progress: Some(1.0),
+                    expiration_time: Some(timestamp(kept_until)),
+                })
+            }
+            Some(PolledState::Cancelled) => Err(rejection_status(RejectReason::Cancelled)),
+            None => Err(Status::new(Code::NotFound, "it is no longer known").because("OUTCOME_FORGOTTEN")),
+        }
+    }
+}
+
+/// Sets schema, totals and metadata of a response.
+fn describe_response(info: &mut FlightInfo, response: &QueryResponse) {
+    match response {
+        QueryResponse::Ranked(ranked) => {
+            info.total_records = ranked.rows.len() as i64;
+            info.app_metadata = query::marks(ranked).to_string().into();
+            info.schema = answer::schema_message(&answer::ranked_schema()).unwrap_or_default();
+        }
+        QueryResponse::Completed { complete, values } => {
+            info.total_records = values.iter().map(|(_, value)| rows_of(value)).sum();
+            info.total_bytes = values.iter().map(|(_, value)| value.bytes() as i64).sum();
+            info.app_metadata = json!({ "total": complete }).to_string().into();
+            info.schema = schema_of_values(values).unwrap_or_default();
+        }
+        QueryResponse::Rejected { .. } | QueryResponse::Failed(_) => {}
+    }
+}
+
+fn rows_of(value: &Value) -> i64 {
+    match value {
+        Value::Text(_) => 1,
+        Value::Table(table) => table.rows as i64,
+    }
+}
