--- /dev/null
+++ b/crates/core/src/core.rs
@@ -0,0 +1,467 @@
+//! Dispatch: requests, outcomes and endpoint updates in, one batch of them a batch interval to the router,
+//! the router's actions out.
+
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+use mallowgauge_router::{
+    self as router, BackendId, ClassId, EndpointUpdate, Event, Idempotency, Micros, Outcome, PartId, QueryId,
+    Router, Settings, SettingsError, ShardId, ShardLayout,
+};
+
+use crate::attempts::InFlightAttempts;
+use crate::open_queries::{all_handles, OpenQueries, OpenQuery};
+use crate::planned_queries::{PlanClass, TwoPhase, TwoPhaseSettings};
+use crate::query::{Action, AttemptId, CompletedQuery, Failure, QueryRequest, QueryResponse, ResponseHandle};
+use crate::router_actions::BatchActions;
+use crate::stream_outcome::not_executed;
+use crate::table_memory::CallId;
+use crate::value::Value;
+
+/// What the router counts of what it keeps, in its order.
+const ROUTER_RESOURCES: [&str; 8] = [
+    "router queries",
+    "router parts",
+    "router backends",
+    "router calls",
+    "router attempts",
+    "router latency samples",
+    "router timers",
+    "router windows",
+];
+/// A query that fails this close to its deadline failed for want of time.
+pub(crate) const DEADLINE_MARGIN_US: Micros = 20_000;
+
+/// Limits on what is open at a time.
+#[derive(Clone, Copy, Debug)]
+pub struct CoreLimits {
+    /// Most queries and parts together.
+    pub max_open: usize,
+    /// Number of shards.
+    pub shards: u32,
+}
+
+/// What the core knows of a class.
+#[derive(Debug)]
+pub(crate) struct ClassRules {
+    /// The longest that a client waits, in microseconds.
+    deadline: Micros,
+    /// Whether its parts may be repeated freely.
+    pub(crate) idempotent: bool,
+    /// In microseconds.
+    latency_objective: Micros,
+    minimum_completeness: f64,
+}
+
+impl ClassRules {
+    fn of(class: &router::Class) -> Self {
+        Self {
+            deadline: class.deadline,
+            idempotent: matches!(class.idempotency, Idempotency::Idempotent),
+            latency_objective: class.latency_objective,
+            minimum_completeness: class.minimum_completeness,
+        }
+    }
+
+    pub(crate) fn plan_class(&self) -> PlanClass {
+        PlanClass {
+            latency_objective: self.latency_objective,
+            minimum_completeness: self.minimum_completeness,
+            idempotent: self.idempotent,
+        }
+    }
+}
+
+/// The open queries and the router that decides about them.
+pub struct Core {
+    router: Router,
+    class_names: Vec<String>,
+    pub(crate) classes: Vec<ClassRules>,
+    /// Whether backends may be told that an attempt is cancelled.
+    pub(crate) cancellation: bool,
+    /// Whether non-idempotent attempts wait for a permit, and their queries' responses for a record.
+    pub(crate) permits_required: bool,
+    pub(crate) limits: CoreLimits,
+    layout: ShardLayout,
+    batch_interval: Micros,
+    /// Queries are answered by then at the latest.
+    pub(crate) answer_deadline: Option<Micros>,
+    pub(crate) two_phase: Option<TwoPhase>,
+    pub(crate) open: OpenQueries,
+    pub(crate) attempts: InFlightAttempts,
+    /// What the router is given with the next batch.
+    pub(crate) events: Vec<Event>,
+    /// Actions that came about between batches.
+    pub(crate) ready: Vec<Action>,
+    pub(crate) router_timer: Option<Micros>,
+    last_batch: Option<Micros>,
+    /// The next number of a query or part.
+    pub(crate) next_id: u128,
+}
+
+impl Core {
+    /// A core with nothing open, for classes with these names.
+    ///
+    /// # Errors
+    /// The router rejects the settings.
+    pub fn new(
+        seed: u64,
+        settings: Settings,
+        classes: Vec<String>,
+        bounds: CoreLimits,
+    ) -> Result<Self, SettingsError> {
+        Ok(Self {
+            class_names: classes,
+            classes: settings.classes.iter().map(ClassRules::of).collect(),
+            cancellation: settings.limits.cancellation,
+            permits_required: false,
+            limits: bounds,
+            layout: settings.layout.clone(),
+            batch_interval: settings.batch_interval,
+            answer_deadline: None,
+            two_phase: None,
+            open: OpenQueries::default(),
+            attempts: InFlightAttempts::default(),
+            events: Vec::new(),
+            ready: Vec::new(),
+            router_timer: None,
+            last_batch: None,
+            // Random draws and ties go by a hash of the query's number: instances that started together must
+            // not draw alike.
+            next_id: (u128::from(seed) << 64) + 1,
+            router: Router::new(seed, settings)?,
+        })
+    }
+
+    /// Enables two-phase queries.
+    pub fn enable_two_phase(&mut self, setup: TwoPhaseSettings) {
+        self.two_phase = Some(TwoPhase::new(setup, self.classes.len()));
+    }
+
+    /// From now on non-idempotent attempts wait for permits, and the responses to their queries for a record.
+    pub fn require_permits(&mut self) {
+        self.permits_required = true;
+    }
+
+    /// Queries that are submitted from now on are answered by then, because the process may be killed soon
+    /// after.
+    pub fn set_answer_deadline(&mut self, by: Option<Micros>) {
+        self.answer_deadline = by;
+    }
+
+    /// The class with this name.
+    pub fn class_id(&self, name: &str) -> Option<ClassId> {
+        self.class_names.iter().position(|known| known == name).map(ClassId)
+    }
+
+    /// The names of the classes.
+    pub fn classes(&self) -> impl Iterator<Item = &str> {
+        self.class_names.iter().map(String::as_str)
+    }
+
+    /// The longest that a client of a class waits, in microseconds.
+    pub fn deadline(&self, class: ClassId) -> Micros {
+        self.classes[class.0].deadline
+    }
+
+    /// Whether a class's queries may be repeated freely.
+    pub fn is_idempotent(&self, class: ClassId) -> bool {
+        self.classes[class.0].idempotent
+    }
+
+    /// Whether attempts of a class wait for permits.
+    pub(crate) fn requires_permits(&self, class: ClassId) -> bool {
+        self.permits_required && !self.is_idempotent(class)
+    }
+
+    /// When a client that is rejected now may retry, in microseconds.
+    pub fn retry_after(&mut self) -> Micros {
+        self.router.retry_after()
+    }
+
+    pub(crate) fn reject(&mut self, not_executed: bool) -> QueryResponse {
+        QueryResponse::Rejected { retry_after: self.router.retry_after(), not_executed }
+    }
+
+    /// How many queries are open.
+    pub fn open_queries(&self) -> usize {
+        self.open.len()
+    }
+
+    /// Whether a query with this id is open.
+    pub fn is_open(&self, id: &str) -> bool {
+        self.open.find(id).is_some()
+    }
+
+    /// The request that is open under an id, and how long its client still waits, in microseconds.
+    pub fn open_request(&self, now: Micros, id: &str) -> Option<(&QueryRequest, Micros)> {
+        let open = self.open.get(self.open.find(id)?)?;
+        Some((&open.request, open.deadline.saturating_sub(now)))
+    }
+
+    /// Whether a part of a client's query may have been executed; `false` if it is not open.
+    pub fn possibly_executed(&self, asker: ResponseHandle) -> bool {
+        self.open.waited_for_by(asker).is_some_and(|open| !open.not_executed())
+    }
+
+    /// How many parts of a client's query have a value, and how many it has.
+    pub fn progress(&self, asker: ResponseHandle) -> Option<(usize, usize)> {
+        let open = self.open.waited_for_by(asker)?;
+        let parts = if open.plan.is_some() { open.parts.len().max(1) } else { open.request.parts.len() };
+        Some((open.values().count(), parts))
+    }
+
+    /// Whether an attempt is still waited for.
+    pub fn is_in_flight(&self, id: AttemptId) -> bool {
+        self.attempts.contains(id)
+    }
+
+    /// Whether another attempt of the same part is in flight.
+    pub fn has_other_attempt(&self, id: AttemptId) -> bool {
+        self.attempts.of_part(id.part).any(|(other, _)| other != id)
+    }
+
+    /// The client's id of the query and the shard of an attempt in flight.
+    pub fn attempt_target(&self, id: AttemptId) -> Option<(Rc<str>, ShardId)> {
+        let open = self.open.get(self.attempts.get(id)?.query)?;
+        let part = open.parts.get(self.open.locate(id.part)?.index)?;
+        Some((Rc::clone(&open.request.id), open.request.parts[part.request_index].shard))
+    }
+
+    /// A value that was received for the query of an attempt; the schema of another one has to agree with it.
+    pub fn received_value(&self, id: AttemptId) -> Option<&Value> {
+        let open = self.open.get(self.attempts.get(id)?.query)?;
+        if open.plan.is_some() {
+            return None;
+        }
+        open.values().next()
+    }
+
+    /// Whether an attempt belongs to a two-phase query, whose values are texts.
+    pub fn is_planned(&self, id: AttemptId) -> bool {
+        self.attempts.get(id).is_some_and(|attempt| self.open.is_planned(attempt.query))
+    }
+
+    /// How many entries are kept here and in the router, by name: tests check that all of them come back to
+    /// their base.
+    pub fn resource_counts(&self) -> BTreeMap<&'static str, usize> {
+        let (open, attempts) = (self.open.counts(), self.attempts.counts());
+        let own = [
+            ("open queries", open.queries),
+            ("request ids", open.request_ids),
+            ("response handles", open.response_handles),
+            ("parts", open.parts),
+            ("open parts", open.open_parts),
+            ("planned queries", open.planned),
+            ("query deadlines", open.deadlines),
+            ("attempts", attempts.attempts),
+            ("attempt numbers", attempts.attempt_numbers),
+            ("attempt timeouts", attempts.timeouts),
+            ("two-phase backends", self.two_phase.as_ref().map_or(0, TwoPhase::known_backends)),
+            ("events", self.events.len()),
+            ("ready", self.ready.len()),
+        ];
+        own.into_iter().chain(ROUTER_RESOURCES.into_iter().zip(self.router.resource_counts())).collect()
+    }
+
+    /// The client of a query has disconnected; it is not answered.
+    pub fn client_disconnected(&mut self, asker: ResponseHandle) {
+        let Some(query) = self.open.remove_waiter(asker) else { return };
+        if self.open.get(query).is_some_and(|open| self.outlives_client(open)) {
+            return;
+        }
+        self.close(query);
+        self.events.push(Event::ClientDisconnected(query));
+    }
+
+    /// Whether a query goes on although a client has disconnected. One that requires permits does once it was
+    /// attempted, since its client may send it again and has to find how it ended, and while others wait.
+    fn outlives_client(&self, open: &OpenQuery) -> bool {
+        if !self.requires_permits(open.request.class) {
+            return false;
+        }
+        let attempted = open.parts.iter().any(|part| self.attempts.was_attempted(part.part));
+        let mut handles = open.coalesced_waiters.iter().chain([&open.response_handle]);
+        attempted || handles.any(|handle| self.open.is_waiting(*handle))
+    }
+
+    /// Closes a query without a response, because another instance acts for it: who waited for it.
+    pub fn release_query(&mut self, id: &str) -> Vec<ResponseHandle> {
+        let Some(query) = self.open.find(id) else { return Vec::new() };
+        let open = self.close(query);
+        self.events.push(Event::ClientDisconnected(query));
+        open.map(OpenQuery::into_response_handles).unwrap_or_default()
+    }
+
+    /// The memory for tables is exhausted, and this query has to release its share: it is rejected where a
+    /// retry is safe, and fails otherwise.
+    pub fn memory_limit_exceeded(&mut self, call: CallId) {
+        let query = QueryId(call.0);
+        let Some(open) = self.open.get(query) else { return };
+        let not_executed = open.not_executed();
+        let response = if not_executed || self.is_idempotent(open.request.class) {
+            self.reject(not_executed)
+        } else {
+            Failure::MemoryExhausted.into()
+        };
+        let action = self.finish(query, response);
+        self.ready.extend(action);
+        self.events.push(Event::ClientDisconnected(query));
+    }
+
+    /// An attempt has ended. One that is not in flight any more is ignored.
+    pub fn attempt_completed(&mut self, now: Micros, id: AttemptId, outcome: Outcome, value: Option<Value>) {
+        let Some(attempt) = self.attempts.remove(id) else { return };
+        let outcome = self.record_outcome(now, attempt.query, id.part, outcome, value);
+        if !self.cancellation && outcome == Outcome::Succeeded {
+            self.revoke_unsent(id.part);
+        }
+        let took = now.saturating_sub(attempt.sent_at);
+        self.events.push(Event::AttemptCompleted { part: id.part, attempt: id.number, outcome, took });
+    }
+
+    /// Records what an attempt brought: its outcome, or a backend's error where its value is malformed.
+    fn record_outcome(
+        &mut self,
+        now: Micros,
+        query: QueryId,
+        part: PartId,
+        outcome: Outcome,
+        value: Option<Value>,
+    ) -> Outcome {
+        let index = self.open.locate(part).map(|location| location.index);
+        let Some(open) = self.open.get_mut(query) else { return outcome };
+        if not_executed(outcome) {
+            open.attempt_not_executed(index);
+            return outcome;
+        }
+        if outcome != Outcome::Succeeded {
+            return outcome;
+        }
+        if open.plan.is_none() {
+            open.store_value(index, value);
+            return outcome;
+        }
+        match self.plan_part_completed(now, part, value.as_ref()) {
+            Ok(()) => outcome,
+            Err(error) => {
+                tracing::debug!("{error}");
+                Outcome::BackendError
+            }
+        }
+    }
+
+    /// A health check has ended.
+    pub fn health_check_completed(&mut self, server: BackendId, passed: bool) {
+        self.events.push(Event::HealthCheckCompleted { backend: server, passed });
+    }
+
+    /// The endpoint list has changed, or could not be had.
+    pub fn endpoint_update(&mut self, update: EndpointUpdate) {
+        if let Some(two_phase) = &mut self.two_phase {
+            two_phase.endpoint_update(&update, &self.layout);
+        }
+        self.events.push(Event::EndpointUpdate(update));
+    }
+
+    /// When [`Core::run_batch`] is to be called next; `None` while nothing is pending.
+    pub fn poll_timeout(&self) -> Option<Micros> {
+        if !self.ready.is_empty() {
+            return Some(0);
+        }
+        let timers = [
+            self.router_timer,
+            self.attempts.poll_timeout(),
+            self.open.poll_timeout(),
+            self.plan_timeout(),
+            (!self.events.is_empty()).then_some(0),
+        ];
+        let first = timers.into_iter().flatten().min()?;
+        let next_batch = self.last_batch.map_or(0, |last| last + self.batch_interval);
+        Some(first.max(next_batch))
+    }
+
+    /// Handles the time-outs that are due and gives the router what came since the last batch. Without a batch
+    /// that is due, only the actions that came about in between are returned.
+    pub fn run_batch(&mut self, now: Micros) -> Vec<Action> {
+        let mut actions = std::mem::take(&mut self.ready);
+        if self.poll_timeout().is_none_or(|due| due > now) {
+            return actions;
+        }
+        self.last_batch = Some(now);
+        self.handle_plan_timeouts(now);
+        self.handle_attempt_timeouts(now, &mut actions);
+        self.handle_router_timer(now);
+        let mut router_actions = Vec::new();
+        self.router.handle(now, std::mem::take(&mut self.events), &mut router_actions);
+        let mut batch = BatchActions::default();
+        for action in router_actions {
+            self.apply(now, action, &mut batch);
+        }
+        self.fail_expired(now, &mut batch.others);
+        // What plans have decided in this batch goes out with it.
+        actions.append(&mut self.ready);
+        batch.append_to(&mut actions);
+        actions
+    }
+
+    fn handle_attempt_timeouts(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        while let Some(id) = self.attempts.pop_timed_out(now) {
+            if let Some(attempt) = self.attempts.get(id) {
+                actions.push(Action::CancelAttempt(attempt.backend, id));
+                self.attempt_completed(now, id, Outcome::TimedOut, None);
+            }
+        }
+    }
+
+    fn handle_router_timer(&mut self, now: Micros) {
+        if self.router_timer.is_some_and(|at| at <= now) {
+            self.router_timer = None;
+            self.events.push(Event::TimerExpired);
+        }
+    }
+
+    /// The router ends a query ahead of its deadline; this answers it in time should the router ever not.
+    fn fail_expired(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        while let Some(query) = self.open.pop_expired(now) {
+            let id = self.open.get(query).map(|open| &*open.request.id);
+            tracing::error!(query = id, "query ran out of time undecided");
+            actions.extend(self.finish(query, Failure::DeadlineExceeded.into()));
+            self.events.push(Event::ClientDisconnected(query));
+        }
+    }
+
+    /// Attempts of a part that still wait for a permit, a connection or a place on one must not start.
+    pub(crate) fn revoke_unsent(&mut self, part: PartId) {
+        let attempts = self.attempts.of_part(part);
+        self.ready.extend(attempts.map(|(id, attempt)| Action::RevokeUnsent(attempt.backend, id)));
+    }
+
+    /// Closes a query with its final response.
+    pub(crate) fn finish(&mut self, query: QueryId, response: QueryResponse) -> Option<Action> {
+        let open = self.close(query)?;
+        if !self.requires_permits(open.request.class) {
+            return Some(Action::Respond(open.response_handle, response));
+        }
+        let possibly_executed = !open.not_executed();
+        Some(Action::ReplicateOutcome(Box::new(CompletedQuery {
+            request: open.request,
+            deadline: open.deadline,
+            response_handles: all_handles(open.response_handle, open.coalesced_waiters),
+            response,
+            possibly_executed,
+        })))
+    }
+
+    fn close(&mut self, query: QueryId) -> Option<OpenQuery> {
+        let open = self.open.remove(query)?;
+        for part in &open.parts {
+            self.attempts.close_part(part.part);
+        }
+        if !self.cancellation {
+            // The router cancels nothing then, but attempts that have not started can still be held back.
+            open.parts.iter().for_each(|part| self.revoke_unsent(part.part));
+        }
+        Some(open)
+    }
+}
--- /dev/null
+++ b/crates/core/src/open_queries.rs
@@ -0,0 +1,325 @@
+//! The table of open queries and their parts.
+//!
+//! A query is found by its number, by its client's id, by whoever waits for its response and by its parts.
+//! Several clients may wait for one query that requires permits, because it must not be executed again: they
+//! are the query's coalesced waiters.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+use mallowgauge_router::{Micros, PartId, QueryId, ShardId};
+
+use crate::query::{PartRequest, QueryRequest, ResponseHandle};
+use crate::two_phase::Plan;
+use crate::value::Value;
+
+/// What a part is sent for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum PartKind {
+    /// The query's own body.
+    Query,
+    /// The scout of a two-phase query, which has no effect.
+    Scout,
+}
+
+/// A part that the router was given.
+#[derive(Debug)]
+pub(crate) struct PartState {
+    pub(crate) part: PartId,
+    /// Which of the request's parts it is for.
+    pub(crate) request_index: usize,
+    pub(crate) kind: PartKind,
+    pub(crate) value: Option<Value>,
+    /// It is no longer waited for; only two-phase queries close parts before they end.
+    pub(crate) closed: bool,
+    /// Attempts that may have been executed.
+    pub(crate) possibly_executed_attempts: u32,
+}
+
+impl PartState {
+    fn new(part: PartId, request_index: usize, kind: PartKind) -> Self {
+        Self { part, request_index, kind, value: None, closed: false, possibly_executed_attempts: 0 }
+    }
+}
+
+/// A query without a final response.
+#[derive(Debug)]
+pub(crate) struct OpenQuery {
+    pub(crate) response_handle: ResponseHandle,
+    /// Who sent the query again under the same id; only where the query requires permits.
+    pub(crate) coalesced_waiters: Vec<ResponseHandle>,
+    pub(crate) request: QueryRequest,
+    /// When its time is up.
+    pub(crate) deadline: Micros,
+    pub(crate) parts: Vec<PartState>,
+    /// Attempts that may have been executed, of all parts.
+    pub(crate) possibly_executed_attempts: u32,
+    pub(crate) plan: Option<Box<Plan>>,
+}
+
+impl OpenQuery {
+    /// A query of which nothing was sent.
+    pub(crate) fn new(response_handle: ResponseHandle, request: QueryRequest, deadline: Micros) -> Self {
+        Self {
+            response_handle,
+            coalesced_waiters: Vec::new(),
+            request,
+            deadline,
+            parts: Vec::new(),
+            possibly_executed_attempts: 0,
+            plan: None,
+        }
+    }
+
+    /// The values that were received.
+    pub(crate) fn values(&self) -> impl Iterator<Item = &Value> {
+        self.parts.iter().filter_map(|part| part.value.as_ref())
+    }
+
+    /// Takes the values that were received, each with its shard.
+    pub(crate) fn take_values(&mut self) -> Vec<(ShardId, Value)> {
+        let requested = &self.request.parts;
+        let received = |part: &mut PartState| Some((requested[part.request_index].shard, part.value.take()?));
+        self.parts.iter_mut().filter_map(received).collect()
+    }
+
+    /// Whether no part can have been executed.
+    pub(crate) fn not_executed(&self) -> bool {
+        self.possibly_executed_attempts == 0
+    }
+
+    /// Everyone who waits for the response.
+    pub(crate) fn into_response_handles(self) -> Vec<ResponseHandle> {
+        all_handles(self.response_handle, self.coalesced_waiters)
+    }
+
+    /// An attempt was sent; `index` is its part's position in `parts`.
+    pub(crate) fn attempt_sent(&mut self, index: usize) {
+        self.possibly_executed_attempts += 1;
+        self.parts[index].possibly_executed_attempts += 1;
+    }
+
+    /// An attempt is proved not to have been executed; its part may have been closed meanwhile.
+    pub(crate) fn attempt_not_executed(&mut self, index: Option<usize>) {
+        self.possibly_executed_attempts -= 1;
+        if let Some(part) = index.and_then(|index| self.parts.get_mut(index)) {
+            part.possibly_executed_attempts -= 1;
+        }
+    }
+
+    /// A value was received; the first one of a part counts.
+    pub(crate) fn store_value(&mut self, index: Option<usize>, value: Option<Value>) {
+        if let Some(part) = index.and_then(|index| self.parts.get_mut(index)) {
+            if part.value.is_none() {
+                part.value = value;
+            }
+        }
+    }
+}
+
+/// The query's own client first, then the coalesced waiters in the order in which they came.
+pub(crate) fn all_handles(first: ResponseHandle, others: Vec<ResponseHandle>) -> Vec<ResponseHandle> {
+    let mut handles = others;
+    handles.insert(0, first);
+    handles
+}
+
+/// Where a part stands in the table.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PartLocation {
+    pub(crate) query: QueryId,
+    /// Position in the query's `parts`.
+    pub(crate) index: usize,
+}
+
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct QueryDeadline {
+    at: Micros,
+    query: QueryId,
+}
+
+/// The open queries and the ways to find them.
+#[derive(Debug, Default)]
+pub(crate) struct OpenQueries {
+    queries: BTreeMap<QueryId, OpenQuery>,
+    by_request_id: BTreeMap<Rc<str>, QueryId>,
+    /// Without clients that have disconnected.
+    by_response_handle: BTreeMap<ResponseHandle, QueryId>,
+    by_part: BTreeMap<PartId, PartLocation>,
+    /// Parts that are not closed.
+    open_parts: usize,
+    /// The two-phase queries.
+    planned: BTreeSet<QueryId>,
+    deadlines: BTreeSet<QueryDeadline>,
+}
+
+/// How many entries [`OpenQueries`] holds of each kind.
+pub(crate) struct OpenQueryCounts {
+    pub(crate) queries: usize,
+    pub(crate) request_ids: usize,
+    pub(crate) response_handles: usize,
+    pub(crate) parts: usize,
+    pub(crate) open_parts: usize,
+    pub(crate) planned: usize,
+    pub(crate) deadlines: usize,
+}
+
+impl OpenQueries {
+    /// How many queries are open.
+    pub(crate) fn len(&self) -> usize {
+        self.queries.len()
+    }
+
+    /// Queries and parts that are open, which the limit on open work counts.
+    pub(crate) fn open_work(&self) -> usize {
+        self.queries.len() + self.open_parts
+    }
+
+    /// The query with this number.
+    pub(crate) fn get(&self, query: QueryId) -> Option<&OpenQuery> {
+        self.queries.get(&query)
+    }
+
+    /// The query with this number, to be changed.
+    pub(crate) fn get_mut(&mut self, query: QueryId) -> Option<&mut OpenQuery> {
+        self.queries.get_mut(&query)
+    }
+
+    /// The number of the open query with this client's id.
+    pub(crate) fn find(&self, request_id: &str) -> Option<QueryId> {
+        self.by_request_id.get(request_id).copied()
+    }
+
+    /// The query that a connected client waits for.
+    pub(crate) fn waited_for_by(&self, handle: ResponseHandle) -> Option<&OpenQuery> {
+        self.queries.get(self.by_response_handle.get(&handle)?)
+    }
+
+    /// Whether this client is connected and waits.
+    pub(crate) fn is_waiting(&self, handle: ResponseHandle) -> bool {
+        self.by_response_handle.contains_key(&handle)
+    }
+
+    /// A client has disconnected: the query that it waited for.
+    pub(crate) fn remove_waiter(&mut self, handle: ResponseHandle) -> Option<QueryId> {
+        self.by_response_handle.remove(&handle)
+    }
+
+    /// Where an open part stands.
+    pub(crate) fn locate(&self, part: PartId) -> Option<PartLocation> {
+        self.by_part.get(&part).copied()
+    }
+
+    /// Opens a query.
+    pub(crate) fn insert(&mut self, query: QueryId, open: OpenQuery) {
+        self.deadlines.insert(QueryDeadline { at: open.deadline, query });
+        self.by_request_id.insert(Rc::clone(&open.request.id), query);
+        self.by_response_handle.insert(open.response_handle, query);
+        self.queries.insert(query, open);
+    }
+
+    /// One more client waits for an open query.
+    pub(crate) fn add_waiter(&mut self, query: QueryId, handle: ResponseHandle) {
+        if let Some(open) = self.queries.get_mut(&query) {
+            open.coalesced_waiters.push(handle);
+            self.by_response_handle.insert(handle, query);
+        }
+    }
+
+    /// Adds a part for each of these parts of the request; `part_id` gives each its number.
+    pub(crate) fn insert_parts(
+        &mut self,
+        query: QueryId,
+        request_indices: impl Iterator<Item = usize>,
+        kind: PartKind,
+        mut part_id: impl FnMut(&PartRequest) -> PartId,
+    ) {
+        let Some(open) = self.queries.get_mut(&query) else { return };
+        for request_index in request_indices {
+            let part = part_id(&open.request.parts[request_index]);
+            self.by_part.insert(part, PartLocation { query, index: open.parts.len() });
+            open.parts.push(PartState::new(part, request_index, kind));
+            self.open_parts += 1;
+        }
+    }
+
+    /// A part has its value or has failed for good: it counts against the limit on open work no longer, but
+    /// is found until its query ends.
+    pub(crate) fn part_closed(&mut self) {
+        self.open_parts -= 1;
+    }
+
+    /// Closes the parts of these kinds for these blocks, and says which they were.
+    pub(crate) fn cancel_parts(&mut self, query: QueryId, blocks: &[usize], kind: PartKind) -> Vec<PartId> {
+        let Some(open) = self.queries.get_mut(&query) else { return Vec::new() };
+        let mut cancelled = Vec::new();
+        for part in &mut open.parts {
+            if part.closed || part.kind != kind || !blocks.contains(&part.request_index) {
+                continue;
+            }
+            part.closed = true;
+            self.open_parts -= 1;
+            self.by_part.remove(&part.part);
+            cancelled.push(part.part);
+        }
+        cancelled
+    }
+
+    /// Marks a query as one that has a plan.
+    pub(crate) fn set_planned(&mut self, query: QueryId) {
+        self.planned.insert(query);
+    }
+
+    /// Whether a query has a plan.
+    pub(crate) fn is_planned(&self, query: QueryId) -> bool {
+        self.planned.contains(&query)
+    }
+
+    /// The open plans, each with its query.
+    pub(crate) fn plans(&self) -> impl Iterator<Item = (QueryId, &Plan)> {
+        self.planned.iter().filter_map(|&query| Some((query, self.queries.get(&query)?.plan.as_deref()?)))
+    }
+
+    /// Closes a query.
+    pub(crate) fn remove(&mut self, query: QueryId) -> Option<OpenQuery> {
+        let open = self.queries.remove(&query)?;
+        self.by_request_id.remove(&open.request.id);
+        self.by_response_handle.remove(&open.response_handle);
+        for waiter in &open.coalesced_waiters {
+            self.by_response_handle.remove(waiter);
+        }
+        self.deadlines.remove(&QueryDeadline { at: open.deadline, query });
+        self.planned.remove(&query);
+        for part in &open.parts {
+            self.open_parts -= usize::from(!part.closed);
+            self.by_part.remove(&part.part);
+        }
+        Some(open)
+    }
+
+    /// When the first query's time is up.
+    pub(crate) fn poll_timeout(&self) -> Option<Micros> {
+        self.deadlines.first().map(|deadline| deadline.at)
+    }
+
+    /// The next query whose time is up by `now`. It stays open, and is not returned again.
+    pub(crate) fn pop_expired(&mut self, now: Micros) -> Option<QueryId> {
+        if self.poll_timeout()? > now {
+            return None;
+        }
+        self.deadlines.pop_first().map(|deadline| deadline.query)
+    }
+
+    /// How many entries are kept.
+    pub(crate) fn counts(&self) -> OpenQueryCounts {
+        OpenQueryCounts {
+            queries: self.queries.len(),
+            request_ids: self.by_request_id.len(),
+            response_handles: self.by_response_handle.len(),
+            parts: self.by_part.len(),
+            open_parts: self.open_parts,
+            planned: self.planned.len(),
+            deadlines: self.deadlines.len(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/planned_queries.rs
@@ -0,0 +1,306 @@
+//! Two-phase queries inside the core: turns what their plans want into parts for the router, and values and
+//! failures of these parts into events of the plans.
+//!
+//! What such queries share is kept here: how long their phases take, and what scouts reported of blocks.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
+use std::rc::Rc;
+
+use mallowgauge_router::{
+    BackendId, Endpoint, EndpointState, EndpointUpdate, Event, Micros, PartId, QueryId, ShardId, ShardLayout,
+};
+
+use crate::core::{Core, DEADLINE_MARGIN_US};
+use crate::open_queries::{OpenQuery, PartKind};
+use crate::query::{Failure, PlanRequest, QueryResponse};
+use crate::two_phase::{self, Choose, Clock, Lost, Plan, Rule, SketchBounds, Sketches, Want};
+use crate::value::Value;
+
+/// How two-phase queries are treated.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct TwoPhaseSettings {
+    /// How the time is divided between the phases.
+    pub rule: Rule,
+    /// Limits of what is kept of scouts' reports.
+    pub sketches: SketchBounds,
+}
+
+/// Where a backend stands in the endpoint list, as far as it matters to the sketches of its blocks.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct Placement {
+    ring_position: u32,
+    state: EndpointState,
+    started_at: Option<Micros>,
+}
+
+impl Placement {
+    fn of(endpoint: &Endpoint) -> Self {
+        Self { ring_position: endpoint.ring_position, state: endpoint.state, started_at: endpoint.started_at }
+    }
+}
+
+/// What two-phase queries share.
+#[derive(Debug)]
+pub(crate) struct TwoPhase {
+    /// How long phases take, by class.
+    clocks: Vec<Clock>,
+    sketches: Sketches,
+    placements: BTreeMap<BackendId, Placement>,
+}
+
+impl TwoPhase {
+    /// Nothing known yet, of this many classes.
+    pub(crate) fn new(settings: TwoPhaseSettings, classes: usize) -> Self {
+        Self {
+            clocks: (0..classes).map(|_| Clock::new(settings.rule)).collect(),
+            sketches: Sketches::new(settings.sketches),
+            placements: BTreeMap::new(),
+        }
+    }
+
+    /// How many backends are known.
+    pub(crate) fn known_backends(&self) -> usize {
+        self.placements.len()
+    }
+
+    /// Discards the sketches of each block of which a replica was added, removed or restarted, or changed its
+    /// state.
+    pub(crate) fn endpoint_update(&mut self, update: &EndpointUpdate, layout: &ShardLayout) {
+        let mut changed = BTreeSet::new();
+        match update {
+            EndpointUpdate::Failed => return,
+            EndpointUpdate::CachedSnapshot(endpoints) | EndpointUpdate::Snapshot(endpoints) => {
+                self.remove_unlisted(endpoints, &mut changed);
+                self.apply_endpoints(endpoints, &mut changed);
+            }
+            EndpointUpdate::Delta(endpoints) => self.apply_endpoints(endpoints, &mut changed),
+        }
+        if changed.is_empty() {
+            return;
+        }
+        let ring_positions = layout.ring_positions.max(1);
+        let replica_changed = |shard: ShardId| {
+            (0..layout.replication_factor).any(|j| changed.contains(&((shard.0 + j) % ring_positions)))
+        };
+        self.sketches.forget(replica_changed);
+    }
+
+    /// Of the backends that a snapshot does not list, one a ring position is removed; another one of the same
+    /// position is removed by the next snapshot.
+    fn remove_unlisted(&mut self, endpoints: &[Endpoint], changed: &mut BTreeSet<u32>) {
+        let listed: BTreeSet<BackendId> = endpoints.iter().map(|endpoint| endpoint.backend).collect();
+        self.placements.retain(|backend, placement| {
+            listed.contains(backend) || !changed.insert(placement.ring_position)
+        });
+    }
+
+    fn apply_endpoints(&mut self, endpoints: &[Endpoint], changed: &mut BTreeSet<u32>) {
+        for endpoint in endpoints {
+            let placement = Placement::of(endpoint);
+            let previous = self.placements.insert(endpoint.backend, placement);
+            if previous != Some(placement) {
+                changed.extend(previous.map(|previous| previous.ring_position));
+                changed.insert(placement.ring_position);
+            }
+            if endpoint.state == EndpointState::Removed {
+                self.placements.remove(&endpoint.backend);
+            }
+        }
+    }
+
+    /// A plan for an open query, and what it wants first.
+    fn start_plan(
+        &self,
+        now: Micros,
+        open: &OpenQuery,
+        request: &PlanRequest,
+        class: &PlanClass,
+    ) -> (Plan, Vec<Want>) {
+        let query = &open.request;
+        let clock = &self.clocks[query.class.0];
+        let time_to_objective = class.latency_objective.min(query.expires_in);
+        let waves = expected_waves(request, query.parts.len());
+        let predicate = predicate_hash(&query.body);
+        let known = query.parts.iter().map(|part| self.sketches.get(now, predicate, part.shard));
+        let setup = two_phase::Setup {
+            blocks: query.parts.iter().map(|part| (part.shard, part.weight)).collect(),
+            known: known.collect(),
+            spec: request.spec,
+            effect: !class.idempotent,
+            floor: class.minimum_completeness,
+            aim: now + time_to_objective,
+            end: open.deadline,
+            budget: clock.budget(now, class.latency_objective, time_to_objective, waves),
+            wave_time: clock.wave(class.latency_objective),
+        };
+        Plan::begin(now, setup)
+    }
+}
+
+/// What a plan has to know of its query's class.
+pub(crate) struct PlanClass {
+    /// In microseconds from the query's arrival.
+    pub(crate) latency_objective: Micros,
+    pub(crate) minimum_completeness: f64,
+    pub(crate) idempotent: bool,
+}
+
+/// How many waves the second phase is expected to take.
+fn expected_waves(request: &PlanRequest, blocks: usize) -> usize {
+    /// Where the bounds decide how many blocks are queried.
+    const UNKNOWN_BLOCKS_WAVES: usize = 2;
+    match request.spec.choose {
+        Choose::Best(chosen) => chosen.div_ceil(request.spec.wave),
+        Choose::All => blocks.div_ceil(request.spec.wave),
+        Choose::Threshold | Choose::Share(_) => UNKNOWN_BLOCKS_WAVES,
+    }
+}
+
+/// A hash of what a query asks, under which sketches are kept.
+fn predicate_hash(body: &[u8]) -> u64 {
+    BuildHasherDefault::<DefaultHasher>::default().hash_one(body)
+}
+
+/// The value of a planned query's part is neither a sketch nor a list of rows.
+#[derive(Debug, thiserror::Error)]
+#[error("malformed value of a two-phase query's part")]
+pub(crate) struct MalformedValue;
+
+impl Core {
+    /// Starts the plan of a query that was opened.
+    pub(crate) fn start_plan(&mut self, now: Micros, query: QueryId) {
+        let Some(open) = self.open.get_mut(query) else { return };
+        let (Some(request), Some(two_phase)) = (&open.request.plan, &self.two_phase) else { return };
+        let class = self.classes[open.request.class.0].plan_class();
+        let (plan, wants) = two_phase.start_plan(now, open, request, &class);
+        open.plan = Some(Box::new(plan));
+        self.open.set_planned(query);
+        self.apply_plan(now, query, wants);
+    }
+
+    /// Does what a plan wants.
+    fn apply_plan(&mut self, now: Micros, query: QueryId, wants: Vec<Want>) {
+        self.record_phase_times(query);
+        for want in wants {
+            match want {
+                Want::Scout(blocks) => self.add_parts(query, blocks.into_iter(), PartKind::Scout),
+                Want::Fetch(blocks) => self.add_parts(query, blocks.into_iter(), PartKind::Query),
+                Want::DropScouts(blocks) => self.cancel_parts(query, &blocks, PartKind::Scout),
+                Want::DropFetches(blocks) => self.cancel_parts(query, &blocks, PartKind::Query),
+                Want::Answer(ranked) => {
+                    self.complete_planned(query, QueryResponse::Ranked(Rc::new(ranked)), true)
+                }
+                Want::GiveUp { harmless } => {
+                    let Some(response) = self.plan_failure(now, query, harmless) else { return };
+                    self.complete_planned(query, response, false);
+                }
+            }
+        }
+    }
+
+    fn record_phase_times(&mut self, query: QueryId) {
+        let Some(open) = self.open.get_mut(query) else { return };
+        let (Some(plan), Some(two_phase)) = (&mut open.plan, &mut self.two_phase) else { return };
+        let (scouts, waves) = plan.times();
+        let clock = &mut two_phase.clocks[open.request.class.0];
+        scouts.into_iter().for_each(|took| clock.scouted(took));
+        waves.into_iter().for_each(|took| clock.waved(took));
+    }
+
+    /// The response to a query whose plan found none.
+    fn plan_failure(&mut self, now: Micros, query: QueryId, without_effect: bool) -> Option<QueryResponse> {
+        let open = self.open.get(query)?;
+        if without_effect {
+            let not_executed = open.not_executed();
+            return Some(self.reject(not_executed));
+        }
+        if open.deadline <= now + DEADLINE_MARGIN_US {
+            return Some(Failure::DeadlineExceeded.into());
+        }
+        Some(Failure::PartsFailed.into())
+    }
+
+    fn complete_planned(&mut self, query: QueryId, response: QueryResponse, answered: bool) {
+        let action = self.finish(query, response);
+        self.ready.extend(action);
+        self.events.push(Event::QueryCompleted { query, answered });
+    }
+
+    /// Nobody waits for these parts of a plan any more.
+    fn cancel_parts(&mut self, query: QueryId, blocks: &[usize], kind: PartKind) {
+        let cancelled = self.open.cancel_parts(query, blocks, kind);
+        for &part in &cancelled {
+            self.attempts.close_part(part);
+            self.events.push(Event::PartCancelled(part));
+        }
+        if !self.cancellation {
+            cancelled.into_iter().for_each(|part| self.revoke_unsent(part));
+        }
+    }
+
+    /// A part has its value, or `None` if it failed for good. Does nothing unless the query has a plan.
+    ///
+    /// # Errors
+    /// The value makes no sense; the part is open as before.
+    pub(crate) fn plan_part_completed(
+        &mut self,
+        now: Micros,
+        part: PartId,
+        value: Option<&Value>,
+    ) -> Result<(), MalformedValue> {
+        let Some(location) = self.open.locate(part) else { return Ok(()) };
+        let Some(open) = self.open.get_mut(location.query) else { return Ok(()) };
+        let Some(plan) = &mut open.plan else { return Ok(()) };
+        let part = &mut open.parts[location.index];
+        if part.closed {
+            return Ok(());
+        }
+        let lost = if part.possibly_executed_attempts == 0 { Lost::NeverRan } else { Lost::MayHaveRun };
+        let block = part.request_index;
+        let shard = open.request.parts[block].shard;
+        let text = match value {
+            Some(Value::Text(text)) => Some(text),
+            Some(Value::Table(_)) => return Err(MalformedValue),
+            None => None,
+        };
+        let idempotent = self.classes[open.request.class.0].idempotent;
+        let wants = match (part.kind, text) {
+            (PartKind::Scout, Some(text)) => {
+                let sketch = two_phase::sketch(text).map_err(|_| MalformedValue)?;
+                if let Some(two_phase) = &mut self.two_phase {
+                    two_phase.sketches.put(now, predicate_hash(&open.request.body), shard, sketch);
+                }
+                plan.scouted(now, block, Ok(sketch))
+            }
+            (PartKind::Scout, None) => plan.scouted(now, block, Err(lost)),
+            (PartKind::Query, Some(text)) if !idempotent => plan.held(now, block, Rc::clone(text)),
+            (PartKind::Query, Some(text)) => {
+                let rows = two_phase::rows(shard, text).map_err(|_| MalformedValue)?;
+                plan.fetched(now, block, Ok(rows))
+            }
+            (PartKind::Query, None) => plan.fetched(now, block, Err(lost)),
+        };
+        part.closed = true;
+        part.value = value.cloned();
+        self.open.part_closed();
+        self.apply_plan(now, location.query, wants);
+        Ok(())
+    }
+
+    /// When the first plan has to look at the clock.
+    pub(crate) fn plan_timeout(&self) -> Option<Micros> {
+        self.open.plans().filter_map(|(_, plan)| plan.due()).min()
+    }
+
+    /// Lets each plan look at the clock that has to.
+    pub(crate) fn handle_plan_timeouts(&mut self, now: Micros) {
+        let due = |(query, plan): (QueryId, &Plan)| (plan.due()? <= now).then_some(query);
+        let due: Vec<QueryId> = self.open.plans().filter_map(due).collect();
+        for query in due {
+            let Some(plan) = self.open.get_mut(query).and_then(|open| open.plan.as_mut()) else { continue };
+            let wants = plan.tick(now);
+            self.apply_plan(now, query, wants);
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/submission.rs
@@ -0,0 +1,147 @@
+//! What becomes of a request: its query is opened, joins the open query with the same id, or is rejected.
+
+use mallowgauge_router::{Event, Micros, PartArrival, PartId, QueryArrival, QueryId};
+
+use crate::core::Core;
+use crate::open_queries::{OpenQuery, PartKind};
+use crate::query::{Action, CompletedQuery, Failure, QueryRequest, QueryResponse, ResponseHandle};
+use crate::validation::{validate_parts, validate_plan, ValidationError};
+
+/// Most coalesced waiters of one query.
+const MAX_COALESCED_WAITERS: usize = 16;
+
+impl Core {
+    /// Opens a query. Its final response comes as [`Action::Respond`] or [`Action::ReplicateOutcome`], unless
+    /// it is returned here.
+    ///
+    /// # Errors
+    /// The final response to a query that does not reach the router.
+    pub fn submit(
+        &mut self,
+        now: Micros,
+        asker: ResponseHandle,
+        mut request: QueryRequest,
+    ) -> Result<(), QueryResponse> {
+        // A query must not hold its place for longer than its class allows, whatever the client says.
+        request.expires_in = request.expires_in.min(self.deadline(request.class));
+        validate_parts(&request.parts, self.limits.shards)?;
+        if request.expires_in == 0 {
+            return Err(Failure::DeadlineExceeded.into());
+        }
+        if let Some(query) = self.open.find(&request.id) {
+            return self.coalesce(query, asker, &request);
+        }
+        let time_to_answer = self.answer_deadline.map_or(Micros::MAX, |by| by.saturating_sub(now));
+        request.expires_in = request.expires_in.min(time_to_answer);
+        if time_to_answer == 0 || self.is_full(&request) {
+            return self.reject_unopened(now, asker, request);
+        }
+        if let Some(plan) = &request.plan {
+            if self.two_phase.is_none() {
+                return Err(ValidationError::TwoPhaseDisabled.into());
+            }
+            validate_plan(&plan.spec)?;
+        }
+        self.open_query(now, asker, request);
+        Ok(())
+    }
+
+    /// A client sends an open query again, perhaps because it lost its connection: it waits for the same
+    /// outcome where a second execution would do harm.
+    fn coalesce(
+        &mut self,
+        query: QueryId,
+        asker: ResponseHandle,
+        request: &QueryRequest,
+    ) -> Result<(), QueryResponse> {
+        if !self.requires_permits(request.class) {
+            return Err(ValidationError::IdInUse.into());
+        }
+        let Some(open) = self.open.get(query) else { return Err(ValidationError::IdInUse.into()) };
+        let known = &open.request;
+        if (known.class, &known.body, &known.parts) != (request.class, &request.body, &request.parts) {
+            return Err(ValidationError::IdInUseWithDifferentBody.into());
+        }
+        if open.coalesced_waiters.len() >= MAX_COALESCED_WAITERS {
+            return Err(self.reject(false));
+        }
+        self.open.add_waiter(query, asker);
+        Ok(())
+    }
+
+    /// Whether the limit on open queries and parts leaves no capacity for this one.
+    fn is_full(&self, request: &QueryRequest) -> bool {
+        self.open.open_work() + 1 + request.parts.len() > self.limits.max_open
+    }
+
+    /// Rejects a query before anything of it was sent from here.
+    fn reject_unopened(
+        &mut self,
+        now: Micros,
+        asker: ResponseHandle,
+        request: QueryRequest,
+    ) -> Result<(), QueryResponse> {
+        let response = self.reject(true);
+        if !(request.retry && self.requires_permits(request.class)) {
+            return Err(response);
+        }
+        // An earlier try, perhaps at another instance, may have been executed; the records say whether.
+        self.ready.push(Action::ReplicateOutcome(Box::new(CompletedQuery {
+            deadline: now.saturating_add(request.expires_in),
+            request,
+            response_handles: vec![asker],
+            response,
+            possibly_executed: false,
+        })));
+        Ok(())
+    }
+
+    fn open_query(&mut self, now: Micros, asker: ResponseHandle, request: QueryRequest) {
+        let query = QueryId(self.take_id());
+        let planned = request.plan.is_some();
+        self.events.push(Event::QueryArrived(QueryArrival {
+            query,
+            class: request.class,
+            expires_in: request.expires_in,
+            work_hint: request.work_hint,
+            retry: request.retry,
+            planned,
+        }));
+        let parts = request.parts.len();
+        let deadline = now.saturating_add(request.expires_in);
+        self.open.insert(query, OpenQuery::new(asker, request, deadline));
+        if planned {
+            self.start_plan(now, query);
+        } else {
+            self.add_parts(query, 0..parts, PartKind::Query);
+        }
+    }
+
+    fn take_id(&mut self) -> u128 {
+        let id = self.next_id;
+        self.next_id += 1;
+        id
+    }
+
+    /// Gives the router a part for each of these parts of a request.
+    pub(crate) fn add_parts(
+        &mut self,
+        query: QueryId,
+        request_indices: impl Iterator<Item = usize>,
+        kind: PartKind,
+    ) {
+        let (next_id, events) = (&mut self.next_id, &mut self.events);
+        self.open.insert_parts(query, request_indices, kind, |requested| {
+            let part = PartId(*next_id);
+            *next_id += 1;
+            events.push(Event::PartArrived(PartArrival {
+                query,
+                part,
+                shard: requested.shard,
+                weight: requested.weight,
+                idempotent: kind == PartKind::Scout,
+            }));
+            part
+        });
+    }
+}
--- a/crates/core/tests/resource_counts.rs
+++ b/crates/core/tests/resource_counts.rs
@@ -347,7 +347,7 @@
             let mut world = World::new(kind, seed);
             // The last answers by which overdue parts are told are bounded, and kept.
             let kept = |mut census: BTreeMap<&'static str, usize>| {
-                assert!(census.remove("answers").is_some_and(|kept| kept <= 33));
+                assert!(census.remove("router latency samples").is_some_and(|kept| kept <= 33));
                 census
             };
             let base = kept(world.core.resource_counts());
--- a/crates/edge/src/front/flight/long.rs
+++ b/crates/edge/src/front/flight/long.rs
@@ -203,7 +203,9 @@
             QueryResponse::Rejected { retry_after, not_executed: untouched } => {
                 json!({"status": "refused", "untouched": untouched, "retry_after_ms": ms(*retry_after)})
             }
-            QueryResponse::Failed(Failure::Invalid(words)) => json!({"status": "invalid", "error": words}),
+            QueryResponse::Failed(Failure::Invalid(error)) => {
+                json!({"status": "invalid", "error": error.message()})
+            }
             QueryResponse::Failed(Failure::DeadlineExceeded) => json!({"status": "time_up"}),
             QueryResponse::Failed(Failure::PartsFailed | Failure::MemoryExhausted) => {
                 json!({"status": "failed"})
--- a/crates/edge/src/front/flight/methods.rs
+++ b/crates/edge/src/front/flight/methods.rs
@@ -141,7 +141,7 @@
             let code = if *untouched { Code::Unavailable } else { Code::ResourceExhausted };
             Status::new(code, "refused").because("REFUSED").retry(*retry_after)
         }
-        QueryResponse::Failed(Failure::Invalid(words)) => Status::new(Code::InvalidArgument, *words),
+        QueryResponse::Failed(Failure::Invalid(error)) => Status::new(Code::InvalidArgument, error.message()),
         QueryResponse::Failed(Failure::PartsFailed) => Status::new(Code::Internal, "parts could not be had"),
         QueryResponse::Failed(Failure::MemoryExhausted) => {
             Status::new(Code::Internal, "the tables found no room").because("NO_ROOM")
--- a/crates/edge/src/front/http.rs
+++ b/crates/edge/src/front/http.rs
@@ -458,7 +458,7 @@
             let advice = (*retry_after > 0).then(|| ("Retry-After", format!("{seconds:.3}")));
             Reply(503, advice.into_iter().collect(), error("refused"))
         }
-        QueryResponse::Failed(Failure::Invalid(words)) => Reply(400, vec![], error(words)),
+        QueryResponse::Failed(Failure::Invalid(why)) => Reply(400, vec![], error(why.message())),
         QueryResponse::Failed(Failure::PartsFailed) => Reply(502, vec![], error("parts could not be had")),
         QueryResponse::Failed(Failure::MemoryExhausted) => {
             Reply(502, vec![], error("the tables found no room"))
--- a/crates/edge/src/takeover.rs
+++ b/crates/edge/src/takeover.rs
@@ -8,7 +8,7 @@
 use mallowgauge_cluster::takeover::{Ended, Request, Stands, Wish};
 use mallowgauge_core::{
     AttemptId, AttemptRequest, CompletedQuery, Core, Failure, PartRequest, QueryRequest, QueryResponse,
-    ResponseHandle, Value,
+    ResponseHandle, ValidationError, Value,
 };
 use mallowgauge_router::{BackendId, ClassId, Micros, Outcome, ShardId};
 use serde::{Deserialize, Serialize};
@@ -144,7 +144,7 @@
         }
         let (asked, first) = (write(ask, left), !ask.retry);
         if asked.len() > peers.largest_record() {
-            let answer = QueryResponse::Failed(Failure::Invalid("more is asked than other gatherers keep"));
+            let answer = QueryResponse::Failed(Failure::Invalid(ValidationError::TooLargeToReplicate));
             let askers = core.release_query(&send.query);
             return askers.into_iter().map(|asker| Task::Reply(asker, answer.clone())).collect();
         }
@@ -270,7 +270,8 @@
                 Vec::new()
             }
             Wish::Another(id) => {
-                let answer = QueryResponse::Failed(Failure::Invalid("this id was asked with another body"));
+                let answer =
+                    QueryResponse::Failed(Failure::Invalid(ValidationError::IdReplicatedWithDifferentBody));
                 let askers = self.askers(&id, core);
                 askers.into_iter().map(|asker| Task::Reply(asker, answer.clone())).collect()
             }
--- a/crates/testkit/src/inner.rs
+++ b/crates/testkit/src/inner.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use mallowgauge_core::{
-    Action, AttemptId, Core, CoreLimits, PartRequest, QueryRequest, QueryResponse, ResponseHandle,
+    Action, AttemptId, Core, CoreLimits, Failure, PartRequest, QueryRequest, QueryResponse, ResponseHandle,
 };
 use mallowgauge_router::{BackendId, Endpoint, EndpointState, EndpointUpdate, Outcome, ShardId};
 use mallowgauge_settings::Site;
@@ -31,6 +31,7 @@
         QueryResponse::Rejected { not_executed: untouched, .. } => {
             format!("refused{}", if *untouched { ", untouched" } else { "" })
         }
+        QueryResponse::Failed(Failure::Invalid(error)) => format!("Invalid({:?})", error.message()),
         QueryResponse::Failed(failure) => format!("{failure:?}"),
     }
 }
