--- a/crates/core/src/planned_queries.rs
+++ b/crates/core/src/planned_queries.rs
@@ -13,8 +13,11 @@
 
 use crate::core::{Core, DEADLINE_MARGIN_US};
 use crate::open_queries::{OpenQuery, PartKind};
-use crate::query::{Failure, PlanRequest, QueryResponse};
-use crate::two_phase::{self, Choose, Clock, Lost, Plan, Rule, SketchBounds, Sketches, Want};
+use crate::query::{Failure, PartRequest, PlanRequest, QueryResponse};
+use crate::two_phase::{
+    parse_rows, parse_sketch, BlockSetup, Choose, PartLoss, PhaseTimeEstimator, Plan, PlanAction, PlanSetup,
+    Rule, SketchBounds, SketchCache,
+};
 use crate::value::Value;
 
 /// How two-phase queries are treated.
@@ -44,8 +47,8 @@
 #[derive(Debug)]
 pub(crate) struct TwoPhase {
     /// How long phases take, by class.
-    clocks: Vec<Clock>,
-    sketches: Sketches,
+    phase_times: Vec<PhaseTimeEstimator>,
+    sketches: SketchCache,
     placements: BTreeMap<BackendId, Placement>,
 }
 
@@ -53,8 +56,8 @@
     /// Nothing known yet, of this many classes.
     pub(crate) fn new(settings: TwoPhaseSettings, classes: usize) -> Self {
         Self {
-            clocks: (0..classes).map(|_| Clock::new(settings.rule)).collect(),
-            sketches: Sketches::new(settings.sketches),
+            phase_times: (0..classes).map(|_| PhaseTimeEstimator::new(settings.rule)).collect(),
+            sketches: SketchCache::new(settings.sketches),
             placements: BTreeMap::new(),
         }
     }
@@ -83,7 +86,7 @@
         let replica_changed = |shard: ShardId| {
             (0..layout.replication_factor).any(|j| changed.contains(&((shard.0 + j) % ring_positions)))
         };
-        self.sketches.forget(replica_changed);
+        self.sketches.invalidate(replica_changed);
     }
 
     /// Of the backends that a snapshot does not list, one a ring position is removed; another one of the same
@@ -116,25 +119,28 @@
         open: &OpenQuery,
         request: &PlanRequest,
         class: &PlanClass,
-    ) -> (Plan, Vec<Want>) {
+    ) -> (Plan, Vec<PlanAction>) {
         let query = &open.request;
-        let clock = &self.clocks[query.class.0];
+        let phase_times = &self.phase_times[query.class.0];
         let time_to_objective = class.latency_objective.min(query.expires_in);
         let waves = expected_waves(request, query.parts.len());
         let predicate = predicate_hash(&query.body);
-        let known = query.parts.iter().map(|part| self.sketches.get(now, predicate, part.shard));
-        let setup = two_phase::Setup {
-            blocks: query.parts.iter().map(|part| (part.shard, part.weight)).collect(),
-            known: known.collect(),
+        let block = |part: &PartRequest| BlockSetup {
+            shard: part.shard,
+            weight: part.weight,
+            known: self.sketches.get(now, predicate, part.shard),
+        };
+        let setup = PlanSetup {
+            blocks: query.parts.iter().map(block).collect(),
             spec: request.spec,
-            effect: !class.idempotent,
-            floor: class.minimum_completeness,
-            aim: now + time_to_objective,
-            end: open.deadline,
-            budget: clock.budget(now, class.latency_objective, time_to_objective, waves),
-            wave_time: clock.wave(class.latency_objective),
+            has_effect: !class.idempotent,
+            minimum_completeness: class.minimum_completeness,
+            objective: now + time_to_objective,
+            deadline: open.deadline,
+            budget: phase_times.budget(now, class.latency_objective, time_to_objective, waves),
+            wave_time: phase_times.wave_time(class.latency_objective),
         };
-        Plan::begin(now, setup)
+        Plan::start(now, setup)
     }
 }
 
@@ -173,26 +179,26 @@
         let Some(open) = self.open.get_mut(query) else { return };
         let (Some(request), Some(two_phase)) = (&open.request.plan, &self.two_phase) else { return };
         let class = self.classes[open.request.class.0].plan_class();
-        let (plan, wants) = two_phase.start_plan(now, open, request, &class);
+        let (plan, actions) = two_phase.start_plan(now, open, request, &class);
         open.plan = Some(Box::new(plan));
         self.open.set_planned(query);
-        self.apply_plan(now, query, wants);
+        self.apply_plan(now, query, actions);
     }
 
     /// Does what a plan wants.
-    fn apply_plan(&mut self, now: Micros, query: QueryId, wants: Vec<Want>) {
+    fn apply_plan(&mut self, now: Micros, query: QueryId, actions: Vec<PlanAction>) {
         self.record_phase_times(query);
-        for want in wants {
-            match want {
-                Want::Scout(blocks) => self.add_parts(query, blocks.into_iter(), PartKind::Scout),
-                Want::Fetch(blocks) => self.add_parts(query, blocks.into_iter(), PartKind::Query),
-                Want::DropScouts(blocks) => self.cancel_parts(query, &blocks, PartKind::Scout),
-                Want::DropFetches(blocks) => self.cancel_parts(query, &blocks, PartKind::Query),
-                Want::Answer(ranked) => {
+        for action in actions {
+            match action {
+                PlanAction::SendScouts(blocks) => self.add_parts(query, blocks.into_iter(), PartKind::Scout),
+                PlanAction::Fetch(blocks) => self.add_parts(query, blocks.into_iter(), PartKind::Query),
+                PlanAction::CancelScouts(blocks) => self.cancel_parts(query, &blocks, PartKind::Scout),
+                PlanAction::CancelFetches(blocks) => self.cancel_parts(query, &blocks, PartKind::Query),
+                PlanAction::Respond(ranked) => {
                     self.complete_planned(query, QueryResponse::Ranked(Rc::new(ranked)), true)
                 }
-                Want::GiveUp { harmless } => {
-                    let Some(response) = self.plan_failure(now, query, harmless) else { return };
+                PlanAction::GiveUp { effect_possible } => {
+                    let Some(response) = self.plan_failure(now, query, effect_possible) else { return };
                     self.complete_planned(query, response, false);
                 }
             }
@@ -202,16 +208,16 @@
     fn record_phase_times(&mut self, query: QueryId) {
         let Some(open) = self.open.get_mut(query) else { return };
         let (Some(plan), Some(two_phase)) = (&mut open.plan, &mut self.two_phase) else { return };
-        let (scouts, waves) = plan.times();
-        let clock = &mut two_phase.clocks[open.request.class.0];
-        scouts.into_iter().for_each(|took| clock.scouted(took));
-        waves.into_iter().for_each(|took| clock.waved(took));
+        let times = plan.take_phase_times();
+        let estimator = &mut two_phase.phase_times[open.request.class.0];
+        times.scouts.into_iter().for_each(|took| estimator.record_scouts(took));
+        times.waves.into_iter().for_each(|took| estimator.record_wave(took));
     }
 
     /// The response to a query whose plan found none.
-    fn plan_failure(&mut self, now: Micros, query: QueryId, without_effect: bool) -> Option<QueryResponse> {
+    fn plan_failure(&mut self, now: Micros, query: QueryId, effect_possible: bool) -> Option<QueryResponse> {
         let open = self.open.get(query)?;
-        if without_effect {
+        if !effect_possible {
             let not_executed = open.not_executed();
             return Some(self.reject(not_executed));
         }
@@ -256,7 +262,10 @@
         if part.closed {
             return Ok(());
         }
-        let lost = if part.possibly_executed_attempts == 0 { Lost::NeverRan } else { Lost::MayHaveRun };
+        let loss = match part.possibly_executed_attempts {
+            0 => PartLoss::NotExecuted,
+            _ => PartLoss::PossiblyExecuted,
+        };
         let block = part.request_index;
         let shard = open.request.parts[block].shard;
         let text = match value {
@@ -265,42 +274,44 @@
             None => None,
         };
         let idempotent = self.classes[open.request.class.0].idempotent;
-        let wants = match (part.kind, text) {
+        let actions = match (part.kind, text) {
             (PartKind::Scout, Some(text)) => {
-                let sketch = two_phase::sketch(text).map_err(|_| MalformedValue)?;
+                let sketch = parse_sketch(text).map_err(|_| MalformedValue)?;
                 if let Some(two_phase) = &mut self.two_phase {
-                    two_phase.sketches.put(now, predicate_hash(&open.request.body), shard, sketch);
+                    two_phase.sketches.insert(now, predicate_hash(&open.request.body), shard, sketch);
                 }
-                plan.scouted(now, block, Ok(sketch))
+                plan.scout_completed(now, block, Ok(sketch))
+            }
+            (PartKind::Scout, None) => plan.scout_completed(now, block, Err(loss)),
+            (PartKind::Query, Some(text)) if !idempotent => {
+                plan.effect_completed(now, block, Rc::clone(text))
             }
-            (PartKind::Scout, None) => plan.scouted(now, block, Err(lost)),
-            (PartKind::Query, Some(text)) if !idempotent => plan.held(now, block, Rc::clone(text)),
             (PartKind::Query, Some(text)) => {
-                let rows = two_phase::rows(shard, text).map_err(|_| MalformedValue)?;
-                plan.fetched(now, block, Ok(rows))
+                let rows = parse_rows(shard, text).map_err(|_| MalformedValue)?;
+                plan.fetch_completed(now, block, Ok(rows))
             }
-            (PartKind::Query, None) => plan.fetched(now, block, Err(lost)),
+            (PartKind::Query, None) => plan.fetch_completed(now, block, Err(loss)),
         };
         part.closed = true;
         part.value = value.cloned();
         self.open.part_closed();
-        self.apply_plan(now, location.query, wants);
+        self.apply_plan(now, location.query, actions);
         Ok(())
     }
 
     /// When the first plan has to look at the clock.
     pub(crate) fn plan_timeout(&self) -> Option<Micros> {
-        self.open.plans().filter_map(|(_, plan)| plan.due()).min()
+        self.open.plans().filter_map(|(_, plan)| plan.poll_timeout()).min()
     }
 
     /// Lets each plan look at the clock that has to.
     pub(crate) fn handle_plan_timeouts(&mut self, now: Micros) {
-        let due = |(query, plan): (QueryId, &Plan)| (plan.due()? <= now).then_some(query);
+        let due = |(query, plan): (QueryId, &Plan)| (plan.poll_timeout()? <= now).then_some(query);
         let due: Vec<QueryId> = self.open.plans().filter_map(due).collect();
         for query in due {
             let Some(plan) = self.open.get_mut(query).and_then(|open| open.plan.as_mut()) else { continue };
-            let wants = plan.tick(now);
-            self.apply_plan(now, query, wants);
+            let actions = plan.handle_timeout(now);
+            self.apply_plan(now, query, actions);
         }
     }
 }
--- /dev/null
+++ b/crates/core/src/two_phase/rows.rs
@@ -0,0 +1,105 @@
+//! Rows of the second phase: parsed, ordered, cut to the best.
+//!
+//! The order is total: the higher score first, then the smaller id (as text), then the smaller shard. The same
+//! rows give the same response, in whatever order they arrive.
+
+use std::cmp::Ordering;
+use std::rc::Rc;
+
+use mallowgauge_router::ShardId;
+use serde_json::Value;
+
+/// Most rows of one block.
+pub const MAX_ROWS_PER_BLOCK: usize = 10_000;
+
+/// A row of a response.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Row {
+    /// What it is ranked by; finite.
+    pub score: f64,
+    /// What it is known by within its block.
+    pub id: Rc<str>,
+    /// The block that it is from.
+    pub shard: ShardId,
+    /// The row as its backend wrote it.
+    pub text: Rc<str>,
+}
+
+impl Row {
+    /// The order of two rows in a response.
+    #[must_use]
+    pub fn order(&self, other: &Self) -> Ordering {
+        let by_score = other.score.total_cmp(&self.score);
+        by_score.then_with(|| self.id.cmp(&other.id)).then_with(|| self.shard.cmp(&other.shard))
+    }
+}
+
+/// Why the value of a block is no list of rows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RowsError {
+    /// The value is not a JSON list.
+    #[error("no list of rows")]
+    NotAList,
+    /// The list has more than [`MAX_ROWS_PER_BLOCK`] rows.
+    #[error("more rows than are taken")]
+    TooManyRows,
+    /// A row has no finite number as its `score`.
+    #[error("a row without a score")]
+    MissingScore,
+    /// A row has no text as its `id`.
+    #[error("a row without an id")]
+    MissingId,
+}
+
+/// Parses the rows of a block: a JSON list of objects with `score` and `id`.
+///
+/// # Errors
+/// The text is no such list.
+pub fn parse_rows(shard: ShardId, text: &str) -> Result<Vec<Row>, RowsError> {
+    let list: Vec<Value> = serde_json::from_str(text).map_err(|_| RowsError::NotAList)?;
+    if list.len() > MAX_ROWS_PER_BLOCK {
+        return Err(RowsError::TooManyRows);
+    }
+    list.into_iter().map(|value| parse_row(shard, &value)).collect()
+}
+
+fn parse_row(shard: ShardId, value: &Value) -> Result<Row, RowsError> {
+    let score = value.get("score").and_then(Value::as_f64).filter(|score| score.is_finite());
+    let score = score.ok_or(RowsError::MissingScore)?;
+    let id = value.get("id").and_then(Value::as_str).ok_or(RowsError::MissingId)?;
+    Ok(Row { score, id: id.into(), shard, text: value.to_string().into() })
+}
+
+/// The best rows so far.
+#[derive(Clone, Debug)]
+pub struct TopRows {
+    rows: Vec<Row>,
+    limit: usize,
+}
+
+impl TopRows {
+    /// None yet, and at most `limit`.
+    #[must_use]
+    pub fn new(limit: usize) -> Self {
+        Self { rows: Vec::new(), limit }
+    }
+
+    /// Adds a block's rows.
+    pub fn add(&mut self, rows: Vec<Row>) {
+        self.rows.extend(rows);
+        self.rows.sort_by(Row::order);
+        self.rows.truncate(self.limit);
+    }
+
+    /// The score that a row has to reach to be among the best; `None` until there are enough.
+    #[must_use]
+    pub fn threshold(&self) -> Option<f64> {
+        self.rows.get(self.limit.checked_sub(1)?).map(|row| row.score)
+    }
+
+    /// The rows, best first.
+    #[must_use]
+    pub fn rows(&self) -> &[Row] {
+        &self.rows
+    }
+}
--- a/crates/core/src/validation.rs
+++ b/crates/core/src/validation.rs
@@ -5,7 +5,7 @@
 use mallowgauge_router::ShardId;
 
 use crate::query::PartRequest;
-use crate::two_phase::{Choose, Spec, MOST_TOP};
+use crate::two_phase::{Choose, Spec, MAX_TOP, MAX_WAVE};
 
 /// How far the weights of a query's parts may add up to something other than 1, by rounding.
 const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
@@ -83,8 +83,9 @@
         Choose::Share(share) => (0.0..=1.0).contains(&share),
         Choose::Threshold | Choose::All => true,
     };
-    let counts = 1..=MOST_TOP;
-    if choice_in_range && counts.contains(&spec.top) && counts.contains(&spec.wave) {
+    let top_in_range = (1..=MAX_TOP).contains(&spec.top);
+    let wave_in_range = (1..=MAX_WAVE).contains(&spec.wave);
+    if choice_in_range && top_in_range && wave_in_range {
         Ok(())
     } else {
         Err(ValidationError::InvalidPlan)
--- a/crates/core/tests/two_phase.rs
+++ b/crates/core/tests/two_phase.rs
@@ -1,11 +1,14 @@
 //! Plans against a brute-force model: random blocks, bounds, failures, orders of arrival and times. `exact` is
-//! never claimed wrongly, there is one final answer and nothing behind it, and it comes before the end.
+//! never claimed wrongly, there is one final action and nothing behind it, and it comes before the deadline.
 //! `PHASES_CASES` sets how many cases are played (a few thousand here, 100,000 by `make test-phases`).
 
 use std::collections::BTreeSet;
 
-use mallowgauge_core::two_phase::*;
-use mallowgauge_router::ShardId;
+use mallowgauge_core::two_phase::{
+    parse_rows, parse_sketch, BlockSetup, Choose, PartLoss, PhaseTimeEstimator, Plan, PlanAction, PlanSetup,
+    Row, Rule, ScoutBudget, Silent, Sketch, SketchBounds, SketchCache, Spec, MAX_ROWS_PER_BLOCK,
+};
+use mallowgauge_router::{Micros, ShardId};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -15,7 +18,7 @@
     slack: u8,
     counts: bool,
     scout_fails: bool,
-    fetch: u8, // 0 to 7: in; 8: never ran; 9: may have run; 10: never ends
+    fetch: u8, // 0 to 7: in; 8: not executed; 9: possibly executed; 10: never ends
     stale: Option<u8>,
 }
 
@@ -85,38 +88,39 @@
     let spec = Spec { choose, top: case.top, wave: case.wave, silent };
     let count = case.blocks.len();
     let weight = 1.0 / count as f64;
-    let (aim, end) = (1_000_000, 2_000_000);
+    let (objective, deadline) = (1_000_000, 2_000_000);
     let stale = |b: &BlockModel| b.stale.map(|bound| Sketch { bound: f64::from(bound), count: Some(0) });
-    let setup = Setup {
-        blocks: (0..count).map(|i| (ShardId(i as u32), weight)).collect(),
-        known: case.blocks.iter().map(stale).collect(),
+    let setup = PlanSetup {
+        blocks: (0..count)
+            .map(|i| BlockSetup { shard: ShardId(i as u32), weight, known: stale(&case.blocks[i]) })
+            .collect(),
         spec,
-        effect: case.effect,
-        floor: case.floor,
-        aim,
-        end,
-        budget: if case.blind { Budget::Blind } else { Budget::Scout(case.budget) },
+        has_effect: case.effect,
+        minimum_completeness: case.floor,
+        objective,
+        deadline,
+        budget: if case.blind { ScoutBudget::NoScouts } else { ScoutBudget::Until(case.budget) },
         wave_time: 100_000,
     };
     let mut now = 0;
-    let (mut plan, wants) = Plan::begin(now, setup);
+    let (mut plan, actions) = Plan::start(now, setup);
     let (mut scouts, mut fetches) = (BTreeSet::new(), BTreeSet::new());
     let (mut scouted, mut fetched) = (BTreeSet::new(), BTreeSet::new());
-    let mut ends: Vec<Want> = Vec::new();
+    let mut ends: Vec<PlanAction> = Vec::new();
     let mut effects = 0;
-    let mut todo = wants;
+    let mut todo = actions;
     let mut order = case.order.iter();
     loop {
-        for want in std::mem::take(&mut todo) {
-            prop_assert!(ends.is_empty(), "something behind the final answer: {:?}", want);
-            match want {
-                Want::Scout(blocks) => {
+        for action in std::mem::take(&mut todo) {
+            prop_assert!(ends.is_empty(), "something behind the final action: {:?}", action);
+            match action {
+                PlanAction::SendScouts(blocks) => {
                     for block in blocks {
                         prop_assert!(scouted.insert(block), "a scout asked twice");
                         scouts.insert(block);
                     }
                 }
-                Want::Fetch(blocks) => {
+                PlanAction::Fetch(blocks) => {
                     prop_assert!(!blocks.is_empty() && (!case.effect || blocks.len() == 1));
                     prop_assert!(!case.effect || effects == 0, "asked on though an effect may have been had");
                     for block in blocks {
@@ -124,8 +128,8 @@
                         fetches.insert(block);
                     }
                 }
-                Want::DropScouts(blocks) => scouts.retain(|b| !blocks.contains(b)),
-                Want::DropFetches(blocks) => {
+                PlanAction::CancelScouts(blocks) => scouts.retain(|b| !blocks.contains(b)),
+                PlanAction::CancelFetches(blocks) => {
                     for block in blocks {
                         prop_assert!(fetches.remove(&block));
                         effects += 1;
@@ -137,18 +141,18 @@
         if plan.is_over() {
             break;
         }
-        let due = plan.due().expect("an open plan looks at the clock");
+        let due = plan.poll_timeout().expect("an open plan has a time-out");
         let Some(&(pick, wait)) = order.next() else {
             // Nothing more comes: only the clock goes on.
             now = now.max(due);
-            todo = plan.tick(now);
+            todo = plan.handle_timeout(now);
             continue;
         };
         let next = now + u64::from(wait) * 1000;
         if due <= next {
-            // Whoever has a plan lets it look at the clock when it wants to.
+            // The caller handles each time-out when it is due.
             now = now.max(due);
-            todo = plan.tick(now);
+            todo = plan.handle_timeout(now);
             continue;
         }
         now = next;
@@ -166,35 +170,39 @@
                 bound: f64::from(top + model.slack),
                 count: model.counts.then_some(model.scores.len() as u64),
             };
-            todo = plan.scouted(now, block, if model.scout_fails { Err(Lost::MayHaveRun) } else { Ok(said) });
+            todo = plan.scout_completed(
+                now,
+                block,
+                if model.scout_fails { Err(PartLoss::PossiblyExecuted) } else { Ok(said) },
+            );
         } else {
             fetches.remove(&block);
             todo = match model.fetch {
-                8 => plan.fetched(now, block, Err(Lost::NeverRan)),
+                8 => plan.fetch_completed(now, block, Err(PartLoss::NotExecuted)),
                 9 => {
                     effects += 1;
-                    plan.fetched(now, block, Err(Lost::MayHaveRun))
+                    plan.fetch_completed(now, block, Err(PartLoss::PossiblyExecuted))
                 }
                 _ if case.effect => {
                     effects += 1;
-                    plan.held(now, block, "held".into())
+                    plan.effect_completed(now, block, "held".into())
                 }
-                _ => plan.fetched(now, block, Ok(rows_of(case, block))),
+                _ => plan.fetch_completed(now, block, Ok(rows_of(case, block))),
             };
         }
     }
-    prop_assert_eq!(ends.len(), 1, "one final answer");
-    prop_assert!(now <= end, "before the end of its time");
+    prop_assert_eq!(ends.len(), 1, "one final action");
+    prop_assert!(now <= deadline, "before its deadline");
     // Whatever comes behind it changes nothing.
     for block in 0..count {
-        prop_assert!(plan.scouted(now, block, Err(Lost::NeverRan)).is_empty());
-        prop_assert!(plan.fetched(now, block, Ok(rows_of(case, block))).is_empty());
+        prop_assert!(plan.scout_completed(now, block, Err(PartLoss::NotExecuted)).is_empty());
+        prop_assert!(plan.fetch_completed(now, block, Ok(rows_of(case, block))).is_empty());
     }
-    prop_assert!(plan.tick(end + 1).is_empty() && plan.due().is_none());
+    prop_assert!(plan.handle_timeout(deadline + 1).is_empty() && plan.poll_timeout().is_none());
     let answer = match ends.pop() {
-        Some(Want::Answer(answer)) => answer,
-        Some(Want::GiveUp { harmless }) => {
-            prop_assert_eq!(harmless, !case.effect || effects == 0);
+        Some(PlanAction::Respond(answer)) => answer,
+        Some(PlanAction::GiveUp { effect_possible }) => {
+            prop_assert_eq!(effect_possible, case.effect && effects > 0);
             return Ok(());
         }
         other => return Err(TestCaseError::fail(format!("{other:?}"))),
@@ -211,7 +219,7 @@
     prop_assert!(asked.is_subset(&fetched));
     prop_assert_eq!(answer.whole, asked.len() == count);
     prop_assert!(
-        !case.effect || (!answer.exact || answer.whole) && answer.held.is_some() && asked.len() == 1
+        !case.effect || (!answer.exact || answer.whole) && answer.effect.is_some() && asked.len() == 1
     );
     if !case.effect {
         // The rows are the best of what is in.
@@ -225,7 +233,7 @@
         if answer.exact {
             prop_assert_eq!(&answer.rows, &best(&mut (0..count)), "exact, and it is not");
         }
-        // What failed or had no time counts against the class's least share.
+        // What failed or had no time counts against the class's minimum completeness.
         let wanted = answer.asked.len()
             + answer.failed.len()
             + answer.skipped.iter().filter(|s| !case.skip || fetched.contains(&(s.0 as usize))).count();
@@ -236,7 +244,7 @@
 }
 
 #[test]
-fn a_plan_is_never_wrongly_exact_and_has_one_final_answer() {
+fn a_plan_is_never_wrongly_exact_and_has_one_final_action() {
     let cases = std::env::var("PHASES_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(4_000);
     let config = ProptestConfig {
         cases,
@@ -247,17 +255,18 @@
     proptest!(config, |(case in case())| play(&case)?);
 }
 
-fn setup(bounds: &[f64], spec: Spec) -> Setup {
+fn setup(bounds: &[f64], spec: Spec) -> PlanSetup {
     let weight = 1.0 / bounds.len() as f64;
-    Setup {
-        blocks: (0..bounds.len()).map(|i| (ShardId(i as u32), weight)).collect(),
-        known: Vec::new(),
+    PlanSetup {
+        blocks: (0..bounds.len())
+            .map(|i| BlockSetup { shard: ShardId(i as u32), weight, known: None })
+            .collect(),
         spec,
-        effect: false,
-        floor: 1.0,
-        aim: 1_000_000,
-        end: 2_000_000,
-        budget: Budget::Scout(300_000),
+        has_effect: false,
+        minimum_completeness: 1.0,
+        objective: 1_000_000,
+        deadline: 2_000_000,
+        budget: ScoutBudget::Until(300_000),
         wave_time: 100_000,
     }
 }
@@ -267,43 +276,43 @@
 }
 
 /// Has all scouts say these bounds at once.
-fn scouted(plan: &mut Plan, bounds: &[f64]) -> Vec<Want> {
-    let mut wants = Vec::new();
+fn scouted(plan: &mut Plan, bounds: &[f64]) -> Vec<PlanAction> {
+    let mut actions = Vec::new();
     for (i, &bound) in bounds.iter().enumerate() {
-        wants.extend(plan.scouted(1_000, i, Ok(Sketch { bound, count: None })));
+        actions.extend(plan.scout_completed(1_000, i, Ok(Sketch { bound, count: None })));
     }
-    wants
+    actions
 }
 
 #[test]
-fn of_a_thousand_blocks_a_few_are_asked() {
+fn of_a_thousand_blocks_a_few_are_fetched() {
     let bounds: Vec<f64> = (0..1000).map(|i| f64::from((i * 7919) % 1000)).collect();
     let spec = Spec { choose: Choose::Best(3), top: 10, wave: 4, silent: Silent::Ask };
-    let (mut plan, wants) = Plan::begin(0, setup(&bounds, spec));
-    assert!(matches!(&wants[..], [Want::Scout(all)] if all.len() == 1000));
-    let wants = scouted(&mut plan, &bounds);
-    let [Want::Fetch(wave)] = &wants[..] else { panic!("{wants:?}") };
+    let (mut plan, actions) = Plan::start(0, setup(&bounds, spec));
+    assert!(matches!(&actions[..], [PlanAction::SendScouts(all)] if all.len() == 1000));
+    let actions = scouted(&mut plan, &bounds);
+    let [PlanAction::Fetch(wave)] = &actions[..] else { panic!("{actions:?}") };
     assert_eq!(wave.iter().map(|&i| bounds[i]).collect::<Vec<_>>(), [999.0, 998.0, 997.0]);
     let wave = wave.clone();
     let mut last = Vec::new();
     for block in wave {
-        last = plan.fetched(2_000, block, Ok(one(bounds[block], block)));
+        last = plan.fetch_completed(2_000, block, Ok(one(bounds[block], block)));
     }
-    let [Want::Answer(answer)] = &last[..] else { panic!("{last:?}") };
+    let [PlanAction::Respond(answer)] = &last[..] else { panic!("{last:?}") };
     assert_eq!((answer.asked.len(), answer.pruned.len(), answer.whole, answer.exact), (3, 997, false, false));
 }
 
 #[test]
-fn each_wave_raises_the_bar() {
+fn each_wave_raises_the_threshold() {
     let bounds = [10.0, 9.0, 8.0, 7.0, 3.0, 2.0];
     let spec = Spec { choose: Choose::Threshold, top: 2, wave: 2, silent: Silent::Ask };
-    let (mut plan, _) = Plan::begin(0, setup(&bounds, spec));
-    assert_eq!(scouted(&mut plan, &bounds), [Want::Fetch(vec![0, 1])]);
-    assert!(plan.fetched(2_000, 0, Ok(one(5.0, 0))).is_empty());
-    assert_eq!(plan.fetched(2_000, 1, Ok(one(4.0, 1))), [Want::Fetch(vec![2, 3])]);
-    assert!(plan.fetched(3_000, 2, Ok(one(6.0, 2))).is_empty());
-    let wants = plan.fetched(3_000, 3, Ok(one(1.0, 3)));
-    let [Want::Answer(answer)] = &wants[..] else { panic!("{wants:?}") };
+    let (mut plan, _) = Plan::start(0, setup(&bounds, spec));
+    assert_eq!(scouted(&mut plan, &bounds), [PlanAction::Fetch(vec![0, 1])]);
+    assert!(plan.fetch_completed(2_000, 0, Ok(one(5.0, 0))).is_empty());
+    assert_eq!(plan.fetch_completed(2_000, 1, Ok(one(4.0, 1))), [PlanAction::Fetch(vec![2, 3])]);
+    assert!(plan.fetch_completed(3_000, 2, Ok(one(6.0, 2))).is_empty());
+    let actions = plan.fetch_completed(3_000, 3, Ok(one(1.0, 3)));
+    let [PlanAction::Respond(answer)] = &actions[..] else { panic!("{actions:?}") };
     // The two that are left are bounded by 3 and 2, under the second best row of 5.
     assert!(answer.exact && !answer.whole);
     assert_eq!(answer.rows.iter().map(|r| r.score).collect::<Vec<_>>(), [6.0, 5.0]);
@@ -311,76 +320,87 @@
 }
 
 #[test]
-fn a_block_that_lied_takes_the_proof_away() {
+fn a_contradicted_sketch_takes_the_proof_away() {
     let bounds = [10.0, 2.0];
     let spec = Spec { choose: Choose::Threshold, top: 1, wave: 1, silent: Silent::Ask };
-    let (mut plan, _) = Plan::begin(0, setup(&bounds, spec));
+    let (mut plan, _) = Plan::start(0, setup(&bounds, spec));
     scouted(&mut plan, &bounds);
     // A score above its own bound: none of the bounds is believed any more, and the rest is asked.
-    assert_eq!(plan.fetched(2_000, 0, Ok(one(11.0, 0))), [Want::Fetch(vec![1])]);
+    assert_eq!(plan.fetch_completed(2_000, 0, Ok(one(11.0, 0))), [PlanAction::Fetch(vec![1])]);
 }
 
 #[test]
-fn a_hold_goes_to_the_next_block_only_if_it_never_ran() {
+fn a_non_idempotent_query_goes_to_the_next_block_only_if_not_executed() {
     let bounds = [3.0, 2.0, 1.0];
     let spec = Spec { choose: Choose::Best(2), top: 1, wave: 4, silent: Silent::Ask };
-    let hold = Setup { effect: true, ..setup(&bounds, spec) };
-    let (mut plan, _) = Plan::begin(0, hold.clone());
-    assert_eq!(scouted(&mut plan, &bounds), [Want::Fetch(vec![0])]);
-    assert_eq!(plan.fetched(2_000, 0, Err(Lost::NeverRan)), [Want::Fetch(vec![1])]);
-    assert_eq!(plan.fetched(3_000, 1, Err(Lost::NeverRan)), [Want::GiveUp { harmless: true }]);
-    let (mut plan, _) = Plan::begin(0, hold);
+    let hold = PlanSetup { has_effect: true, ..setup(&bounds, spec) };
+    let (mut plan, _) = Plan::start(0, hold.clone());
+    assert_eq!(scouted(&mut plan, &bounds), [PlanAction::Fetch(vec![0])]);
+    assert_eq!(plan.fetch_completed(2_000, 0, Err(PartLoss::NotExecuted)), [PlanAction::Fetch(vec![1])]);
+    assert_eq!(
+        plan.fetch_completed(3_000, 1, Err(PartLoss::NotExecuted)),
+        [PlanAction::GiveUp { effect_possible: false }]
+    );
+    let (mut plan, _) = Plan::start(0, hold);
     scouted(&mut plan, &bounds);
-    assert_eq!(plan.fetched(2_000, 0, Err(Lost::MayHaveRun)), [Want::GiveUp { harmless: false }]);
+    assert_eq!(
+        plan.fetch_completed(2_000, 0, Err(PartLoss::PossiblyExecuted)),
+        [PlanAction::GiveUp { effect_possible: true }]
+    );
 }
 
 #[test]
-fn slow_scouts_are_given_up_at_their_budget_and_time_outs_may_meet() {
+fn slow_scouts_are_cancelled_at_their_budget_and_timeouts_may_coincide() {
     let bounds = [5.0, 4.0, 3.0];
     for (silent, fetch) in [(Silent::Ask, vec![1, 2, 0]), (Silent::Skip, vec![0])] {
         let spec = Spec { choose: Choose::Threshold, top: 1, wave: 9, silent };
-        let (mut plan, _) = Plan::begin(0, setup(&bounds, spec));
-        assert!(plan.scouted(1_000, 0, Ok(Sketch { bound: 5.0, count: None })).is_empty());
-        assert_eq!(plan.due(), Some(300_000));
-        let wants = plan.tick(300_000);
-        // Guards the clock against its own budgets: what scouts that spoke took is recorded, not the wait for
-        // those that did not.
-        assert_eq!(plan.times().0, Some(1_000));
-        assert_eq!(wants, [Want::DropScouts(vec![1, 2]), Want::Fetch(fetch)]);
+        let (mut plan, _) = Plan::start(0, setup(&bounds, spec));
+        assert!(plan.scout_completed(1_000, 0, Ok(Sketch { bound: 5.0, count: None })).is_empty());
+        assert_eq!(plan.poll_timeout(), Some(300_000));
+        let actions = plan.handle_timeout(300_000);
+        // Guards the estimate against its own budgets: how long scouts took that reported is recorded, not the
+        // wait for those that did not.
+        assert_eq!(plan.take_phase_times().scouts, Some(1_000));
+        assert_eq!(actions, [PlanAction::CancelScouts(vec![1, 2]), PlanAction::Fetch(fetch)]);
     }
-    // The end of all time comes in the same turn as the end of the scouts'.
+    // The deadline comes in the same call as the end of the scouts' budget.
     let spec = Spec { choose: Choose::Threshold, top: 1, wave: 9, silent: Silent::Ask };
-    let (mut plan, _) = Plan::begin(0, setup(&bounds, spec));
-    let wants = plan.tick(2_000_000);
+    let (mut plan, _) = Plan::start(0, setup(&bounds, spec));
+    let actions = plan.handle_timeout(2_000_000);
     assert!(
         matches!(
-            &wants[..],
-            [Want::DropScouts(_), Want::Fetch(_), Want::DropFetches(_), Want::GiveUp { harmless: true }]
+            &actions[..],
+            [
+                PlanAction::CancelScouts(_),
+                PlanAction::Fetch(_),
+                PlanAction::CancelFetches(_),
+                PlanAction::GiveUp { effect_possible: false }
+            ]
         ),
-        "{wants:?}"
+        "{actions:?}"
     );
 }
 
 #[test]
-fn sketches_are_bounded_age_and_are_thrown_away() {
-    let mut sketches = Sketches::new(SketchBounds { entries: 3, age: 100 });
+fn sketches_are_bounded_expire_and_are_invalidated() {
+    let mut sketches = SketchCache::new(SketchBounds { entries: 3, age: 100 });
     let sketch = |bound| Sketch { bound, count: None };
     for shard in 0..5_u32 {
-        sketches.put(u64::from(shard), 7, ShardId(shard), sketch(f64::from(shard)));
+        sketches.insert(u64::from(shard), 7, ShardId(shard), sketch(f64::from(shard)));
     }
-    assert_eq!((sketches.held(), sketches.get(5, 7, ShardId(1))), (3, None));
+    assert_eq!((sketches.count(), sketches.get(5, 7, ShardId(1))), (3, None));
     assert_eq!(sketches.get(5, 7, ShardId(4)), Some(sketch(4.0)));
     assert_eq!(sketches.get(5, 8, ShardId(4)), None);
     assert_eq!(sketches.get(104, 7, ShardId(4)), None);
-    sketches.put(10, 7, ShardId(4), sketch(9.0));
-    assert_eq!((sketches.held(), sketches.get(105, 7, ShardId(4))), (3, Some(sketch(9.0))));
-    sketches.forget(|shard| shard.0 == 4);
-    assert_eq!((sketches.held(), sketches.get(11, 7, ShardId(4))), (2, None));
+    sketches.insert(10, 7, ShardId(4), sketch(9.0));
+    assert_eq!((sketches.count(), sketches.get(105, 7, ShardId(4))), (3, Some(sketch(9.0))));
+    sketches.invalidate(|shard| shard.0 == 4);
+    assert_eq!((sketches.count(), sketches.get(11, 7, ShardId(4))), (2, None));
 }
 
 #[test]
-fn what_makes_no_sense_is_no_sketch_and_no_row() {
-    assert_eq!(sketch(r#"{"bound": 2.5, "count": 3}"#), Ok(Sketch { bound: 2.5, count: Some(3) }));
+fn malformed_values_are_no_sketch_and_no_row() {
+    assert_eq!(parse_sketch(r#"{"bound": 2.5, "count": 3}"#), Ok(Sketch { bound: 2.5, count: Some(3) }));
     for bad in [
         "",
         "{}",
@@ -389,13 +409,43 @@
         r#"{"bound": 1e999}"#,
         r#"{"bound": 1, "count": -1}"#,
     ] {
-        assert!(sketch(bad).is_err(), "{bad}");
+        assert!(parse_sketch(bad).is_err(), "{bad}");
     }
-    assert!(sketch(&format!(r#"{{"bound": 1, "x": "{}"}}"#, "y".repeat(2000))).is_err());
-    assert_eq!(rows(ShardId(3), r#"[{"score": 1, "id": "a"}]"#).map(|r| r.len()), Ok(1));
+    assert!(parse_sketch(&format!(r#"{{"bound": 1, "x": "{}"}}"#, "y".repeat(2000))).is_err());
+    assert_eq!(parse_rows(ShardId(3), r#"[{"score": 1, "id": "a"}]"#).map(|r| r.len()), Ok(1));
     for bad in ["{}", "[1]", r#"[{"score": "x", "id": "a"}]"#, r#"[{"score": 1}]"#] {
-        assert!(rows(ShardId(3), bad).is_err(), "{bad}");
+        assert!(parse_rows(ShardId(3), bad).is_err(), "{bad}");
+    }
+    let many = vec![r#"{"score": 1, "id": "a"}"#; MAX_ROWS_PER_BLOCK + 1].join(",");
+    assert!(parse_rows(ShardId(3), &format!("[{many}]")).is_err());
+}
+
+#[test]
+fn scouts_get_what_they_need_and_no_more_than_waves_leave() {
+    let mut times = PhaseTimeEstimator::new(Rule::Learned);
+    // Without observations: fractions of the objective.
+    assert_eq!(times.budget(0, 1_000_000, 1_000_000, 1), ScoutBudget::Until(300_000));
+    for _ in 0..100 {
+        times.record_scouts(20_000);
+        times.record_wave(100_000);
     }
-    let many = vec![r#"{"score": 1, "id": "a"}"#; MOST_ROWS + 1].join(",");
-    assert!(rows(ShardId(3), &format!("[{many}]")).is_err());
+    let near = |budget: ScoutBudget, at: Micros| match budget {
+        ScoutBudget::Until(until) => until.abs_diff(at) < at / 50,
+        ScoutBudget::NoScouts => false,
+    };
+    assert!(near(times.budget(0, 1_000_000, 1_000_000, 1), 40_000));
+    assert!(near(times.budget(0, 1_000_000, 130_000, 1), 30_000));
+    assert_eq!(times.budget(0, 1_000_000, 105_000, 1), ScoutBudget::NoScouts);
+    assert!(times.wave_fits(1_000_000, 110_000) && !times.wave_fits(1_000_000, 90_000));
+    // A change shows.
+    for _ in 0..3_000 {
+        times.record_scouts(200_000);
+    }
+    assert!(near(times.budget(0, 1_000_000, 1_000_000, 1), 400_000));
+}
+
+#[test]
+fn simpler_rules_split_what_is_left() {
+    assert_eq!(PhaseTimeEstimator::new(Rule::Half).budget(10, 1_000, 400, 3), ScoutBudget::Until(210));
+    assert_eq!(PhaseTimeEstimator::new(Rule::Share(0.25)).budget(10, 1_000, 400, 3), ScoutBudget::Until(110));
 }
--- a/crates/edge/src/front/query.rs
+++ b/crates/edge/src/front/query.rs
@@ -113,8 +113,8 @@
         "pruned": numbers(&ranked.pruned), "skipped": numbers(&ranked.skipped),
         "failed": numbers(&ranked.failed),
     });
-    if let Some((shard, blob)) = &ranked.held {
-        marks["held"] = json!({"range": shard.0, "blob": **blob});
+    if let Some(effect) = &ranked.effect {
+        marks["held"] = json!({"range": effect.shard.0, "blob": *effect.value});
     }
     marks
 }
