--- a/crates/core/src/table_memory.rs
+++ b/crates/core/src/table_memory.rs
@@ -1,21 +1,22 @@
-//! The memory for tables: which host may send how much more, and who gives way when all of it is taken.
+//! The memory for tables: which backend may send how much more, and which query is evicted when all of it is
+//! reserved.
 //!
-//! Every byte that a host may still send or has sent is drawn from one budget. A stream opens with a first
-//! window that is always there (it is set aside for as many streams as may be open); for all that comes
-//! beyond, [`TableMemory::request_window`] says whether the host may go on. A host that may not is told nothing: its window
-//! stays shut, and HTTP/2 makes it wait. Bytes that readers have not taken yet stay drawn ([`TableLease`]), so a
-//! slow reader shuts the windows of hosts.
+//! Every byte that a backend may still send or has sent is reserved from one budget. A stream opens with an
+//! initial window that is always there (it is set aside for as many streams as may be open); for all that
+//! comes beyond, [`TableMemory::request_window`] says whether the backend may go on. A backend that may not is
+//! not notified: its window stays shut, and HTTP/2 makes it wait. Bytes that clients have not read yet stay
+//! reserved ([`TableLease`]), so a slow client shuts the windows of backends.
 //!
-//! Two rules keep this from standing still. A call has a bound of its own. And once the whole budget is held
-//! by calls that all wait for more, with nothing on its way to a reader, the youngest of them gives way
-//! ([`TableMemory::query_to_evict`]): the oldest then always comes to its end.
+//! Two rules prevent a deadlock. A query has a limit of its own. And once the whole budget is reserved by
+//! queries that all wait for more, with nothing on its way to a client, the youngest of them is evicted
+//! ([`TableMemory::query_to_evict`]): the oldest can then always complete.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::rc::Rc;
 
-/// A stream of a host, by a number that its opener gave out.
+/// A stream of a backend, by a number that its opener gave out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StreamId(pub u64);
 
@@ -23,109 +24,132 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId(pub u128);
 
-/// The bounds.
+/// The limits, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableMemoryLimits {
-    /// Bytes for all tables together, beyond first windows.
+    /// For all tables together, beyond initial windows.
     pub total: usize,
-    /// Bytes for the tables of one query.
+    /// For the tables of one query.
     pub per_query: usize,
 }
 
-/// Whether a host may send more.
+/// Whether a backend may send more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WindowGrant {
     /// It may, at once.
     Granted,
     /// Not yet; [`TableMemory::take_grants`] says when.
     Queued,
-    /// Never: the query's tables would outgrow their bound.
+    /// Never: the query's tables would exceed their limit.
     Exceeded,
 }
 
 #[derive(Debug)]
 struct Stream {
-    call: CallId,
-    /// Drawn for it beyond its first window.
-    drawn: usize,
-    /// What it waits for.
-    wants: usize,
+    query: CallId,
+    /// Bytes reserved for it beyond its initial window.
+    reserved: usize,
+    /// Bytes that it waits for.
+    queued: usize,
+}
+
+/// A stream that waits, in the order in which streams are granted more: the oldest query's first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Waiting {
+    query: CallId,
+    stream: StreamId,
+    bytes: usize,
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct Reservations {
     streams: BTreeMap<StreamId, Stream>,
-    /// Drawn by each query: its open streams, and its tables that are whole.
-    calls: BTreeMap<CallId, usize>,
-    drawn: usize,
-    /// Of what is drawn, so much belongs to whole tables: it comes back as readers take them.
+    /// Bytes reserved by each query: of its open streams, and of its complete tables.
+    by_query: BTreeMap<CallId, usize>,
+    total: usize,
+    /// Of the total, what belongs to complete tables: it is released as clients read them.
     leased: usize,
+    /// The largest total there ever was.
     peak: usize,
 }
 
-impl State {
-    fn draw(&mut self, call: CallId, bytes: usize) {
+impl Reservations {
+    fn reserve(&mut self, query: CallId, bytes: usize) {
         if bytes > 0 {
-            *self.calls.entry(call).or_default() += bytes;
-            self.drawn += bytes;
-            self.peak = self.peak.max(self.drawn);
+            *self.by_query.entry(query).or_default() += bytes;
+            self.total += bytes;
+            self.peak = self.peak.max(self.total);
         }
     }
 
-    fn give_back(&mut self, call: CallId, bytes: usize) {
-        self.drawn -= bytes;
-        if let Some(held) = self.calls.get_mut(&call) {
-            *held -= bytes;
-            if *held == 0 {
-                self.calls.remove(&call);
+    fn release(&mut self, query: CallId, bytes: usize) {
+        self.total -= bytes;
+        if let Some(reserved) = self.by_query.get_mut(&query) {
+            *reserved -= bytes;
+            if *reserved == 0 {
+                self.by_query.remove(&query);
             }
         }
     }
+
+    fn of_query(&self, query: CallId) -> usize {
+        self.by_query.get(&query).copied().unwrap_or(0)
+    }
+
+    /// Whether a stream of `query` may be granted so many bytes.
+    fn decide(
+        &self,
+        limits: &TableMemoryLimits,
+        stream: StreamId,
+        query: CallId,
+        bytes: usize,
+    ) -> WindowGrant {
+        // What the query's other streams wait for will be granted one day, and counts.
+        let others = self.streams.iter().filter(|(id, other)| other.query == query && **id != stream);
+        let queued: usize = others.map(|(_, other)| other.queued).sum();
+        if self.of_query(query) + queued + bytes > limits.per_query {
+            return WindowGrant::Exceeded;
+        }
+        let older_waits = self.streams.values().any(|other| other.queued > 0 && other.query < query);
+        if older_waits || self.total + bytes > limits.total {
+            return WindowGrant::Queued;
+        }
+        WindowGrant::Granted
+    }
 }
 
 /// The budget. Clones share it.
 #[derive(Clone, Debug)]
 pub struct TableMemory {
-    bounds: TableMemoryLimits,
-    state: Rc<RefCell<State>>,
+    limits: TableMemoryLimits,
+    reservations: Rc<RefCell<Reservations>>,
 }
 
 impl TableMemory {
-    /// A budget of which nothing is drawn.
+    /// A budget of which nothing is reserved.
     #[must_use]
-    pub fn new(bounds: TableMemoryLimits) -> Self {
-        Self { bounds, state: Rc::default() }
+    pub fn new(limits: TableMemoryLimits) -> Self {
+        Self { limits, reservations: Rc::default() }
     }
 
-    /// A stream is opened for a query; its first window is not drawn from here.
-    pub fn open(&self, stream: StreamId, call: CallId) {
-        self.state.borrow_mut().streams.insert(stream, Stream { call, drawn: 0, wants: 0 });
+    /// A stream is opened for a query; its initial window is not reserved from here.
+    pub fn open(&self, stream: StreamId, query: CallId) {
+        let opened = Stream { query, reserved: 0, queued: 0 };
+        self.reservations.borrow_mut().streams.insert(stream, opened);
     }
 
-    /// The host of this stream could send so many bytes more.
+    /// The backend of this stream could send so many bytes more.
     pub fn request_window(&self, stream: StreamId, bytes: usize) -> WindowGrant {
-        let mut state = self.state.borrow_mut();
-        let Some(Stream { call, wants, .. }) = state.streams.get(&stream) else {
-            return WindowGrant::Exceeded;
-        };
-        let (call, bytes) = (*call, bytes + *wants);
-        // What the query's other streams wait for will be granted one day, and counts.
-        let others = state.streams.iter().filter(|(id, s)| s.call == call && **id != stream);
-        let held = state.calls.get(&call).copied().unwrap_or(0) + others.map(|(_, s)| s.wants).sum::<usize>();
-        let older_waits = state.streams.values().any(|s| s.wants > 0 && s.call < call);
-        let grant = if held + bytes > self.bounds.per_query {
-            WindowGrant::Exceeded
-        } else if older_waits || state.drawn + bytes > self.bounds.total {
-            WindowGrant::Queued
-        } else {
-            WindowGrant::Granted
-        };
+        let mut reservations = self.reservations.borrow_mut();
+        let Some(open) = reservations.streams.get(&stream) else { return WindowGrant::Exceeded };
+        let (query, bytes) = (open.query, bytes + open.queued);
+        let grant = reservations.decide(&self.limits, stream, query, bytes);
         if grant == WindowGrant::Granted {
-            state.draw(call, bytes);
+            reservations.reserve(query, bytes);
         }
-        if let Some(open) = state.streams.get_mut(&stream) {
-            open.wants = if grant == WindowGrant::Queued { bytes } else { 0 };
-            open.drawn += if grant == WindowGrant::Granted { bytes } else { 0 };
+        if let Some(open) = reservations.streams.get_mut(&stream) {
+            open.queued = if grant == WindowGrant::Queued { bytes } else { 0 };
+            open.reserved += if grant == WindowGrant::Granted { bytes } else { 0 };
         }
         grant
     }
@@ -133,92 +157,93 @@
     /// The streams that may go on now, with the bytes that each may send: the oldest query's come first, and
     /// a younger one does not overtake it.
     pub fn take_grants(&self) -> Vec<(StreamId, usize)> {
-        let mut state = self.state.borrow_mut();
-        let waiting = state.streams.iter().filter(|(_, s)| s.wants > 0);
-        let mut waiting: Vec<_> = waiting.map(|(&id, s)| (s.call, id, s.wants)).collect();
+        let mut reservations = self.reservations.borrow_mut();
+        let queued = reservations.streams.iter().filter(|(_, open)| open.queued > 0);
+        let mut waiting: Vec<Waiting> =
+            queued.map(|(&stream, open)| Waiting { query: open.query, stream, bytes: open.queued }).collect();
         waiting.sort_unstable();
         let mut granted = Vec::new();
-        for (call, id, wants) in waiting {
-            if state.drawn + wants > self.bounds.total {
+        for Waiting { query, stream, bytes } in waiting {
+            if reservations.total + bytes > self.limits.total {
                 break;
             }
-            state.draw(call, wants);
-            if let Some(stream) = state.streams.get_mut(&id) {
-                (stream.drawn, stream.wants) = (stream.drawn + wants, 0);
+            reservations.reserve(query, bytes);
+            if let Some(open) = reservations.streams.get_mut(&stream) {
+                open.reserved += bytes;
+                open.queued = 0;
             }
-            granted.push((id, wants));
+            granted.push((stream, bytes));
         }
         granted
     }
 
-    /// The query that has to give way, once nothing else can bring the others on: all that is drawn is held
-    /// by streams, somebody waits, and no table is on its way to a reader. The youngest one that holds any.
+    /// The query that has to be evicted because nothing else can bring the others on: all that is reserved is
+    /// held by streams that wait, and no complete table is on its way to a client. The youngest one that has
+    /// anything reserved.
     #[must_use]
     pub fn query_to_evict(&self) -> Option<CallId> {
-        let state = self.state.borrow();
-        let waiting: Vec<&Stream> = state.streams.values().filter(|s| s.wants > 0).collect();
-        if waiting.is_empty() || state.leased > 0 {
-            return None;
-        }
-        // A stream that holds something and does not wait will end or wait in its turn.
-        let moves = state.streams.values().any(|s| s.drawn > 0 && s.wants == 0);
-        if moves {
+        let reservations = self.reservations.borrow();
+        let streams = || reservations.streams.values();
+        let oldest_waiting = streams().filter(|open| open.queued > 0).map(|open| open.query).min()?;
+        // A stream that has something reserved and does not wait will end, or wait later.
+        let moves = streams().any(|open| open.reserved > 0 && open.queued == 0);
+        if reservations.leased > 0 || moves {
             return None;
         }
-        let oldest = waiting.iter().map(|s| s.call).min();
-        let holders = state.streams.values().filter(|s| s.drawn > 0).map(|s| s.call);
-        // The oldest gives way only to itself: one that cannot end alone is refused by its own bound.
-        holders.max().filter(|&call| Some(call) != oldest)
+        let youngest = streams().filter(|open| open.reserved > 0).map(|open| open.query).max();
+        // The oldest is not evicted: where it cannot complete alone, its own limit ends it.
+        youngest.filter(|&query| query != oldest_waiting)
     }
 
-    /// The stream is over, and nothing of it is kept.
+    /// The stream has ended, and nothing of it is kept.
     pub fn close(&self, stream: StreamId) {
-        let mut state = self.state.borrow_mut();
-        if let Some(open) = state.streams.remove(&stream) {
-            state.give_back(open.call, open.drawn);
+        let mut reservations = self.reservations.borrow_mut();
+        if let Some(open) = reservations.streams.remove(&stream) {
+            reservations.release(open.query, open.reserved);
         }
     }
 
-    /// The stream has ended with a whole table of so many bytes, which stay drawn until the lease is dropped.
-    /// `None` if there is no room: a small table comes through the first window alone, and has to find its
-    /// room only now.
+    /// The stream has ended with a complete table of so many bytes, which stay reserved until the lease is
+    /// dropped. `None` if there is no capacity: a small table comes through the initial window alone, and needs
+    /// a reservation only now.
     #[must_use]
     pub fn retain(&self, stream: StreamId, bytes: usize) -> Option<TableLease> {
-        let mut state = self.state.borrow_mut();
-        let open = state.streams.remove(&stream)?;
-        state.give_back(open.call, open.drawn);
-        let held = state.calls.get(&open.call).copied().unwrap_or(0);
-        if state.drawn + bytes > self.bounds.total || held + bytes > self.bounds.per_query {
+        let mut reservations = self.reservations.borrow_mut();
+        let open = reservations.streams.remove(&stream)?;
+        let query = open.query;
+        reservations.release(query, open.reserved);
+        let exceeds_total = reservations.total + bytes > self.limits.total;
+        if exceeds_total || reservations.of_query(query) + bytes > self.limits.per_query {
             return None;
         }
-        state.draw(open.call, bytes);
-        state.leased += bytes;
-        drop(state);
-        Some(TableLease(Some(Hold { state: Rc::clone(&self.state), call: open.call, bytes })))
+        reservations.reserve(query, bytes);
+        reservations.leased += bytes;
+        drop(reservations);
+        Some(TableLease(Some(Lease { reservations: Rc::clone(&self.reservations), query, bytes })))
     }
 
-    /// Bytes drawn now, and the most that ever were.
+    /// Bytes reserved now, and the most that ever were.
     #[must_use]
     pub fn usage(&self) -> (usize, usize) {
-        let state = self.state.borrow();
-        (state.drawn, state.peak)
+        let reservations = self.reservations.borrow();
+        (reservations.total, reservations.peak)
     }
 
-    /// Whether any host waits.
+    /// Whether any backend waits.
     #[must_use]
     pub fn has_waiting_streams(&self) -> bool {
-        self.state.borrow().streams.values().any(|s| s.wants > 0)
+        self.reservations.borrow().streams.values().any(|open| open.queued > 0)
     }
 }
 
-struct Hold {
-    state: Rc<RefCell<State>>,
-    call: CallId,
+struct Lease {
+    reservations: Rc<RefCell<Reservations>>,
+    query: CallId,
     bytes: usize,
 }
 
-/// A whole table's share of the budget; comes back when it is dropped.
-pub struct TableLease(Option<Hold>);
+/// A complete table's share of the budget; it is released when this is dropped.
+pub struct TableLease(Option<Lease>);
 
 impl TableLease {
     /// A share of nothing.
@@ -230,16 +255,16 @@
 
 impl fmt::Debug for TableLease {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "TableLease({})", self.0.as_ref().map_or(0, |hold| hold.bytes))
+        write!(f, "TableLease({})", self.0.as_ref().map_or(0, |lease| lease.bytes))
     }
 }
 
 impl Drop for TableLease {
     fn drop(&mut self) {
-        if let Some(hold) = self.0.take() {
-            let mut state = hold.state.borrow_mut();
-            state.leased -= hold.bytes;
-            state.give_back(hold.call, hold.bytes);
+        if let Some(lease) = self.0.take() {
+            let mut reservations = lease.reservations.borrow_mut();
+            reservations.leased -= lease.bytes;
+            reservations.release(lease.query, lease.bytes);
         }
     }
 }
