--- /dev/null
+++ b/crates/core/src/stream_admission/reader.rs
@@ -0,0 +1,49 @@
+//! When a client that does not read its response is disconnected: if it reads nothing for too long, or so
+//! little that its response would hold memory for ever.
+
+use mallowgauge_router::Micros;
+
+const SECOND_US: Micros = 1_000_000;
+/// A client that reads nothing for so long is disconnected, in microseconds.
+pub const STALL: Micros = 10_000_000;
+/// After so long a client has to read at least at [`MIN_BYTES_PER_SECOND`], in microseconds.
+const RATE_GRACE_US: Micros = 30_000_000;
+const MIN_BYTES_PER_SECOND: u64 = 4 * 1024;
+
+/// How a client reads one response.
+#[derive(Clone, Copy, Debug)]
+pub struct Reader {
+    started_at: Micros,
+    last_read_at: Micros,
+    bytes_read: u64,
+}
+
+impl Reader {
+    /// A response has started.
+    #[must_use]
+    pub fn new(now: Micros) -> Self {
+        Self { started_at: now, last_read_at: now, bytes_read: 0 }
+    }
+
+    /// The client has read so many bytes.
+    pub fn took(&mut self, now: Micros, bytes: usize) {
+        if bytes > 0 {
+            self.last_read_at = now;
+            self.bytes_read += bytes as u64;
+        }
+    }
+
+    /// There is something to read again, after a time in which there was nothing.
+    pub fn rested(&mut self, now: Micros) {
+        *self = Self::new(now);
+    }
+
+    /// When the client is disconnected unless it reads more.
+    #[must_use]
+    pub fn deadline(&self) -> Micros {
+        let stalled_at = self.last_read_at + STALL;
+        let time_earned = self.bytes_read / MIN_BYTES_PER_SECOND * SECOND_US;
+        let too_slow_at = self.started_at + RATE_GRACE_US.max(time_earned.saturating_add(STALL));
+        stalled_at.min(too_slow_at)
+    }
+}
