--- a/crates/core/src/sessions.rs
+++ b/crates/core/src/sessions.rs
@@ -1,18 +1,19 @@
-//! Sessions of a front: options that a client has set for all its calls, kept for as long as it comes back.
+//! Sessions of the Flight frontend: options that a client has set for all its calls, kept until it has been
+//! idle for too long.
 //!
-//! A session is known by a number that its client carries (a cookie or a field of its token). Memory is
-//! bounded: when all places are taken, the session that has rested longest goes, and its client finds its
-//! options gone the way they would be after a restart; it is told so, and sets them anew.
+//! A session is known by a number that its client sends (a cookie or a field of its token). Memory is bounded:
+//! beyond the limit the session that was idle longest is evicted. Its client finds its options gone as after a
+//! restart, is told so, and sets them again.
 
 use std::collections::BTreeMap;
 
 use mallowgauge_router::Micros;
 
-/// A session, by the number that its client carries.
+/// A session, by the number that its client sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SessionId(pub u128);
 
-/// How the bodies of tables are compressed that are made here.
+/// How the bodies of tables are compressed that this instance writes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Compression {
     /// Not at all.
@@ -24,14 +25,14 @@
     Zstd,
 }
 
-/// What a session can set.
+/// The options of a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Options {
-    /// How tables that are made here are compressed.
+    /// How tables are compressed that this instance writes.
     pub compression: Compression,
-    /// The longest that its queries are waited for, where a call states no time.
+    /// The client time-out of its queries in microseconds, where a call states none.
     pub timeout: Option<Micros>,
-    /// Only whole answers: a partial one counts as a failure.
+    /// Only complete responses: a partial one counts as a failure.
     pub whole_only: bool,
 }
 
@@ -57,8 +58,12 @@
     Whole(i64),
 }
 
+/// Time-outs that a session can set, in milliseconds: up to a day.
+const TIMEOUT_MS: std::ops::RangeInclusive<u64> = 1..=86_400_000;
+const MICROS_PER_MS: Micros = 1000;
+
 impl Options {
-    /// Sets one option.
+    /// Sets one option, by its name on the wire.
     ///
     /// # Errors
     /// There is no such option or value.
@@ -75,8 +80,8 @@
             }
             ("timeout_ms", Setting::Unset) => self.timeout = None,
             ("timeout_ms", Setting::Whole(ms)) => {
-                let ms = u64::try_from(*ms).ok().filter(|&ms| ms > 0 && ms <= 86_400_000);
-                self.timeout = Some(ms.ok_or(Bad::Value)? * 1000);
+                let ms = u64::try_from(*ms).ok().filter(|ms| TIMEOUT_MS.contains(ms));
+                self.timeout = Some(ms.ok_or(Bad::Value)? * MICROS_PER_MS);
             }
             ("whole_only", Setting::Unset) => self.whole_only = false,
             ("whole_only", Setting::Flag(flag)) => self.whole_only = *flag,
@@ -86,7 +91,7 @@
         Ok(())
     }
 
-    /// All options with their values.
+    /// All options by their names on the wire, with their values.
     #[must_use]
     pub fn all(&self) -> Vec<(&'static str, Setting)> {
         let compression = match self.compression {
@@ -94,8 +99,9 @@
             Compression::Lz4 => "lz4",
             Compression::Zstd => "zstd",
         };
-        let timeout =
-            self.timeout.map_or(Setting::Unset, |t| Setting::Whole(i64::try_from(t / 1000).unwrap_or(0)));
+        let timeout = self
+            .timeout
+            .map_or(Setting::Unset, |t| Setting::Whole(i64::try_from(t / MICROS_PER_MS).unwrap_or(0)));
         vec![
             ("compression", Setting::Text(compression.to_owned())),
             ("timeout_ms", timeout),
@@ -107,58 +113,61 @@
 #[derive(Debug)]
 struct Session {
     options: Options,
-    until: Micros,
+    expires_at: Micros,
 }
 
 /// The sessions that are open.
 #[derive(Debug)]
 pub struct Sessions {
     sessions: BTreeMap<SessionId, Session>,
-    most: usize,
-    rest: Micros,
+    limit: usize,
+    idle_timeout: Micros,
 }
 
 impl Sessions {
-    /// At most `most`, each kept for `rest` after its last call.
+    /// At most `limit` sessions, each closed when it was idle for `idle_timeout` microseconds.
     #[must_use]
-    pub fn new(most: usize, rest: Micros) -> Self {
-        Self { sessions: BTreeMap::new(), most, rest }
+    pub fn new(limit: usize, idle_timeout: Micros) -> Self {
+        Self { sessions: BTreeMap::new(), limit: limit.max(1), idle_timeout }
     }
 
-    /// The options that count for a call of this session; `None` if it is not open.
+    /// The options for a call of this session; `None` if it is not open.
     pub fn touch(&mut self, now: Micros, id: SessionId) -> Option<Options> {
-        let session = self.sessions.get_mut(&id).filter(|session| session.until > now)?;
-        session.until = now + self.rest;
+        let session = self.sessions.get_mut(&id).filter(|session| session.expires_at > now)?;
+        session.expires_at = now + self.idle_timeout;
         Some(session.options)
     }
 
     /// The session's options, to be changed; it is opened if it is not.
     pub fn open(&mut self, now: Micros, id: SessionId) -> &mut Options {
         if !self.sessions.contains_key(&id) {
-            self.sessions.retain(|_, session| session.until > now);
-            while self.sessions.len() >= self.most.max(1) {
-                let first = self.sessions.iter().min_by_key(|(_, s)| s.until).map(|(&id, _)| id);
-                if let Some(id) = first {
-                    self.sessions.remove(&id);
-                }
-            }
+            self.make_room(now);
         }
-        let until = now + self.rest;
-        let fresh = || Session { options: Options::default(), until };
-        let session = self.sessions.entry(id).or_insert_with(fresh);
-        if session.until <= now {
+        let opened = Session { options: Options::default(), expires_at: Micros::MAX };
+        let session = self.sessions.entry(id).or_insert(opened);
+        if session.expires_at <= now {
             session.options = Options::default();
         }
-        session.until = until;
+        session.expires_at = now + self.idle_timeout;
         &mut session.options
     }
 
+    /// Closes sessions that have expired, and evicts the one that was idle longest while there are too many.
+    fn make_room(&mut self, now: Micros) {
+        self.sessions.retain(|_, session| session.expires_at > now);
+        while self.sessions.len() >= self.limit {
+            let idle_longest = self.sessions.iter().min_by_key(|(_, session)| session.expires_at);
+            let Some(id) = idle_longest.map(|(&id, _)| id) else { return };
+            self.sessions.remove(&id);
+        }
+    }
+
     /// Closes a session; `false` if it was not open.
     pub fn close(&mut self, id: SessionId) -> bool {
         self.sessions.remove(&id).is_some()
     }
 
-    /// How many are kept.
+    /// How many are open or expired and not yet closed.
     #[must_use]
     pub fn held(&self) -> usize {
         self.sessions.len()
--- a/crates/core/src/stream_outcome.rs
+++ b/crates/core/src/stream_outcome.rs
@@ -1,64 +1,64 @@
-//! What may be said of an attempt that went out as a stream of HTTP/2, at each point at which it can end.
+//! The outcome of an attempt that was sent as an HTTP/2 stream, for each way in which the stream can end.
 //!
-//! The one question that matters for a part with an effect is whether it can have run. Only three endings
-//! prove that it did not: it was never handed to a connection, the host refused its stream before looking
-//! at it, or the host's GOAWAY lies below it. And one is the host's own word: a status that says `LATER`.
-//! Everything else leaves it open, however it looks: a reset with any other reason, a connection that broke
-//! while the request may have been in the socket, a table that stopped short.
+//! What matters most is whether a non-idempotent part can have been executed. Three ends of a stream prove that
+//! it was not: the request was never handed to a connection, the backend refused the stream before it looked
+//! at it, or the backend's GOAWAY names a lower stream as its last. In a fourth the backend says so itself: a
+//! status that says `LATER`. Everything else leaves it possibly executed: a reset for any other reason, a
+//! connection that broke while the request may have been in the socket, an incomplete table.
 
 use mallowgauge_router::Outcome;
 
-/// How far a stream has come.
+/// How far a stream has got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StreamStage {
-    /// Waits for a connection to come up or for a place on it; nothing was handed over.
+    /// It waits for a connection, or for a place on one; nothing was handed over.
     Queued,
-    /// The request was handed to the connection, and may be in the socket or beyond.
+    /// The request was handed to the connection, and may have reached the backend.
     Sent,
-    /// The host's answer has begun.
+    /// The backend's response has begun.
     Answering,
-    /// A whole table is in, and its status is not.
+    /// A complete table was received, and its status was not.
     Complete,
 }
 
-/// What ended it.
+/// What ended a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// The host's status was OK.
+    /// The backend's status was OK.
     Ok,
-    /// The host's status says in its details that it turned the part away unseen.
+    /// The backend's status says in its details that it rejected the part unseen.
     RetryLaterStatus,
-    /// The host's status says that time ran out.
+    /// The backend's status says that the deadline was exceeded.
     DeadlineStatus,
     /// Any other status, or none where one should be.
     Status,
-    /// REFUSED_STREAM from the host.
+    /// REFUSED_STREAM from the backend.
     RefusedStream,
-    /// The host's GOAWAY names a stream below this one as its last.
+    /// The backend's GOAWAY names a lower stream as its last.
     AboveGoAway,
     /// Any other reset, from either side.
     Reset,
     /// The connection ended or broke.
     ConnectionLost,
-    /// What came cannot be read: no table, no such part, more than is taken, or compressed in an unknown way.
+    /// What was received is no table, is for another part, is too large, or is compressed in an unknown way.
     Malformed,
-    /// A message that had begun did not become whole in time.
+    /// A message that had begun was not completed in time.
     Stalled,
     /// Nobody waits for it any more.
     Cancelled,
 }
 
-/// What the router is told of the attempt.
+/// The attempt's outcome, for the router.
 #[must_use]
 pub fn classify(stage: StreamStage, end: StreamEnd) -> Outcome {
     match (stage, end) {
-        // Nothing was handed over, whatever happened then.
+        // Nothing was handed over, whatever ended it.
         (StreamStage::Queued, StreamEnd::Cancelled) => Outcome::Cancelled,
         (StreamStage::Queued, _) => Outcome::ConnectFailed,
         (StreamStage::Complete, StreamEnd::Ok) => Outcome::Succeeded,
-        // OK with no table behind it answers no part.
+        // OK without a complete table is no response.
         (_, StreamEnd::Ok) => Outcome::ConnectionLost,
-        // A host that has begun to answer has looked at the part: what it says then proves nothing.
+        // A backend that has begun its response has looked at the part: a rejection then proves nothing.
         (
             StreamStage::Sent,
             StreamEnd::RetryLaterStatus | StreamEnd::RefusedStream | StreamEnd::AboveGoAway,
@@ -79,7 +79,7 @@
     }
 }
 
-/// Whether an outcome proves that the part never ran.
+/// Whether an outcome proves that the part was not executed.
 #[must_use]
 pub fn not_executed(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
--- a/crates/core/src/value.rs
+++ b/crates/core/src/value.rs
@@ -1,4 +1,4 @@
-//! What a part's answer holds: a text, as the platform's frames carry it, or a table of Arrow's columns.
+//! The value of a part: a text, as the platform's frames carry it, or a table in Arrow's format.
 
 use std::fmt;
 use std::rc::Rc;
@@ -7,10 +7,10 @@
 
 use crate::table_memory::TableLease;
 
-/// One message of a table, as it came: its header (a flatbuffer) and its body. Neither is copied on the way.
+/// One Arrow IPC message of a table as it was received, never copied on its way to the client.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Message {
-    /// The header.
+    /// The header, a flatbuffer.
     pub header: Bytes,
     /// The body; empty for a schema.
     pub body: Bytes,
@@ -22,21 +22,21 @@
     }
 }
 
-/// A table as a host gave it: its schema, then dictionaries and record batches.
+/// A table as a backend sent it: its schema, then dictionaries and record batches.
 #[derive(Debug)]
 pub struct Table {
     /// The header of the schema's message.
     pub schema: Bytes,
-    /// Dictionaries and record batches in the order in which they came.
+    /// Dictionaries and record batches, in the order in which they were received.
     pub messages: Vec<Message>,
     /// Rows in all record batches.
     pub rows: u64,
-    /// What it holds of the memory for tables, until the last of it has been passed on.
+    /// Its share of the memory for tables, until all of it has been sent to the client.
     pub lease: TableLease,
 }
 
 impl Table {
-    /// Bytes that it holds.
+    /// Its size in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         let messages = self.messages.iter().map(|m| m.header.len() + m.body.len());
@@ -60,7 +60,7 @@
 }
 
 impl Value {
-    /// Bytes that it holds.
+    /// Its size in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         match self {
