--- a/crates/edge/src/front/flight/response.rs
+++ b/crates/edge/src/front/flight/response.rs
@@ -240,7 +240,9 @@
         QueryResponse::Rejected { retry_after, not_executed } => {
             json!({"status": "refused", "untouched": not_executed, "retry_after_ms": millis(*retry_after)})
         }
-        QueryResponse::Failed(Failure::Invalid(words)) => json!({"status": "invalid", "error": words}),
+        QueryResponse::Failed(Failure::Invalid(error)) => {
+            json!({"status": "invalid", "error": error.message()})
+        }
         QueryResponse::Failed(Failure::DeadlineExceeded) => json!({"status": "time_up"}),
         QueryResponse::Failed(Failure::PartsFailed | Failure::MemoryExhausted) => json!({"status": "failed"}),
     }
