--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -6,54 +6,86 @@
 //! each part to the replica with the fewest of its own parts out.
 //!
 //! ```
-//! use mallowgauge_router::*;
+//! use mallowgauge_router::{
+//!     Action, BackendId, Class, ClassId, DeploymentLimits, Endpoint, EndpointState, EndpointUpdate, Event,
+//!     Idempotency, Outcome, PartArrival, PartId, QueryArrival, QueryId, Router, RuleSettings, Settings,
+//!     SettingsError, ShardId, ShardLayout,
+//! };
 //!
 //! let class = Class {
-//!     aim: 200_000, aim_stretch: 0.0, deadline: 600_000, late_worth: 0.1, effect: Idempotency::Idempotent,
-//!     floor: 1.0, need: 1.0, partial_worth: 0.9, second_step: 0,
+//!     latency_objective: 200_000,
+//!     objective_per_work: 0.0,
+//!     deadline: 600_000,
+//!     late_value: 0.1,
+//!     idempotency: Idempotency::Idempotent,
+//!     minimum_completeness: 1.0,
+//!     required_completeness: 1.0,
+//!     partial_value: 0.9,
+//!     second_step_parts: 0,
 //! };
 //! let settings = Settings {
 //!     routers: 1,
-//!     tick: 1_000,
+//!     batch_interval: 1_000,
 //!     classes: vec![class],
-//!     layout: ShardLayout { cells: 2, reach: 2, parts_per_call: 1, call_work: 0 },
-//!     limits: DeploymentLimits {
-//!         cancel: true, probes: false, second_copies: true, max_attempts: 3, max_retry_after: 0,
-//!     },
+//!     layout: ShardLayout { ring_positions: 2, replication_factor: 2, parts_per_call: 1, call_work: 0 },
+//!     limits: DeploymentLimits { cancellation: true, hedging: true, max_attempts: 3, ..Default::default() },
 //!     rules: RuleSettings {
-//!         cold_from: 0.2, warm_within: 10_000_000, tip_multiple: 3.0, fall_window: 2_000_000,
-//!         budget: None, ask_within: 0,
+//!         initial_capacity: 0.2,
+//!         warm_up_time: 10_000_000,
+//!         overload_multiple: 3.0,
+//!         overload_window: 2_000_000,
+//!         ..RuleSettings::default()
 //!     },
-//!     discovery: Discovery::Push, zone: None, crossing_costs: false,
+//!     ..Settings::default()
 //! };
 //! let mut router = Router::new(42, settings)?;
 //! let mut actions = Vec::new();
 //!
-//! // The list of servers, then a query of one part.
-//! let entry = |server, cell| Endpoint {
-//!     server: BackendId(server), cell, phase: EndpointState::Ready, started: None, zone: None,
+//! // The endpoint list, then a query of one part.
+//! let endpoint = |backend, ring_position| Endpoint {
+//!     backend: BackendId(backend),
+//!     ring_position,
+//!     state: EndpointState::Ready,
+//!     started_at: None,
+//!     zone: None,
 //! };
 //! let (query, part) = (QueryId(1), PartId(10));
-//! router.handle(1_000, vec![
-//!     Event::EndpointUpdate(EndpointUpdate::Snapshot(vec![entry(0, 0), entry(1, 1)])),
-//!     Event::QueryArrived(QueryArrival {
-//!         query, class: ClassId(0), expires_in: 600_000, work_hint: None, retry: false, planned: false,
-//!     }),
-//!     Event::PartArrived(PartArrival { query, part, shard: ShardId(0), weight: 1.0, harmless: false }),
-//! ], &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { part: p, .. } if *p == part)));
+//! let arrival = QueryArrival {
+//!     query,
+//!     class: ClassId(0),
+//!     expires_in: 600_000,
+//!     work_hint: None,
+//!     retry: false,
+//!     planned: false,
+//! };
+//! let events = vec![
+//!     Event::EndpointUpdate(EndpointUpdate::Snapshot(vec![endpoint(0, 0), endpoint(1, 1)])),
+//!     Event::QueryArrived(arrival),
+//!     Event::PartArrived(PartArrival { query, part, shard: ShardId(0), weight: 1.0, idempotent: false }),
+//! ];
+//! router.handle(1_000, events, &mut actions);
+//! assert!(actions.iter().any(|a| matches!(a, Action::Send { part: sent, .. } if *sent == part)));
 //!
-//! // The part's answer comes, and the query's goes.
+//! // The attempt succeeds, and the query is answered.
 //! actions.clear();
-//! let served = Event::AttemptCompleted { part, attempt: 0, outcome: Outcome::Succeeded, took: 20_000 };
-//! router.handle(21_000, vec![served], &mut actions);
-//! assert!(actions.contains(&Action::Respond { query, whole: true }));
+//! let completed = Event::AttemptCompleted { part, attempt: 0, outcome: Outcome::Succeeded, took: 20_000 };
+//! router.handle(21_000, vec![completed], &mut actions);
+//! assert!(actions.contains(&Action::Respond { query, complete: true }));
 //! assert_eq!(router.drop_rate(ClassId(0)), Some(0.0));
 //! # Ok::<(), SettingsError>(())
 //! ```
 
-mod interface;
+mod events;
+mod ids;
 mod rules;
+mod settings;
 
-pub use interface::*;
+pub use events::{
+    Action, BackendView, Endpoint, EndpointState, EndpointUpdate, Event, Outcome, PartArrival, QueryArrival,
+};
+pub use ids::{BackendId, ClassId, Micros, PartId, QueryId, ShardId, ZoneId};
 pub use rules::Router;
+pub use settings::{
+    Class, DeploymentLimits, Discovery, Idempotency, RetryBudgetSettings, RuleSettings, Settings,
+    SettingsError, ShardLayout,
+};
--- a/crates/router/src/rules.rs
+++ b/crates/router/src/rules.rs
@@ -1,10 +1,14 @@
-//! Every decision of a router, with its state and its tuned values. Types are in `src/interface.rs`; why
+//! Every decision of a router, with its state and its tuned values. Why
 //! each exception exists is in `docs/design.md`. In order: values, state, events, list, admission,
 //! sending, further attempts, health, answers, guards.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::interface::*;
+use crate::events::{
+    Action, BackendView, EndpointState, EndpointUpdate, Event, Outcome, PartArrival, QueryArrival,
+};
+use crate::ids::{BackendId, ClassId, Micros, PartId, QueryId, ShardId, ZoneId};
+use crate::settings::{Class, Discovery, Idempotency, RetryBudgetSettings, Settings, SettingsError};
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
