--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -77,14 +77,14 @@
 
 mod events;
 mod ids;
-mod rules;
+mod router;
 mod settings;
 
 pub use events::{
     Action, BackendView, Endpoint, EndpointState, EndpointUpdate, Event, Outcome, PartArrival, QueryArrival,
 };
 pub use ids::{BackendId, ClassId, Micros, PartId, QueryId, ShardId, ZoneId};
-pub use rules::Router;
+pub use router::Router;
 pub use settings::{
     Class, DeploymentLimits, Discovery, Idempotency, RetryBudgetSettings, RuleSettings, Settings,
     SettingsError, ShardLayout,
