--- /dev/null
+++ b/crates/router/src/backend.rs
@@ -0,0 +1,64 @@
+//! What a router knows of one backend.
+
+use std::collections::BTreeMap;
+
+use crate::events::EndpointState;
+use crate::ids::{Micros, ZoneId};
+use crate::latency::RecentLatency;
+use crate::outlier::BackendHealth;
+use crate::query::CallId;
+use crate::slow_start::{Candidate, RecentWork};
+
+/// One backend. Each rule's part of the state is of that rule's own type.
+#[derive(Debug, Default)]
+pub(crate) struct Backend {
+    pub(crate) ring_position: u32,
+    pub(crate) zone: Option<ZoneId>,
+    pub(crate) state: EndpointState,
+    /// When it last started; `None` for long ago.
+    pub(crate) started_at: Option<Micros>,
+    /// This router's calls in flight, oldest first.
+    pub(crate) calls: BTreeMap<CallId, Call>,
+    pub(crate) latency: RecentLatency,
+    pub(crate) health: BackendHealth,
+    pub(crate) recent_work: RecentWork,
+}
+
+/// A call in flight.
+#[derive(Debug)]
+pub(crate) struct Call {
+    pub(crate) sent_at: Micros,
+    pub(crate) parts_in_flight: u32,
+}
+
+impl Backend {
+    pub(crate) fn parts_in_flight(&self) -> u32 {
+        self.calls.values().map(|call| call.parts_in_flight).sum()
+    }
+
+    /// Counts a part that is sent with this call.
+    pub(crate) fn add_part(&mut self, call: CallId, now: Micros) {
+        let call = self.calls.entry(call).or_insert(Call { sent_at: now, parts_in_flight: 0 });
+        call.parts_in_flight += 1;
+    }
+
+    /// Counts off a part of a call; the call ends with its last one.
+    pub(crate) fn remove_part(&mut self, id: CallId) {
+        let Some(call) = self.calls.get_mut(&id) else { return };
+        call.parts_in_flight -= 1;
+        if call.parts_in_flight == 0 {
+            self.calls.remove(&id);
+        }
+    }
+
+    /// How long a part would take here, in microseconds: as of late, after the oldest call in flight.
+    pub(crate) fn expected_wait(&self, now: Micros, fade_time: f64) -> f64 {
+        let oldest = self.calls.values().next().map_or(0, |call| now - call.sent_at);
+        self.latency.faded(now, fade_time) + oldest as f64
+    }
+
+    /// What slow start needs to know of it.
+    pub(crate) fn as_candidate(&self) -> Candidate<'_> {
+        Candidate { started_at: self.started_at, recent_work: &self.recent_work }
+    }
+}
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -75,15 +75,32 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 
+pub mod admission;
+pub mod completion;
+pub mod latency;
+pub mod outlier;
+pub mod overdue;
+pub mod random;
+pub mod retry;
+pub mod slow_start;
+pub mod traffic;
+
+mod backend;
+mod endpoints;
 mod events;
+mod hash;
 mod ids;
+mod query;
+mod replica_selection;
 mod router;
 mod settings;
+mod timers;
 
 pub use events::{
     Action, BackendView, Endpoint, EndpointState, EndpointUpdate, Event, Outcome, PartArrival, QueryArrival,
 };
 pub use ids::{BackendId, ClassId, Micros, PartId, QueryId, ShardId, ZoneId};
+pub use query::Step;
 pub use router::Router;
 pub use settings::{
     Class, DeploymentLimits, Discovery, Idempotency, RetryBudgetSettings, RuleSettings, Settings,
--- /dev/null
+++ b/crates/router/src/replica_selection.rs
@@ -0,0 +1,126 @@
+//! Which replica a part is sent to.
+//!
+//! Among the ready backends that hold the shard, that have no attempt of the part in flight, and that slow
+//! start lets take one more part, the first by this order is chosen:
+//! 1. healthy before ejected, and of ejected ones the one with the lowest failure score;
+//! 2. not tried for this part before;
+//! 3. fewest of this router's own calls (or parts, where a call carries one) in flight;
+//! 4. in the router's own zone, where traffic between zones costs;
+//! 5. by a hash of query, shard and backend, weighted by the capacity that a backend has while it warms up.
+
+use std::collections::BTreeMap;
+
+use crate::backend::Backend;
+use crate::hash::{combine, hash_query_shard, unit_interval};
+use crate::ids::{BackendId, ZoneId};
+use crate::query::{CallId, Part};
+use crate::settings::Settings;
+
+/// The order of replicas; the lowest is chosen. Fields are compared from first to last.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Rank {
+    /// See [`crate::outlier::BackendHealth::avoidance`].
+    avoidance: u32,
+    already_tried: bool,
+    in_flight: usize,
+    other_zone: bool,
+    tie_break: u64,
+}
+
+/// The calls that the present batch opens.
+#[derive(Debug, Default)]
+pub(crate) struct BatchCalls(BTreeMap<BackendId, OpenCall>);
+
+#[derive(Debug)]
+struct OpenCall {
+    id: CallId,
+    parts: u32,
+}
+
+impl BatchCalls {
+    /// Whether the batch has a call to a backend.
+    pub(crate) fn has_call(&self, backend: BackendId) -> bool {
+        self.0.contains_key(&backend)
+    }
+
+    /// Whether one more part fits into the batch's last call to a backend.
+    pub(crate) fn has_room(&self, backend: BackendId, parts_per_call: u32) -> bool {
+        self.0.get(&backend).is_some_and(|call| call.parts < parts_per_call)
+    }
+
+    /// Opens a call to a backend; parts join it from now on.
+    pub(crate) fn open(&mut self, backend: BackendId, id: CallId) {
+        self.0.insert(backend, OpenCall { id, parts: 0 });
+    }
+
+    /// Adds a part to the batch's last call to a backend.
+    pub(crate) fn join(&mut self, backend: BackendId) -> Option<CallId> {
+        let call = self.0.get_mut(&backend)?;
+        call.parts += 1;
+        Some(call.id)
+    }
+}
+
+/// The rule that orders replicas.
+#[derive(Debug)]
+pub(crate) struct ReplicaSelector {
+    count_calls: bool,
+    prefer_own_zone: bool,
+    own_zone: Option<ZoneId>,
+}
+
+impl ReplicaSelector {
+    pub(crate) fn new(settings: &Settings) -> Self {
+        Self {
+            count_calls: settings.layout.parts_per_call > 1,
+            prefer_own_zone: settings.cross_zone_costs,
+            own_zone: settings.zone,
+        }
+    }
+
+    /// Chooses among the backends that may be sent a part. `warm_up_fraction` says of each what fraction of
+    /// its capacity it has.
+    pub(crate) fn choose<'a>(
+        &self,
+        part: &Part,
+        candidates: impl Iterator<Item = (BackendId, &'a Backend)>,
+        batch: &BatchCalls,
+        warm_up_fraction: impl Fn(&Backend) -> f64,
+    ) -> Option<BackendId> {
+        let hash = hash_query_shard(part.query, part.shard);
+        let rank = |(id, backend): &(BackendId, &Backend)| {
+            self.rank(
+                part,
+                *id,
+                backend,
+                batch.has_call(*id),
+                tie_break(hash, *id, warm_up_fraction(backend)),
+            )
+        };
+        candidates.min_by_key(rank).map(|(id, _)| id)
+    }
+
+    fn rank(&self, part: &Part, id: BackendId, backend: &Backend, in_batch: bool, tie_break: u64) -> Rank {
+        // Calls are counted without the one that this batch opens, so that parts of one query tie.
+        let in_flight = if self.count_calls {
+            backend.calls.len() - usize::from(in_batch)
+        } else {
+            backend.parts_in_flight() as usize
+        };
+        Rank {
+            avoidance: backend.health.avoidance(),
+            already_tried: part.attempts.iter().any(|attempt| attempt.backend == id),
+            in_flight,
+            // One call a backend and batch: a query's neighbouring parts would all meet at the few near ones.
+            other_zone: self.prefer_own_zone && (in_batch || backend.zone != self.own_zone),
+            tie_break,
+        }
+    }
+}
+
+/// A number that is lowest at each backend as often as its capacity stands to that of the others: an
+/// exponential variate with the capacity as its rate, made from the hash.
+fn tie_break(hash: u64, backend: BackendId, capacity: f64) -> u64 {
+    let variate = -(-unit_interval(combine(hash, backend.0))).ln_1p() / capacity;
+    variate.to_bits() // The order of bits is the order of numbers that are not negative.
+}
--- /dev/null
+++ b/crates/router/src/router/attempts.rs
@@ -0,0 +1,181 @@
+//! The steps of an attempt that ends or is overdue: what it says of its backend, and what comes next.
+
+use super::Router;
+use crate::admission::CONTROL_INTERVAL_US;
+use crate::events::{Action, Outcome};
+use crate::ids::{BackendId, ClassId, Micros, PartId, QueryId};
+use crate::outlier::HealthSignal;
+use crate::query::{Attempt, CallId, Part};
+use crate::retry::is_poison_query;
+use crate::timers::Timer;
+
+/// An attempt that has ended, with what is needed of its part.
+struct EndedAttempt {
+    backend: BackendId,
+    call: CallId,
+    sent_at: Micros,
+    was_overdue: bool,
+    outcome: Outcome,
+    took: Micros,
+    query: QueryId,
+    class: ClassId,
+    /// Whether the part is idempotent by itself.
+    idempotent: bool,
+    /// Whether it brought the part's answer.
+    answered: bool,
+    /// Whether the part still needs an answer and has no other attempt in flight.
+    unanswered: bool,
+}
+
+impl Router {
+    pub(super) fn attempt_completed(&mut self, id: PartId, number: u32, outcome: Outcome, took: Micros) {
+        let Some(ended) = self.end_attempt(id, number, outcome, took) else { return };
+        self.update_backend(&ended);
+        self.record_latency(&ended);
+        if let Some(signal) = self.health_signal(&ended) {
+            self.record_health_signal(ended.backend, signal);
+        }
+        let query = ended.query;
+        if ended.unanswered && outcome == Outcome::ConnectionLost && self.is_poison_query(query) {
+            self.give_up(query);
+        } else if ended.answered {
+            self.cancel_attempts(id);
+            self.answer_if_complete(query);
+        } else if ended.unanswered {
+            self.send_spare_part(query);
+            self.to_send.push(id);
+        }
+    }
+
+    /// Marks an attempt as ended; `None` where it is not known or has ended before.
+    fn end_attempt(
+        &mut self,
+        id: PartId,
+        number: u32,
+        outcome: Outcome,
+        took: Micros,
+    ) -> Option<EndedAttempt> {
+        let part = self.parts.get_mut(id)?;
+        let attempt = part.attempts.get_mut(number as usize).filter(|attempt| attempt.is_in_flight())?;
+        attempt.outcome = Some(outcome);
+        let Attempt { backend, call, sent_at, overdue: was_overdue, .. } = *attempt;
+        let answered = outcome == Outcome::Succeeded && part.is_wanted();
+        part.answered |= answered;
+        let is_last = !part.is_in_flight();
+        let Part { query, class, idempotent, abandoned, .. } = *part;
+        let unanswered = is_last && part.is_wanted();
+        if abandoned && is_last {
+            self.parts.remove(id);
+        }
+        Some(EndedAttempt {
+            backend,
+            call,
+            sent_at,
+            was_overdue,
+            outcome,
+            took,
+            query,
+            class,
+            idempotent,
+            answered,
+            unanswered,
+        })
+    }
+
+    fn update_backend(&mut self, ended: &EndedAttempt) {
+        let fade_time = self.fade_time();
+        let Some(backend) = self.endpoints.get_mut(ended.backend) else { return };
+        match ended.outcome {
+            Outcome::Succeeded => backend.latency.record_answer(self.now, fade_time, ended.took),
+            Outcome::Rejected => {
+                let objective = self.settings.classes[ended.class.0].latency_objective;
+                backend.latency.record_rejection(self.now, fade_time, objective);
+            }
+            _ => {}
+        }
+        backend.remove_part(ended.call);
+    }
+
+    /// Parts that are idempotent by themselves are quicker than the parts that follow them, which would look
+    /// overdue beside them: they do not count.
+    fn record_latency(&mut self, ended: &EndedAttempt) {
+        if ended.outcome == Outcome::Succeeded && !ended.idempotent {
+            self.recent_answers.record(self.now, ended.took);
+            self.base_latency.record(ended.class, ended.took);
+        }
+    }
+
+    /// What an ended attempt says of its backend. One that was overdue has been held against it already.
+    fn health_signal(&self, ended: &EndedAttempt) -> Option<HealthSignal> {
+        match ended.outcome {
+            Outcome::BackendError | Outcome::ConnectFailed => Some(HealthSignal::StrongFailure),
+            Outcome::ConnectionLost | Outcome::Rejected => Some(HealthSignal::WeakFailure),
+            Outcome::Succeeded | Outcome::TimedOut if ended.was_overdue => None,
+            Outcome::TimedOut => Some(HealthSignal::WeakFailure),
+            Outcome::Succeeded => {
+                let backend = self.endpoints.get(ended.backend)?;
+                let is_recovery = backend.health.is_recovery(ended.sent_at);
+                Some(if is_recovery { HealthSignal::RecoverySuccess } else { HealthSignal::Success })
+            }
+            Outcome::Cancelled | Outcome::NotSent => None,
+        }
+    }
+
+    fn is_poison_query(&self, id: QueryId) -> bool {
+        self.queries.get(&id).is_some_and(|query| is_poison_query(|| self.parts.of(query)))
+    }
+
+    /// An attempt has been in flight for long: if it is overdue, it counts against its backend and one more
+    /// attempt is considered.
+    pub(super) fn overdue_check_due(&mut self, id: PartId, number: u32) {
+        let Some(part) = self.parts.get(id) else { return };
+        let Some(attempt) = part.attempts.get(number as usize).filter(|a| a.is_in_flight()) else { return };
+        let Attempt { backend, sent_at, .. } = *attempt;
+        let query = part.query;
+        // Looked at again once it has been in flight for twice as long.
+        let next_check = self.now + (self.now - sent_at).max(CONTROL_INTERVAL_US);
+        if !self.recent_answers.is_overdue(self.now, sent_at, self.settings.batch_interval) {
+            self.timers.set(next_check, Timer::Overdue(id, number));
+            return;
+        }
+        // A backend that still answers, if slowly, does the work in any case: moving it does it twice.
+        let is_silent = self.endpoints.get(backend).is_some_and(|b| !b.latency.heard_since(sent_at));
+        let was_ejected = self.endpoints.is_ejected(backend);
+        let signal = if is_silent { HealthSignal::StrongFailure } else { HealthSignal::WeakFailure };
+        self.record_health_signal(backend, signal);
+        self.send_spare_part(query);
+        if let Some(attempt) = self.parts.get_mut(id).and_then(|p| p.attempts.get_mut(number as usize)) {
+            attempt.overdue = true;
+        }
+        if !self.may_hedge(id) {
+            return;
+        }
+        if self.settings.limits.hedging {
+            self.to_send.push(id);
+        } else if was_ejected && is_silent && self.settings.limits.cancellation {
+            // Never two at once: cancelled here, sent elsewhere once that is confirmed.
+            self.actions.push(Action::Cancel { part: id, attempt: number });
+        } else {
+            self.timers.set(next_check, Timer::Overdue(id, number));
+        }
+    }
+
+    /// Whether a part with an overdue attempt may have one more. While its class sheds load there is no
+    /// capacity to do work twice.
+    fn may_hedge(&self, id: PartId) -> bool {
+        let Some(part) = self.parts.get(id).filter(|part| part.is_wanted()) else { return false };
+        let in_flight = part.attempts.iter().filter(|attempt| attempt.is_in_flight()).count();
+        in_flight <= 1
+            && !self.admission.is_shedding(part.class)
+            && self.retry_budget.allows_hedge(self.traffic.arrivals())
+            && self.retries.may_repeat(self.now, &self.history(part), true)
+    }
+
+    /// Cancels the attempts of a part that are in flight, where attempts may be cancelled.
+    pub(super) fn cancel_attempts(&mut self, id: PartId) {
+        let Some(part) = self.parts.get(id).filter(|_| self.settings.limits.cancellation) else { return };
+        let in_flight = part.attempts.iter().enumerate().filter(|(_, attempt)| attempt.is_in_flight());
+        let cancel = |(number, _)| Action::Cancel { part: id, attempt: number as u32 };
+        self.actions.extend(in_flight.map(cancel));
+    }
+}
--- /dev/null
+++ b/crates/router/src/router/sending.rs
@@ -0,0 +1,134 @@
+//! The steps of sending a part: whether it may be sent, where to, and with what time-outs.
+
+use super::Router;
+use crate::backend::Backend;
+use crate::events::Action;
+use crate::ids::{BackendId, Micros, PartId};
+use crate::query::{Attempt, CallId, Part, Query};
+use crate::replica_selection::BatchCalls;
+use crate::settings::Class;
+use crate::slow_start::Demand;
+use crate::timers::Timer;
+
+/// No part is sent with less time than this left before its query's end, in microseconds.
+const MIN_TIME_LEFT_US: Micros = 5_000;
+/// How soon a part that could not be sent anywhere is looked at again, in microseconds.
+const RESEND_INTERVAL_US: Micros = 50_000;
+
+/// What becomes of a part that is to be sent.
+enum Step {
+    Skip,
+    /// It has failed for good.
+    PartFailed,
+    /// No backend can take it now, or the retry budget is used up.
+    Wait,
+    Send(BackendId),
+}
+
+impl Router {
+    /// Sends the parts of this batch; those that go to one backend share calls.
+    pub(super) fn send_parts(&mut self) {
+        if self.to_send.is_empty() {
+            return;
+        }
+        let mut batch = BatchCalls::default();
+        let overdue_at = self.now + self.recent_answers.overdue_after();
+        for id in std::mem::take(&mut self.to_send) {
+            let Some(part) = self.parts.get(id) else { continue };
+            match self.next_step(part, &batch) {
+                Step::Skip => {}
+                Step::PartFailed => self.part_failed(id),
+                Step::Wait => self.timers.set(self.now + RESEND_INTERVAL_US, Timer::Resend(id)),
+                Step::Send(backend) => self.send(id, backend, overdue_at, &mut batch),
+            }
+        }
+    }
+
+    fn next_step(&self, part: &Part, batch: &BatchCalls) -> Step {
+        let Some(query) = self.queries.get(&part.query).filter(|_| part.is_wanted()) else {
+            return Step::Skip;
+        };
+        if self.now + MIN_TIME_LEFT_US >= query.ends_at {
+            return Step::Skip;
+        }
+        let in_flight = part.is_in_flight();
+        if !part.attempts.is_empty() && !self.retries.may_repeat(self.now, &self.history(part), false) {
+            return if in_flight { Step::Skip } else { Step::PartFailed };
+        }
+        let arrivals = self.traffic.arrivals();
+        let has_budget = !self.draws_on_retry_budget(part) || self.retry_budget.allows_retry(arrivals);
+        match has_budget.then(|| self.choose_replica(part, batch)).flatten() {
+            Some(backend) => Step::Send(backend),
+            None if in_flight => Step::Skip,
+            None => Step::Wait,
+        }
+    }
+
+    fn draws_on_retry_budget(&self, part: &Part) -> bool {
+        let shedding = self.admission.is_shedding(part.class);
+        self.retry_budget.applies_to(part.attempts.len(), part.was_not_executed(), shedding)
+    }
+
+    fn choose_replica(&self, part: &Part, batch: &BatchCalls) -> Option<BackendId> {
+        let candidates = self.endpoints.replicas(part.shard).filter(|(id, backend)| {
+            !part.attempts.iter().any(|attempt| attempt.is_in_flight() && attempt.backend == *id)
+                && self.slow_start_admits(backend, part, batch.has_call(*id))
+        });
+        self.selector.choose(part, candidates, batch, |backend| {
+            self.slow_start.warm_up_fraction(backend.started_at, self.now)
+        })
+    }
+
+    pub(super) fn slow_start_admits(&self, backend: &Backend, part: &Part, joins_call: bool) -> bool {
+        let demand = Demand {
+            query: part.query,
+            traffic: &self.traffic,
+            waiting_parts: self.waiting_parts,
+            ready_backends: self.endpoints.ready(),
+        };
+        let replicas = self.endpoints.replicas(part.shard).map(|(_, replica)| replica.started_at);
+        let work = self.part_work(part.class, joins_call);
+        self.slow_start.admits(self.now, backend.as_candidate(), work, demand, replicas)
+    }
+
+    fn send(&mut self, id: PartId, to: BackendId, overdue_at: Micros, batch: &mut BatchCalls) {
+        let Some(part) = self.parts.get(id) else { return };
+        let joins_call = batch.has_room(to, self.settings.layout.parts_per_call);
+        let work = self.part_work(part.class, joins_call).added();
+        let draws_on_budget = self.draws_on_retry_budget(part);
+        let repeat_by = self.retries.repeat_by(&self.history(part));
+        if !joins_call {
+            self.calls_made += 1;
+            batch.open(to, CallId(self.calls_made));
+        }
+        let Some(call) = batch.join(to) else { return };
+        let (Some(part), Some(backend)) = (self.parts.get_mut(id), self.endpoints.get_mut(to)) else {
+            return;
+        };
+        let Some(query) = self.queries.get(&part.query) else { return };
+
+        backend.recent_work.record(self.now, self.slow_start.window(), work);
+        backend.add_part(call, self.now);
+        let is_recovery_attempt = backend.health.start_recovery_attempt();
+        if draws_on_budget {
+            self.retry_budget.record(self.now);
+        }
+        let attempt = part.attempts.len() as u32;
+        part.attempts.push(Attempt { backend: to, call, sent_at: self.now, ..Attempt::default() });
+        let timeout = attempt_timeout(self.now, query, &self.settings.classes[query.class.0]);
+        let begin_within = timeout.min(repeat_by.saturating_sub(self.now));
+        self.actions.push(Action::Send { part: id, backend: to, timeout, begin_within });
+        self.timers.set(overdue_at, Timer::Overdue(id, attempt));
+        if is_recovery_attempt {
+            self.back_off_recovery(to);
+        }
+    }
+}
+
+/// How long an attempt that is sent now is waited for, in microseconds: until its answer can no longer earn
+/// anything.
+fn attempt_timeout(now: Micros, query: &Query, class: &Class) -> Micros {
+    let is_late_useful = class.late_value > 0.0;
+    let useful_until = if is_late_useful { query.ends_at } else { query.objective_at.min(query.ends_at) };
+    useful_until.saturating_sub(now).max(1)
+}
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -4,6 +4,9 @@
 
 use crate::ids::{Micros, ZoneId};
 
+/// Weights of parts may fall short of their sum by rounding, by no more than this.
+pub(crate) const ROUNDING: f64 = 0.000_05;
+
 /// What repeating a part of a class may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
--- /dev/null
+++ b/crates/router/src/slow_start.rs
@@ -0,0 +1,193 @@
+//! What a backend that warms up is sent by one of several routers.
+//!
+//! A backend starts at a fraction of its capacity and is assumed to gain the rest evenly over the warm-up time,
+//! the slowest way that the deployment allows. Work beyond a multiple of its present capacity within the
+//! overload window would bring it down, and the routers do not speak to each other: each uses an equal quota of
+//! that work. Where the quota is less than one part, [`SlowStart`] decides by a draw for the whole query, so
+//! that all routers together send what the backend bears, however uneven their traffic is.
+
+use std::collections::VecDeque;
+
+use crate::hash::{hash_query_shard, unit_interval};
+use crate::ids::{Micros, QueryId, ShardId};
+use crate::settings::{RuleSettings, Settings};
+use crate::traffic::Traffic;
+
+/// Fraction of the bearable work that is used; the rest covers chance.
+const CAPACITY_USE: f64 = 0.8;
+/// Of that, the fraction that draws aim at: their chance is larger than that of routers with a quota.
+const DRAWN_CAPACITY_USE: f64 = 0.75;
+/// Fraction of all routers' work that one busy router among many may send.
+const MAX_ROUTER_FRACTION: f64 = 0.25;
+/// Fraction of its quota that a router uses that has just started: it does not know its pace yet, and many
+/// routers may have started together.
+const NEW_ROUTER_FRACTION: f64 = 0.5;
+/// Lowest capacity that a backend is taken to have, as a fraction of full capacity.
+const MIN_CAPACITY_FRACTION: f64 = 0.01;
+/// Stands for the whole query in hashes of a query and a shard.
+const WHOLE_QUERY: ShardId = ShardId(u32::MAX);
+
+/// Work that one backend was sent within the overload window.
+#[derive(Clone, Debug, Default)]
+pub struct RecentWork(VecDeque<SentWork>);
+
+#[derive(Clone, Copy, Debug)]
+struct SentWork {
+    at: Micros,
+    work: f64,
+}
+
+impl RecentWork {
+    /// Adds work, in microseconds, and forgets what has left the window.
+    pub fn record(&mut self, now: Micros, window: Micros, work: f64) {
+        self.advance(now, window);
+        self.0.push_back(SentWork { at: now, work });
+    }
+
+    /// Forgets what has left the window.
+    pub(crate) fn advance(&mut self, now: Micros, window: Micros) {
+        self.0.retain(|sent| sent.at + window >= now);
+    }
+
+    /// Sum of the work within the window, in microseconds.
+    fn within(&self, now: Micros, window: Micros) -> f64 {
+        self.0.iter().filter(|sent| sent.at + window >= now).map(|sent| sent.work).sum()
+    }
+
+    pub(crate) fn len(&self) -> usize {
+        self.0.len()
+    }
+}
+
+/// The work of one more part, in microseconds.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct PartWork {
+    /// Of the part alone.
+    pub part: f64,
+    /// Of a call, beside its parts.
+    pub call: f64,
+    /// Whether the part joins a call that is opened already.
+    pub joins_call: bool,
+}
+
+impl PartWork {
+    /// What the part adds to its backend's work.
+    pub fn added(&self) -> f64 {
+        self.part + if self.joins_call { 0.0 } else { self.call }
+    }
+
+    fn with_call(&self) -> f64 {
+        self.part + self.call
+    }
+}
+
+/// A backend that a part may go to.
+#[derive(Clone, Copy, Debug)]
+pub struct Candidate<'a> {
+    /// When it started; `None` for long ago.
+    pub started_at: Option<Micros>,
+    /// What this router sent it.
+    pub recent_work: &'a RecentWork,
+}
+
+/// What this router has to send.
+#[derive(Clone, Copy, Debug)]
+pub struct Demand<'a> {
+    /// The query that the part belongs to.
+    pub query: QueryId,
+    /// What arrived of late.
+    pub traffic: &'a Traffic,
+    /// Parts of earlier batches that were not sent yet. All that a lost zone has left waiting would otherwise
+    /// go out in one window.
+    pub waiting_parts: usize,
+    /// Number of backends that are ready.
+    pub ready_backends: f64,
+}
+
+/// The slow-start rule of one router.
+#[derive(Debug)]
+pub struct SlowStart {
+    rules: RuleSettings,
+    routers: f64,
+}
+
+impl SlowStart {
+    /// Takes the figures of the warm-up, and among how many routers the work is divided.
+    pub fn new(settings: &Settings) -> Self {
+        Self { rules: settings.rules.clone(), routers: f64::from(settings.routers) }
+    }
+
+    /// The overload window, in microseconds.
+    pub(crate) fn window(&self) -> Micros {
+        self.rules.overload_window
+    }
+
+    /// Whether a backend may still be below its full capacity.
+    pub fn is_warming_up(&self, started_at: Option<Micros>, now: Micros) -> bool {
+        started_at.is_some_and(|at| now < at + self.rules.warm_up_time)
+    }
+
+    /// The capacity of a backend at an instant as a fraction of its full capacity, on the slowest warm-up that
+    /// the settings allow.
+    pub fn warm_up_fraction(&self, started_at: Option<Micros>, at: Micros) -> f64 {
+        let Some(started_at) = started_at else { return 1.0 };
+        let age = at.saturating_sub(started_at) as f64 / self.rules.warm_up_time.max(1) as f64;
+        let initial = self.rules.initial_capacity;
+        (initial + (1.0 - initial) * age).clamp(MIN_CAPACITY_FRACTION, 1.0)
+    }
+
+    /// Whether a backend can take one more part of this router. A backend with full capacity always can. One
+    /// core per backend is assumed, and the capacity of the window's start. `replicas` are the start times of
+    /// all ready backends that hold the part's shard.
+    pub fn admits(
+        &self,
+        now: Micros,
+        backend: Candidate,
+        work: PartWork,
+        demand: Demand,
+        replicas: impl Iterator<Item = Option<Micros>>,
+    ) -> bool {
+        let window = self.rules.overload_window;
+        let fraction = self.warm_up_fraction(backend.started_at, now.saturating_sub(window));
+        if fraction >= 1.0 {
+            return true;
+        }
+        let capacity = CAPACITY_USE * self.rules.overload_multiple * fraction * window as f64;
+        let quota = capacity / self.routers;
+        let recent = backend.recent_work.within(now, window);
+        let total = recent + work.added();
+        let is_busy = recent > 0.0 && total > MAX_ROUTER_FRACTION * capacity;
+        if work.with_call() <= quota || is_busy {
+            return total <= quota;
+        }
+        self.wins_draw(now, backend, work.added(), quota, demand, replicas)
+    }
+
+    /// The draw for a quota of less than a part. It is the same for all parts and replicas of a query: where
+    /// all backends warm up, a query whose parts were drawn for one by one would hardly ever be sent whole.
+    fn wins_draw(
+        &self,
+        now: Micros,
+        backend: Candidate,
+        work: f64,
+        quota: f64,
+        demand: Demand,
+        replicas: impl Iterator<Item = Option<Micros>>,
+    ) -> bool {
+        let window = self.rules.overload_window;
+        let parts = demand.traffic.admitted_parts_in(now, window);
+        let crowding = 1.0 + demand.waiting_parts as f64 / parts;
+        let (mut replica_count, mut replica_capacity) = (0.0, 0.0);
+        for started_at in replicas {
+            replica_count += 1.0;
+            replica_capacity += self.warm_up_fraction(started_at, now);
+        }
+        // Parts of one window that would go to this backend.
+        let capacity = self.warm_up_fraction(backend.started_at, now);
+        let expected_parts = parts * replica_count / demand.ready_backends * capacity / replica_capacity;
+        let known_windows = demand.traffic.age(now) as f64 / window.max(1) as f64;
+        let quota = quota * known_windows.clamp(NEW_ROUTER_FRACTION, 1.0);
+        let draw = unit_interval(hash_query_shard(demand.query, WHOLE_QUERY)) * crowding / DRAWN_CAPACITY_USE;
+        draw < replica_capacity / replica_count || draw * work * expected_parts < quota
+    }
+}
