--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -50,6 +50,11 @@
     }
 }
 
+/// One class of idempotent queries.
+pub fn safe() -> Settings {
+    settings(vec![class(Idempotency::Idempotent)])
+}
+
 pub fn entry(server: u32, phase: EndpointState, started: Option<Micros>) -> Endpoint {
     Endpoint {
         backend: BackendId(server),
