--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -236,7 +236,12 @@
         Action::WatchEndpoints => writeln!(out, "[\"Subscribe\",{router},true]"),
         Action::FetchEndpoints => writeln!(out, "[\"Reload\",{router}]"),
         Action::HealthCheck(server) => writeln!(out, "[\"Test\",{router},{}]", node(server)),
-        Action::Log(text) => writeln!(out, "[\"Record\",{router},{}]", Value::from(text.as_str())),
+        Action::BackendEjected(server) => {
+            writeln!(out, "[\"Record\",{router},\"server {} suspect\"]", server.0)
+        }
+        Action::BackendRecovered(server) => {
+            writeln!(out, "[\"Record\",{router},\"server {} sound again\"]", server.0)
+        }
     };
     debug_assert!(done.is_ok(), "writing to a string cannot fail");
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -970,7 +970,8 @@
                 router::Action::WatchEndpoints => others.push(Action::WatchEndpoints),
                 router::Action::FetchEndpoints => others.push(Action::FetchEndpoints),
                 router::Action::HealthCheck(server) => others.push(Action::HealthCheck(server)),
-                router::Action::Log(line) => tracing::info!("router: {line}"),
+                router::Action::BackendEjected(id) => tracing::info!("router: server {} suspect", id.0),
+                router::Action::BackendRecovered(id) => tracing::info!("router: server {} sound again", id.0),
             }
         }
         // The router ends a query ahead of its time; this holds the promise should it ever not.
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -193,8 +193,10 @@
     FetchEndpoints,
     /// Probe a server.
     HealthCheck(BackendId),
-    /// A line for the operators' log.
-    Log(String),
+    /// Log that a backend is an outlier from now on.
+    BackendEjected(BackendId),
+    /// Log that a backend is no outlier any more.
+    BackendRecovered(BackendId),
 }
 
 /// What a router makes of one server.
--- a/crates/router/src/router/health.rs
+++ b/crates/router/src/router/health.rs
@@ -13,11 +13,9 @@
             None => {}
             Some(HealthChange::Ejected) => {
                 self.schedule_recovery_attempt(id);
-                self.actions.push(Action::Log(format!("server {} suspect", id.0)));
-            }
-            Some(HealthChange::Recovered) => {
-                self.actions.push(Action::Log(format!("server {} sound again", id.0)));
+                self.actions.push(Action::BackendEjected(id));
             }
+            Some(HealthChange::Recovered) => self.actions.push(Action::BackendRecovered(id)),
         }
     }
 
