--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -234,7 +234,6 @@
         Action::PartFailed { .. } => Ok(()),
         Action::SetTimer(after) => writeln!(out, "[\"Sleep\",{router},{after},\"wake\"]"),
         Action::WatchEndpoints => writeln!(out, "[\"Subscribe\",{router},true]"),
-        Action::FetchEndpoints => writeln!(out, "[\"Reload\",{router}]"),
         Action::HealthCheck(server) => writeln!(out, "[\"Test\",{router},{}]", node(server)),
         Action::BackendEjected(server) => {
             writeln!(out, "[\"Record\",{router},\"server {} suspect\"]", server.0)
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -968,7 +968,6 @@
                     self.wake = Some(self.wake.map_or(at, |wake| wake.min(at)));
                 }
                 router::Action::WatchEndpoints => others.push(Action::WatchEndpoints),
-                router::Action::FetchEndpoints => others.push(Action::FetchEndpoints),
                 router::Action::HealthCheck(server) => others.push(Action::HealthCheck(server)),
                 router::Action::BackendEjected(id) => tracing::info!("router: server {} suspect", id.0),
                 router::Action::BackendRecovered(id) => tracing::info!("router: server {} sound again", id.0),
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -187,10 +187,8 @@
     },
     /// Ask for [`Event::TimerExpired`] after so long.
     SetTimer(Micros),
-    /// Ask for changes of the list from now on.
+    /// Watch the endpoint list from now on.
     WatchEndpoints,
-    /// Ask for the whole list once.
-    FetchEndpoints,
     /// Probe a server.
     HealthCheck(BackendId),
     /// Log that a backend is an outlier from now on.
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -103,7 +103,7 @@
     /// Unasked.
     #[default]
     Push,
-    /// Only after [`Action::WatchEndpoints`] or [`Action::FetchEndpoints`].
+    /// Only after [`Action::WatchEndpoints`](crate::Action::WatchEndpoints).
     Poll,
 }
 
