--- a/crates/core/tests/resource_counts.rs
+++ b/crates/core/tests/resource_counts.rs
@@ -49,7 +49,7 @@
             class(Idempotency::Idempotent, 1.0),
             class(Idempotency::Idempotent, 0.5),
             class(Idempotency::NonIdempotent, 1.0),
-            class(Idempotency::Keyed(SECOND), 1.0),
+            class(Idempotency::Keyed { dedup_window: SECOND }, 1.0),
         ],
         layout: ShardLayout {
             ring_positions: CELLS,
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -82,6 +82,7 @@
 pub mod overdue;
 pub mod random;
 pub mod retry;
+pub mod settings_error;
 pub mod slow_start;
 pub mod traffic;
 
@@ -103,6 +104,6 @@
 pub use query::Step;
 pub use router::Router;
 pub use settings::{
-    Class, DeploymentLimits, Discovery, Idempotency, RetryBudgetSettings, RuleSettings, Settings,
-    SettingsError, ShardLayout,
+    Class, DeploymentLimits, Discovery, Idempotency, RetryBudgetSettings, RuleSettings, Settings, ShardLayout,
 };
+pub use settings_error::SettingsError;
--- a/crates/router/src/retry.rs
+++ b/crates/router/src/retry.rs
@@ -68,7 +68,7 @@
     /// unless no attempt can have run.
     pub fn repeat_by(&self, part: &PartHistory) -> Micros {
         match (part.idempotency, part.possibly_executed_at) {
-            (Idempotency::Keyed(dedup_window), Some(first)) => first + dedup_window,
+            (Idempotency::Keyed { dedup_window }, Some(first)) => first + dedup_window,
             (Idempotency::NonIdempotent, Some(_)) => 0,
             _ => Micros::MAX,
         }
--- a/crates/router/tests/drive.rs
+++ b/crates/router/tests/drive.rs
@@ -48,7 +48,7 @@
     let mut steps = class(Idempotency::Idempotent);
     steps.second_step_parts = 2;
     let mut s = settings(vec![
-        class(Idempotency::Keyed(SECOND)),
+        class(Idempotency::Keyed { dedup_window: SECOND }),
         partial,
         some,
         steps,
@@ -164,7 +164,7 @@
             let risk = seen.attempts.iter().filter(|a| !a.3).map(|a| a.0).min();
             match (class.idempotency, risk) {
                 (Idempotency::NonIdempotent, Some(_)) => panic!("rule 2: an unsafe part again"),
-                (Idempotency::Keyed(window), Some(first)) => {
+                (Idempotency::Keyed { dedup_window: window }, Some(first)) => {
                     assert!(now <= first + window, "rule 2: keyed");
                     assert!(now + begin_within <= first + window, "rule 2: keyed, however late it begins");
                 }
--- a/crates/router/tests/retry.rs
+++ b/crates/router/tests/retry.rs
@@ -33,7 +33,7 @@
 #[test]
 fn a_keyed_part_is_repeated_only_inside_its_window() {
     for (wait, again) in [(100 * MS, true), (1_200 * MS, false)] {
-        let mut d = Driver::ready(settings(vec![class(Idempotency::Keyed(SECOND))]));
+        let mut d = Driver::ready(settings(vec![class(Idempotency::Keyed { dedup_window: SECOND })]));
         let (part, _) = sends(&d.query(1, 0, &[0]))[0];
         d.now += wait;
         let actions = d.ended(part, 0, Outcome::BackendError, wait);
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Which settings are rejected, and with what text.
+//! Which settings are rejected, and with what text. Operators read the text in one-line errors of a bad
+//! configuration, by the names of the deployment's files.
 
 mod common;
 
@@ -18,6 +19,43 @@
     for (field, spoil) in cases {
         let mut s = safe();
         spoil(&mut s);
-        assert_eq!(Router::new(1, s).expect_err(field).field, field);
+        assert_eq!(Router::new(1, s).expect_err(field).field.to_string(), field);
+    }
+}
+
+/// Guards the operator's texts: each field keeps its name from the deployment's files, and each problem its words.
+#[test]
+fn each_error_keeps_its_text() {
+    type Break = fn(&mut Settings);
+    fn budget(s: &mut Settings) -> &mut RetryBudgetSettings {
+        let unlimited = RetryBudgetSettings { min_retries: 1.0, retry_ratio: 0.1, window: SECOND };
+        s.rules.retry_budget.insert(unlimited)
+    }
+    let cases: [(&str, Break); 18] = [
+        ("setting routers is zero", |s| s.routers = 0),
+        ("setting classes is empty", |s| s.classes.clear()),
+        ("setting layout.cells is zero", |s| s.layout.ring_positions = 0),
+        ("setting layout.reach is zero", |s| s.layout.replication_factor = 0),
+        ("setting layout.parts_per_call is zero", |s| s.layout.parts_per_call = 0),
+        ("setting limits.max_attempts is zero", |s| s.limits.max_attempts = 0),
+        ("setting rules.cold_from lies outside 0 to 1", |s| s.rules.initial_capacity = 1.1),
+        ("setting rules.tip_multiple is not above zero", |s| s.rules.overload_multiple = 0.0),
+        ("setting rules.budget.free is negative", |s| budget(s).min_retries = -1.0),
+        ("setting rules.budget.share is negative", |s| budget(s).retry_ratio = -1.0),
+        ("setting rules.budget.window is zero", |s| budget(s).window = 0),
+        ("setting classes[0].aim is zero", |s| s.classes[0].latency_objective = 0),
+        ("setting classes[0].aim lies beyond the deadline", |s| s.classes[0].deadline = 1),
+        ("setting classes[0].need lies outside 0 to 1", |s| s.classes[0].required_completeness = 2.0),
+        ("setting classes[0].floor lies above the need", |s| s.classes[0].required_completeness = 0.5),
+        ("setting classes[0].late_worth lies outside 0 to 1", |s| s.classes[0].late_value = -0.5),
+        ("setting classes[0].partial_worth lies outside 0 to 1", |s| s.classes[0].partial_value = f64::NAN),
+        ("setting classes[0].aim_stretch is not a share", |s| {
+            s.classes[0].objective_per_work = f64::INFINITY
+        }),
+    ];
+    for (text, make_invalid) in cases {
+        let mut s = safe();
+        make_invalid(&mut s);
+        assert_eq!(Router::new(1, s).expect_err(text).to_string(), text);
     }
 }
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -149,7 +149,7 @@
                 late_value: class.number("LateValue")?,
                 idempotency: match class.text("Semantics")? {
                     "free" => Idempotency::Idempotent,
-                    "guarded" => Idempotency::Keyed(class.int("WindowUs")?),
+                    "guarded" => Idempotency::Keyed { dedup_window: class.int("WindowUs")? },
                     "single_shot" => Idempotency::NonIdempotent,
                     _ => return Err(class.bad("Semantics", "one of free, guarded, single_shot")),
                 },
