--- a/crates/core/src/router_actions.rs
+++ b/crates/core/src/router_actions.rs
@@ -68,9 +68,9 @@
             }
             router::Action::SetTimer(after) => self.set_router_timer(now.saturating_add(after)),
             router::Action::WatchEndpoints => batch.others.push(Action::WatchEndpoints),
-            router::Action::FetchEndpoints => batch.others.push(Action::FetchEndpoints),
             router::Action::HealthCheck(backend) => batch.others.push(Action::HealthCheck(backend)),
-            router::Action::Log(line) => tracing::info!("router: {line}"),
+            router::Action::BackendEjected(id) => tracing::info!("router: server {} suspect", id.0),
+            router::Action::BackendRecovered(id) => tracing::info!("router: server {} sound again", id.0),
         }
     }
 
