--- a/crates/cluster/src/agenda.rs
+++ b/crates/cluster/src/agenda.rs
@@ -3,19 +3,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use crate::register::Id;
+use crate::register::QueryId;
 use crate::Micros;
 
 /// When each id is to be looked at.
 #[derive(Debug, Default)]
 pub(crate) struct Agenda {
-    at: BTreeMap<Id, Micros>,
-    order: BTreeSet<(Micros, Id)>,
+    at: BTreeMap<QueryId, Micros>,
+    order: BTreeSet<(Micros, QueryId)>,
 }
 
 impl Agenda {
     /// An id is looked at then, and no longer when it was to be before; `None` takes it out.
-    pub(crate) fn set(&mut self, id: &Id, at: Option<Micros>) {
+    pub(crate) fn set(&mut self, id: &QueryId, at: Option<Micros>) {
         if self.at.get(id).copied() == at {
             return;
         }
@@ -31,7 +31,7 @@
         self.at.get(id).copied()
     }
 
-    pub(crate) fn remove(&mut self, id: &Id) {
+    pub(crate) fn remove(&mut self, id: &QueryId) {
         if let Some(at) = self.at.remove(id) {
             self.order.remove(&(at, Arc::clone(id)));
         }
@@ -43,7 +43,7 @@
     }
 
     /// Takes out all whose time has come, the earliest first.
-    pub(crate) fn take(&mut self, now: Micros) -> Vec<Id> {
+    pub(crate) fn take(&mut self, now: Micros) -> Vec<QueryId> {
         let mut due = Vec::new();
         while self.first().is_some_and(|at| at <= now) {
             if let Some((_, id)) = self.order.pop_first() {
@@ -62,7 +62,7 @@
     #[test]
     fn each_id_is_due_once_at_the_time_that_was_set_last() {
         let mut agenda = Agenda::default();
-        let ids: Vec<Id> = ["a", "b", "c"].map(Id::from).into();
+        let ids: Vec<QueryId> = ["a", "b", "c"].map(QueryId::from).into();
         agenda.set(&ids[0], Some(30));
         agenda.set(&ids[1], Some(20));
         agenda.set(&ids[2], Some(10));
--- a/crates/cluster/src/takeover.rs
+++ b/crates/cluster/src/takeover.rs
@@ -13,223 +13,224 @@
 use crate::agenda::Agenda;
 use crate::planted::{self, Bug};
 use crate::register::{
-    keepers, Abstains, Actor, Ballot, Bounds, Epochs, Id, Keeper, Lives, Mark, Meeting, Opened, Order,
-    Record, Standing, Word, HEAD,
+    acceptors_for, AbstainReason, Acceptor, AcceptorLimits, AcceptorReply, AttemptRef, Ballot, Epochs,
+    Incarnations, OpenedAt, Proposer, ProposerPhase, ProposerRequest, QueryId, Record, StateTransfer,
+    REQUEST_DIGEST_BYTES,
 };
 use crate::{Incarnation, Micros, PeerId};
 
 /// Between processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Note {
+pub enum Message {
     /// To a keeper.
-    Order(Order),
+    Request(ProposerRequest),
     /// From a keeper.
-    Word(Word),
+    Reply(AcceptorReply),
     /// A keeper that has started says in which life it is, and asks for what is held after this id.
-    Meet(Incarnation, Option<Id>),
+    TransferRequest(Incarnation, Option<QueryId>),
     /// What another holds of ids that both keep.
-    Meeting(Meeting),
+    StateTransfer(StateTransfer),
     /// A keeper's epoch, in this life of it.
     Epoch(Incarnation, u64),
 }
 
-impl Note {
+impl Message {
     /// Whether somebody gets on with what he does only once it has come. That an id is settled, or an epoch is over,
     /// lets others forget, and what asks for it meanwhile is told all the same.
     #[must_use]
-    pub fn is_waited_for(&self) -> bool {
-        !matches!(self, Self::Order(Order::Settled { .. }) | Self::Epoch(..))
+    pub fn is_awaited(&self) -> bool {
+        !matches!(self, Self::Request(ProposerRequest::Chosen { .. }) | Self::Epoch(..))
     }
 }
 
 /// How an id ended, the same for whoever asks.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum QueryEnd {
     /// With this answer.
-    Said(Arc<[u8]>),
+    Answered(Arc<[u8]>),
     /// Its gatherer was lost while a part of it may have run.
-    MayHaveRun,
+    PossiblyExecuted,
     /// No part of it ran.
-    NeverRan,
+    NotExecuted,
 }
 
-impl Ended {
+impl QueryEnd {
     /// As records hold it.
     #[must_use]
-    pub fn write(&self) -> Arc<[u8]> {
+    pub fn to_bytes(&self) -> Arc<[u8]> {
         match self {
-            Self::Said(words) => [&[0], &words[..]].concat().into(),
-            Self::MayHaveRun => [1].into(),
-            Self::NeverRan => [2].into(),
+            Self::Answered(words) => [&[0], &words[..]].concat().into(),
+            Self::PossiblyExecuted => [1].into(),
+            Self::NotExecuted => [2].into(),
         }
     }
 
     /// As a record holds it. What cannot be read may have run.
     #[must_use]
-    pub fn read(bytes: &[u8]) -> Self {
+    pub fn from_bytes(bytes: &[u8]) -> Self {
         match bytes.split_first() {
-            Some((0, words)) => Self::Said(words.into()),
-            Some((2, [])) => Self::NeverRan,
-            _ => Self::MayHaveRun,
+            Some((0, words)) => Self::Answered(words.into()),
+            Some((2, [])) => Self::NotExecuted,
+            _ => Self::PossiblyExecuted,
         }
     }
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wish {
+pub enum Action {
     /// To be sent to a peer.
-    Tell(PeerId, Box<Note>),
+    Send(PeerId, Box<Message>),
     /// An attempt has leave to be sent, or never will have.
-    Leave {
+    PermitDecided {
         /// The id.
-        id: Id,
+        id: QueryId,
         /// The part.
         part: u32,
         /// The attempt.
         attempt: u32,
         /// Whether it may be sent.
-        given: bool,
+        granted: bool,
     },
     /// How an id ended: to be told to whoever waits for it here.
-    Ended(Id, Ended),
+    QueryEnded(QueryId, QueryEnd),
     /// Another process acts for this id: nothing more is done for it here, and how it ends is told once known.
-    Elsewhere(Id),
+    OwnedByPeer(QueryId),
     /// The same id was asked with another body.
-    Another(Id),
+    RequestIdConflict(QueryId),
     /// To be run here, for nothing of it can have run: what was asked, and so long ago.
-    Adopt(Id, Arc<[u8]>, Micros),
+    TakeOver(QueryId, Arc<[u8]>, Micros),
     /// No majority of its keepers is within reach, and the time that this may take is over.
-    Unsure {
+    OutcomeUnknown {
         /// The id.
-        id: Id,
+        id: QueryId,
         /// Nothing of it ran, and nothing will: it may be told that it was refused.
-        untouched: bool,
+        not_executed: bool,
     },
 }
 
 /// What a client here asked under an id.
 #[derive(Clone, Copy, Debug)]
-pub struct Request<'a> {
+pub struct ClientRequest<'a> {
     /// The id.
-    pub id: &'a Id,
+    pub id: &'a QueryId,
     /// What was asked, by which another could run it; begins with eight bytes that tell one body from another.
-    pub asked: &'a Arc<[u8]>,
+    pub payload: &'a Arc<[u8]>,
     /// When nobody waits for the id any more.
-    pub until: Micros,
+    pub deadline: Micros,
     /// Its client said that this is its first try, so that nobody else can have been asked.
-    pub first: bool,
+    pub is_first_attempt: bool,
 }
 
 /// What is being done for an id at a desk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stands {
+pub enum RequestState {
     /// Nothing.
     Unknown,
     /// It is run by this process: for a client of its own, or taken over.
-    Runs,
+    Running,
     /// It is being taken over, or its end is waited for; nothing may be run for it.
-    Awaited,
+    AwaitingOutcome,
 }
 
 /// What a desk follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Setup {
+pub struct TakeoverConfig {
     /// This process's place in the list.
     pub me: PeerId,
     /// How many are in the list.
-    pub peers: usize,
+    pub peer_count: usize,
     /// How many keepers an id has.
-    pub group: usize,
+    pub group_size: usize,
     /// What it holds as a keeper; `life` is how long an id may be asked again.
-    pub bounds: Bounds,
+    pub limits: AcceptorLimits,
 }
 
 /// What no word came on is said again after this wait, and then after twice as long each time: where keepers are
 /// away or full for long, hundreds of ids must not fill all links with what nobody can answer.
-const AGAIN: Micros = 30_000;
+const RESEND_INTERVAL: Micros = 30_000;
 /// How often that wait doubles.
-const DOUBLINGS: u32 = 4;
+const RESEND_DOUBLINGS: u32 = 4;
 /// Leave for a first attempt that a majority has not given by then is not waited for.
-const LEAVE: Micros = 200_000;
+const PERMIT_TIMEOUT: Micros = 200_000;
 /// Each keeper tries so much later than the one before it.
-const STEP: Micros = 60_000;
+const TAKEOVER_STAGGER: Micros = 60_000;
 /// How long it is until a keeper is asked again what it holds, while an id is waited for; then twice as long, up to
 /// 64 times: who was asked tells the end when it comes, and what is asked again is for words that were lost. (At
 /// 20 ms each time, a hundred clients that asked again took all that links carry.)
-const POLL: Micros = 20_000;
-const POLL_DOUBLINGS: u32 = 6;
+const OUTCOME_POLL_INTERVAL: Micros = 20_000;
+const OUTCOME_POLL_DOUBLINGS: u32 = 6;
 /// Keepers that have started ask again whom they have not heard whole, and old records are looked for.
-const ROUND: Micros = 250_000;
+const SCAN_INTERVAL: Micros = 250_000;
 /// Ids that are being taken over at a time; the others wait, the oldest first.
-const BURST: usize = 32;
+const CONCURRENT_TAKEOVERS: usize = 32;
 
 /// What this process does for one id.
 #[derive(Debug)]
-struct Work {
-    actor: Option<Actor>,
-    asked: Arc<[u8]>,
+struct QueryState {
+    proposer: Option<Proposer>,
+    payload: Arc<[u8]>,
     /// Somebody here waits for how it ends.
-    here: bool,
+    has_local_clients: bool,
     /// What was asked was handed out to be run, or is being run for a client here.
-    runs: bool,
+    is_running: bool,
     /// A client here asked it for the first time.
-    first: bool,
+    is_first_attempt: bool,
     /// An attempt had leave under this process's ballots.
-    sent: bool,
+    any_permitted: bool,
     /// An attempt was written and taken back: whoever takes over may run it.
-    voided: bool,
+    any_revoked: bool,
     /// Attempts that wait for leave, since when.
-    wants: Vec<(u32, u32, Mark, Micros)>,
-    ended: Option<Ended>,
-    until: Micros,
+    pending_permits: Vec<(u32, u32, AttemptRef, Micros)>,
+    end: Option<QueryEnd>,
+    deadline: Micros,
     /// It is refused here, and whether a majority takes that has to be known by then.
-    soon: Option<Micros>,
-    again: Micros,
+    reject_deadline: Option<Micros>,
+    resend_at: Micros,
     /// The version that keepers were told last.
-    said: u32,
+    sent_version: u32,
     /// How often in a row it was told for want of words.
-    tries: u32,
+    resends: u32,
 }
 
-impl Work {
+impl QueryState {
     /// One that nobody here waits for, and of which nothing was done yet.
-    fn new(now: Micros, actor: Actor, asked: Arc<[u8]>, until: Micros) -> Self {
+    fn new(now: Micros, proposer: Proposer, payload: Arc<[u8]>, deadline: Micros) -> Self {
         Self {
-            actor: Some(actor),
-            asked,
-            here: false,
-            runs: false,
-            first: false,
-            sent: false,
-            voided: false,
-            wants: Vec::new(),
-            ended: None,
-            until,
-            soon: None,
-            again: now,
-            said: 0,
-            tries: 0,
+            proposer: Some(proposer),
+            payload,
+            has_local_clients: false,
+            is_running: false,
+            is_first_attempt: false,
+            any_permitted: false,
+            any_revoked: false,
+            pending_permits: Vec::new(),
+            end: None,
+            deadline,
+            reject_deadline: None,
+            resend_at: now,
+            sent_version: 0,
+            resends: 0,
         }
     }
 
     /// When there is no more use in it. What another acts for is waited for as long as its client has time.
-    fn end(&self) -> Micros {
-        let soon = self.soon.filter(|_| self.actor.is_some());
-        soon.map_or(self.until, |soon| soon.min(self.until))
+    fn deadline(&self) -> Micros {
+        let reject_deadline = self.reject_deadline.filter(|_| self.proposer.is_some());
+        reject_deadline.map_or(self.deadline, |reject_deadline| reject_deadline.min(self.deadline))
     }
 
     /// When it is to be looked at next.
-    fn due(&self) -> Micros {
-        let leave = self.wants.iter().map(|(.., since)| since + LEAVE);
-        leave.chain([self.again, self.end()]).min().unwrap_or(self.again)
+    fn next_timeout(&self) -> Micros {
+        let relinquish = self.pending_permits.iter().map(|(.., since)| since + PERMIT_TIMEOUT);
+        relinquish.chain([self.resend_at, self.deadline()]).min().unwrap_or(self.resend_at)
     }
 
     /// Whether its client may be told that nothing ran, though no majority was told so: nobody else was asked
     /// before, nothing was sent, and whatever was written of it is not taken back anywhere, so that who takes
     /// over finds either nothing to run, or what may have run.
-    fn is_untouched(&self) -> bool {
-        self.first && !self.sent && !self.voided && self.actor.is_some()
+    fn certainly_not_executed(&self) -> bool {
+        self.is_first_attempt && !self.any_permitted && !self.any_revoked && self.proposer.is_some()
     }
 }
 
@@ -237,29 +238,29 @@
 /// at that: hundreds of ids wait while keepers are away, and a look at all of them with each message that comes
 /// makes a busy process slower the more of them wait, until it does nothing else.
 #[derive(Debug, Default)]
-struct Works {
-    all: BTreeMap<Id, Work>,
+struct QueryTable {
+    all: BTreeMap<QueryId, QueryState>,
     agenda: Agenda,
-    touched: BTreeSet<Id>,
+    touched: BTreeSet<QueryId>,
 }
 
-impl Works {
-    fn get(&self, id: &str) -> Option<&Work> {
+impl QueryTable {
+    fn get(&self, id: &str) -> Option<&QueryState> {
         self.all.get(id)
     }
 
-    fn get_mut(&mut self, id: &Id) -> Option<&mut Work> {
-        let work = self.all.get_mut(id)?;
+    fn get_mut(&mut self, id: &QueryId) -> Option<&mut QueryState> {
+        let query = self.all.get_mut(id)?;
         self.touched.insert(Arc::clone(id));
-        Some(work)
+        Some(query)
     }
 
-    fn insert(&mut self, id: &Id, work: Work) {
-        self.all.insert(Arc::clone(id), work);
+    fn insert(&mut self, id: &QueryId, query: QueryState) {
+        self.all.insert(Arc::clone(id), query);
         self.touched.insert(Arc::clone(id));
     }
 
-    fn remove(&mut self, id: &Id) {
+    fn remove(&mut self, id: &QueryId) {
         self.all.remove(id);
         self.agenda.remove(id);
         self.touched.remove(id);
@@ -268,662 +269,722 @@
     /// Puts on the agenda what was changed.
     fn plan(&mut self) {
         for id in std::mem::take(&mut self.touched) {
-            self.agenda.set(&id, self.all.get(&id).map(Work::due));
+            self.agenda.set(&id, self.all.get(&id).map(QueryState::next_timeout));
         }
     }
 
-    fn due(&self) -> Option<Micros> {
-        let touched = self.touched.iter().filter_map(|id| Some(self.all.get(id)?.due()));
+    fn poll_timeout(&self) -> Option<Micros> {
+        let touched = self.touched.iter().filter_map(|id| Some(self.all.get(id)?.next_timeout()));
         touched.chain(self.agenda.first()).min()
     }
 
     /// Those whose time has come; each has to be looked at for a change.
-    fn take(&mut self, now: Micros) -> Vec<Id> {
+    fn take(&mut self, now: Micros) -> Vec<QueryId> {
         self.plan();
         self.agenda.take(now)
     }
 
     /// Whether so many are being run that were taken over.
     fn is_full(&self, most: usize) -> bool {
-        let taken = self.all.values().filter(|work| work.runs && !work.here);
+        let taken = self.all.values().filter(|query| query.is_running && !query.has_local_clients);
         taken.take(most).count() == most
     }
 }
 
 /// One process's part in all ids.
 #[derive(Debug)]
-pub struct Desk {
-    setup: Setup,
-    keeper: Option<Keeper>,
+pub struct TakeoverManager {
+    config: TakeoverConfig,
+    acceptor: Option<Acceptor>,
     /// The present lives of those that have been linked.
-    lives: Lives,
+    incarnations: Incarnations,
     /// And their epochs.
     epochs: Epochs,
-    away: BTreeSet<PeerId>,
-    works: Works,
+    unavailable: BTreeSet<PeerId>,
+    queries: QueryTable,
     /// Ids that this keeper may take over, with when they came to it.
-    watched: BTreeMap<Id, Micros>,
+    watched: BTreeMap<QueryId, Micros>,
     /// When it tries for them.
-    tries: Agenda,
+    takeover_timers: Agenda,
     /// Peers that wait for the end of an id that is kept here: they hear of it at once, and need not ask often.
-    curious: BTreeMap<Id, BTreeSet<PeerId>>,
+    subscribers: BTreeMap<QueryId, BTreeSet<PeerId>>,
     /// Ids that nobody acts for as far as these keepers know.
-    asking: BTreeMap<Id, BTreeSet<PeerId>>,
-    turn: u64,
-    round: Micros,
-    wishes: Vec<Wish>,
+    release_votes: BTreeMap<QueryId, BTreeSet<PeerId>>,
+    sequence: u64,
+    last_scan: Micros,
+    actions: Vec<Action>,
 }
 
-impl Desk {
+impl TakeoverManager {
     /// A desk that knows nobody; until a first link there are no keepers within reach.
     #[must_use]
-    pub fn new(setup: Setup) -> Self {
+    pub fn new(config: TakeoverConfig) -> Self {
         Self {
-            setup,
-            keeper: None,
-            lives: Lives::new(),
+            config,
+            acceptor: None,
+            incarnations: Incarnations::new(),
             epochs: Epochs::new(),
-            away: BTreeSet::new(),
-            works: Works::default(),
+            unavailable: BTreeSet::new(),
+            queries: QueryTable::default(),
             watched: BTreeMap::new(),
-            tries: Agenda::default(),
-            curious: BTreeMap::new(),
-            asking: BTreeMap::new(),
-            turn: 0,
-            round: 0,
-            wishes: Vec::new(),
+            takeover_timers: Agenda::default(),
+            subscribers: BTreeMap::new(),
+            release_votes: BTreeMap::new(),
+            sequence: 0,
+            last_scan: 0,
+            actions: Vec::new(),
         }
     }
 
     /// What is to be done since the last call.
-    pub fn wishes(&mut self) -> Vec<Wish> {
-        self.works.plan();
-        std::mem::take(&mut self.wishes)
+    pub fn take_actions(&mut self) -> Vec<Action> {
+        self.queries.plan();
+        std::mem::take(&mut self.actions)
     }
 
     /// Ids that something is done for here, and records kept with their bytes.
     #[must_use]
-    pub fn load(&self) -> (usize, usize, usize) {
-        let (records, bytes) = self.keeper.as_ref().map_or((0, 0), Keeper::holds);
-        (self.works.all.len(), records, bytes)
+    pub fn usage(&self) -> (usize, usize, usize) {
+        let (records, bytes) = self.acceptor.as_ref().map_or((0, 0), Acceptor::usage);
+        (self.queries.all.len(), records, bytes)
     }
 
     /// What is being done for an id here.
     #[must_use]
-    pub fn stands(&self, id: &str) -> Stands {
-        match self.works.get(id) {
-            None => Stands::Unknown,
-            Some(work) if work.runs && work.actor.is_some() && work.ended.is_none() => Stands::Runs,
-            Some(_) => Stands::Awaited,
+    pub fn request_state(&self, id: &str) -> RequestState {
+        match self.queries.get(id) {
+            None => RequestState::Unknown,
+            Some(query) if query.is_running && query.proposer.is_some() && query.end.is_none() => {
+                RequestState::Running
+            }
+            Some(_) => RequestState::AwaitingOutcome,
         }
     }
 
     /// A ballot that nobody ever had.
-    fn ballot(&mut self, round: u32) -> Ballot {
-        self.turn += 1;
-        Ballot { round, by: self.setup.me, life: self.life(), turn: self.turn }
+    fn next_ballot(&mut self, round: u32) -> Ballot {
+        self.sequence += 1;
+        Ballot { round, proposer: self.config.me, incarnation: self.incarnation(), sequence: self.sequence }
     }
 
-    fn life(&self) -> Incarnation {
-        self.keeper.as_ref().map(Keeper::life).unwrap_or_default()
+    fn incarnation(&self) -> Incarnation {
+        self.acceptor.as_ref().map(Acceptor::incarnation).unwrap_or_default()
     }
 
     /// A link is up: to whom, in which life, and in which life this process is itself.
-    pub fn linked(&mut self, now: Micros, peer: PeerId, life: Incarnation, own: Incarnation) {
-        if self.keeper.is_none() {
-            let Setup { me, peers, group, bounds } = self.setup;
-            self.keeper = Some(Keeper::new(now, me, own, peers, group, bounds));
-            self.lives.insert(me, own);
+    pub fn peer_connected(&mut self, now: Micros, peer: PeerId, incarnation: Incarnation, own: Incarnation) {
+        if self.acceptor.is_none() {
+            let TakeoverConfig { me, peer_count, group_size, limits } = self.config;
+            self.acceptor = Some(Acceptor::new(now, me, own, peer_count, group_size, limits));
+            self.incarnations.insert(me, own);
             self.epochs.insert(me, 0);
         }
-        let before = self.lives.insert(peer, life);
-        if before != Some(life) {
+        let before = self.incarnations.insert(peer, incarnation);
+        if before != Some(incarnation) {
             // Known again once it says so.
             self.epochs.remove(&peer);
         }
-        self.away.remove(&peer);
-        let unmet = self.keeper.as_ref().map(Keeper::unmet).unwrap_or_default();
-        let unmet = unmet.into_iter().find(|(unmet, _)| *unmet == peer);
-        if unmet.is_some() || before != Some(life) {
+        self.unavailable.remove(&peer);
+        let missing_transfers = self.acceptor.as_ref().map(Acceptor::missing_transfers).unwrap_or_default();
+        let missing_transfers =
+            missing_transfers.into_iter().find(|(missing_transfers, _)| *missing_transfers == peer);
+        if missing_transfers.is_some() || before != Some(incarnation) {
             // Also one that was met: in a new life it knows no longer in which one this process is.
-            let after = unmet.and_then(|(_, after)| after);
-            self.wishes.push(Wish::Tell(peer, Box::new(Note::Meet(self.life(), after))));
+            let after = missing_transfers.and_then(|(_, after)| after);
+            self.actions
+                .push(Action::Send(peer, Box::new(Message::TransferRequest(self.incarnation(), after))));
         }
-        if before.is_some_and(|before| before != life) {
-            self.look(now, peer);
+        if before.is_some_and(|before| before != incarnation) {
+            self.schedule_takeovers_from(now, peer);
         }
     }
 
     /// This process goes on under another life of its name: what it was allowed, it no longer is.
-    pub fn reborn(&mut self, now: Micros, own: Incarnation) {
-        let Setup { me, peers, group, bounds } = self.setup;
-        self.keeper = Some(Keeper::new(now, me, own, peers, group, bounds));
-        self.lives.insert(me, own);
+    pub fn incarnation_changed(&mut self, now: Micros, own: Incarnation) {
+        let TakeoverConfig { me, peer_count, group_size, limits } = self.config;
+        self.acceptor = Some(Acceptor::new(now, me, own, peer_count, group_size, limits));
+        self.incarnations.insert(me, own);
         self.epochs.insert(me, 0);
         self.watched.clear();
-        self.tries = Agenda::default();
-        self.curious.clear();
-        self.asking.clear();
-        for (id, work) in std::mem::take(&mut self.works).all {
-            let untouched = work.is_untouched();
-            self.deny(&id, work.wants);
-            self.wishes.push(Wish::Unsure { id, untouched });
+        self.takeover_timers = Agenda::default();
+        self.subscribers.clear();
+        self.release_votes.clear();
+        for (id, query) in std::mem::take(&mut self.queries).all {
+            let not_executed = query.certainly_not_executed();
+            self.deny_permits(&id, query.pending_permits);
+            self.actions.push(Action::OutcomeUnknown { id, not_executed });
         }
     }
 
     /// Whether a peer is held to be away: advice.
-    pub fn held(&mut self, now: Micros, peer: PeerId, away: bool) {
-        let news = if away { self.away.insert(peer) } else { self.away.remove(&peer) };
-        if news && away {
-            self.look(now, peer);
+    pub fn peer_availability_changed(&mut self, now: Micros, peer: PeerId, unavailable: bool) {
+        let news = if unavailable { self.unavailable.insert(peer) } else { self.unavailable.remove(&peer) };
+        if news && unavailable {
+            self.schedule_takeovers_from(now, peer);
         }
     }
 
     /// Looks for ids that a peer acted for, in a life that is over or while it is away.
-    fn look(&mut self, now: Micros, peer: PeerId) {
-        let Some(keeper) = &self.keeper else { return };
-        let its = keeper.open().filter(|(_, record)| record.promised.by == peer);
-        let due: Vec<Id> =
-            its.filter(|(_, record)| self.is_away(record)).map(|(id, _)| Arc::clone(id)).collect();
+    fn schedule_takeovers_from(&mut self, now: Micros, peer: PeerId) {
+        let Some(acceptor) = &self.acceptor else { return };
+        let its = acceptor.open_records().filter(|(_, record)| record.promised.proposer == peer);
+        let due: Vec<QueryId> = its
+            .filter(|(_, record)| self.is_owner_unavailable(record))
+            .map(|(id, _)| Arc::clone(id))
+            .collect();
         for id in due {
-            let at = now + self.rank(&id) * STEP;
-            self.tries.set(&id, Some(at));
+            let at = now + self.takeover_rank(&id) * TAKEOVER_STAGGER;
+            self.takeover_timers.set(&id, Some(at));
             self.watched.entry(id).or_insert(now);
         }
     }
 
-    fn is_away(&self, record: &Record) -> bool {
-        let Ballot { by, life, .. } = record.promised;
-        let other = self.lives.get(&by).is_some_and(|now| *now != life);
-        other || (by != self.setup.me && self.away.contains(&by))
+    fn is_owner_unavailable(&self, record: &Record) -> bool {
+        let Ballot { proposer: by, incarnation, .. } = record.promised;
+        let other = self.incarnations.get(&by).is_some_and(|now| *now != incarnation);
+        other || (by != self.config.me && self.unavailable.contains(&by))
     }
 
     /// How many keepers of an id that are held to be there come before this one.
-    fn rank(&self, id: &str) -> Micros {
-        let all = keepers(id, self.setup.peers, self.setup.group);
-        let before = all.iter().take_while(|peer| **peer != self.setup.me);
-        before.filter(|peer| !self.away.contains(peer)).count() as Micros
+    fn takeover_rank(&self, id: &str) -> Micros {
+        let all = acceptors_for(id, self.config.peer_count, self.config.group_size);
+        let before = all.iter().take_while(|peer| **peer != self.config.me);
+        before.filter(|peer| !self.unavailable.contains(peer)).count() as Micros
     }
 
-    fn tell(&mut self, now: Micros, to: PeerId, note: Note) {
-        if to == self.setup.me {
-            self.note(now, to, note);
+    fn send(&mut self, now: Micros, to: PeerId, message: Message) {
+        if to == self.config.me {
+            self.handle_message(now, to, message);
         } else {
-            self.wishes.push(Wish::Tell(to, Box::new(note)));
+            self.actions.push(Action::Send(to, Box::new(message)));
         }
     }
 
     /// A peer, or this process itself, says something.
-    pub fn note(&mut self, now: Micros, from: PeerId, note: Note) {
-        match note {
-            Note::Order(order) => {
-                let id = Arc::clone(order.id());
-                let asked = matches!(order, Order::Ask { .. });
-                let Some(keeper) = &mut self.keeper else { return };
-                let word = keeper.order(now, order);
-                let left = match keeper.record(&id) {
-                    Some(record) if !record.settled => {
-                        if asked && from != self.setup.me {
-                            self.curious.entry(Arc::clone(&id)).or_default().insert(from);
+    pub fn handle_message(&mut self, now: Micros, from: PeerId, message: Message) {
+        match message {
+            Message::Request(request) => {
+                let id = Arc::clone(request.id());
+                let payload = matches!(request, ProposerRequest::ReadRecord { .. });
+                let Some(acceptor) = &mut self.acceptor else { return };
+                let reply = acceptor.handle_request(now, request);
+                let left = match acceptor.record(&id) {
+                    Some(record) if !record.chosen => {
+                        if payload && from != self.config.me {
+                            self.subscribers.entry(Arc::clone(&id)).or_default().insert(from);
                         }
                         self.watched.entry(Arc::clone(&id)).or_insert(now);
-                        record.left
+                        record.relinquished
                     }
                     record => {
                         let ended = record.cloned();
-                        let curious = self.curious.remove(&id).filter(|_| ended.is_some());
-                        let (curious, forgetful) = (curious.into_iter().flatten(), false);
-                        for to in curious.filter(|to| *to != from) {
-                            let known = Word::Known { id: Arc::clone(&id), record: ended.clone(), forgetful };
-                            self.wishes.push(Wish::Tell(to, Box::new(Note::Word(known))));
+                        let subscribers = self.subscribers.remove(&id).filter(|_| ended.is_some());
+                        let (subscribers, possibly_forgotten) = (subscribers.into_iter().flatten(), false);
+                        for to in subscribers.filter(|to| *to != from) {
+                            let known = AcceptorReply::RecordRead {
+                                id: Arc::clone(&id),
+                                record: ended.clone(),
+                                possibly_forgotten,
+                            };
+                            self.actions.push(Action::Send(to, Box::new(Message::Reply(known))));
                         }
                         self.unwatch(&id);
                         false
                     }
                 };
-                if left && !asked {
-                    let at = self.tries.at(&id).unwrap_or(now + self.rank(&id) * STEP);
-                    self.tries.set(&id, Some(at));
+                if left && !payload {
+                    let at = self
+                        .takeover_timers
+                        .at(&id)
+                        .unwrap_or(now + self.takeover_rank(&id) * TAKEOVER_STAGGER);
+                    self.takeover_timers.set(&id, Some(at));
                 }
-                word.into_iter().for_each(|word| self.tell(now, from, Note::Word(word)));
+                reply.into_iter().for_each(|reply| self.send(now, from, Message::Reply(reply)));
             }
-            Note::Word(word) => self.word(now, from, word),
-            Note::Meet(life, after) => {
-                let Some(keeper) = &mut self.keeper else { return };
-                let meeting = keeper.meet(now, from, life, after);
-                self.tell(now, from, Note::Meeting(meeting));
+            Message::Reply(reply) => self.handle_reply(now, from, reply),
+            Message::TransferRequest(incarnation, after) => {
+                let Some(acceptor) = &mut self.acceptor else { return };
+                let meeting = acceptor.serve_transfer(now, from, incarnation, after);
+                self.send(now, from, Message::StateTransfer(meeting));
             }
-            Note::Epoch(life, epoch) => self.epoch(from, life, epoch),
-            Note::Meeting(meeting) => {
-                self.epoch(meeting.from, meeting.life, meeting.epoch);
-                let Some(keeper) = &mut self.keeper else { return };
-                let (life, next) = (keeper.life(), keeper.met(now, meeting));
-                for (id, _) in keeper.open() {
+            Message::Epoch(incarnation, epoch) => self.learn_epoch(from, incarnation, epoch),
+            Message::StateTransfer(meeting) => {
+                self.learn_epoch(meeting.from, meeting.incarnation, meeting.epoch);
+                let Some(acceptor) = &mut self.acceptor else { return };
+                let (incarnation, next) = (acceptor.incarnation(), acceptor.receive_transfer(now, meeting));
+                for (id, _) in acceptor.open_records() {
                     self.watched.entry(Arc::clone(id)).or_insert(now);
                 }
-                next.into_iter().for_each(|next| self.tell(now, from, Note::Meet(life, Some(next))));
+                next.into_iter()
+                    .for_each(|next| self.send(now, from, Message::TransferRequest(incarnation, Some(next))));
             }
         }
     }
 
-    fn epoch(&mut self, peer: PeerId, life: Incarnation, epoch: u64) {
-        if self.lives.get(&peer) == Some(&life) {
+    fn learn_epoch(&mut self, peer: PeerId, incarnation: Incarnation, epoch: u64) {
+        if self.incarnations.get(&peer) == Some(&incarnation) {
             let known = self.epochs.entry(peer).or_insert(epoch);
             *known = (*known).max(epoch);
         }
     }
 
-    fn word(&mut self, now: Micros, from: PeerId, word: Word) {
-        let id = match &word {
-            Word::Done { id, .. }
-            | Word::Promised { id, .. }
-            | Word::Held { id, .. }
-            | Word::Abstains { id, .. }
-            | Word::Known { id, .. } => Arc::clone(id),
+    fn handle_reply(&mut self, now: Micros, from: PeerId, reply: AcceptorReply) {
+        let id = match &reply {
+            AcceptorReply::Accepted { id, .. }
+            | AcceptorReply::Promised { id, .. }
+            | AcceptorReply::Rejected { id, .. }
+            | AcceptorReply::Abstained { id, .. }
+            | AcceptorReply::RecordRead { id, .. } => Arc::clone(id),
         };
-        if let Word::Known { record, .. } = word {
-            return self.known(now, from, &id, record);
-        }
-        let Some(work) = self.works.get_mut(&id) else { return };
-        let outlived = matches!(word, Word::Abstains { why: Abstains::Outlived, .. });
-        let Some(actor) = &mut work.actor else { return };
-        if let Some(record) = actor.word(from, word) {
-            let wants = std::mem::take(&mut work.wants);
-            let leaving = actor.leave(wants.iter().map(|(.., mark, _)| *mark));
-            work.actor = None;
-            (work.again, work.tries) = (now + POLL, 0);
-            let (here, asked) = (work.here, Arc::clone(&work.asked));
+        if let AcceptorReply::RecordRead { record, .. } = reply {
+            return self.handle_record_read(now, from, &id, record);
+        }
+        let Some(query) = self.queries.get_mut(&id) else { return };
+        let stale_incarnation =
+            matches!(reply, AcceptorReply::Abstained { reason: AbstainReason::StaleIncarnation, .. });
+        let Some(proposer) = &mut query.proposer else { return };
+        if let Some(record) = proposer.handle_reply(from, reply) {
+            let wants = std::mem::take(&mut query.pending_permits);
+            let leaving = proposer.relinquish(wants.iter().map(|(.., intent, _)| *intent));
+            query.proposer = None;
+            (query.resend_at, query.resends) = (now + OUTCOME_POLL_INTERVAL, 0);
+            let (here, payload) = (query.has_local_clients, Arc::clone(&query.payload));
             if planted::is(Bug::SendAfterTheFence) {
                 for &(part, attempt, ..) in &wants {
-                    self.wishes.push(Wish::Leave { id: Arc::clone(&id), part, attempt, given: true });
+                    self.actions.push(Action::PermitDecided {
+                        id: Arc::clone(&id),
+                        part,
+                        attempt,
+                        granted: true,
+                    });
                 }
             }
-            self.deny(&id, wants);
-            for (to, order) in leaving {
-                self.tell(now, to, Note::Order(order));
+            self.deny_permits(&id, wants);
+            for (to, request) in leaving {
+                self.send(now, to, Message::Request(request));
             }
             if !here {
                 // Whoever fenced it ends it.
-                self.works.remove(&id);
-            } else if !asked.is_empty() && !record.asked.is_empty() && head(&asked) != head(&record.asked) {
-                self.works.remove(&id);
-                self.wishes.push(Wish::Another(id));
+                self.queries.remove(&id);
+            } else if !payload.is_empty()
+                && !record.payload.is_empty()
+                && head(&payload) != head(&record.payload)
+            {
+                self.queries.remove(&id);
+                self.actions.push(Action::RequestIdConflict(id));
             } else {
-                self.wishes.push(Wish::Elsewhere(Arc::clone(&id)));
-                self.elsewhere(now, &id, &record);
+                self.actions.push(Action::OwnedByPeer(Arc::clone(&id)));
+                self.learn_outcome(now, &id, &record);
             }
             return;
         }
-        let stuck = actor.is_stuck();
-        if outlived && stuck {
-            return self.again(now, &id);
+        let stuck = proposer.lacks_quorum();
+        if stale_incarnation && stuck {
+            return self.retry_with_higher_ballot(now, &id);
         }
         // Told twice, most keepers gave no word each time: it is given up, and its client hears so at once.
-        if stuck && work.tries > 0 && !work.wants.is_empty() {
-            return self.give_up(now, &id);
+        if stuck && query.resends > 0 && !query.pending_permits.is_empty() {
+            return self.abandon_permits(now, &id);
         }
         self.advance(now, &id);
     }
 
     /// No leave is waited for any more.
-    fn give_up(&mut self, now: Micros, id: &Id) {
-        let Some(work) = self.works.get_mut(id) else { return };
+    fn abandon_permits(&mut self, now: Micros, id: &QueryId) {
+        let Some(query) = self.queries.get_mut(id) else { return };
         // The intents stay written where they were: whoever takes over takes them for what may have run.
-        let wants = std::mem::take(&mut work.wants);
-        let untouched = work.is_untouched();
-        let unheld = work.actor.as_ref().is_some_and(|actor| !actor.is_held());
+        let wants = std::mem::take(&mut query.pending_permits);
+        let not_executed = query.certainly_not_executed();
+        let unheld = query.proposer.as_ref().is_some_and(|proposer| !proposer.is_accepted_anywhere());
         // It is recorded all the same once a majority can be reached. Of what no keeper took there is nothing to
         // record; hundreds of such ids, told again and again while all keepers have just started, took five times
         // the work of those that are served, and a busy machine did nothing else.
-        work.ended.get_or_insert(if work.sent { Ended::MayHaveRun } else { Ended::NeverRan });
-        if untouched && unheld {
-            self.works.remove(id);
+        query.end.get_or_insert(if query.any_permitted {
+            QueryEnd::PossiblyExecuted
+        } else {
+            QueryEnd::NotExecuted
+        });
+        if not_executed && unheld {
+            self.queries.remove(id);
         }
-        self.deny(id, wants);
-        self.wishes.push(Wish::Unsure { id: Arc::clone(id), untouched });
+        self.deny_permits(id, wants);
+        self.actions.push(Action::OutcomeUnknown { id: Arc::clone(id), not_executed });
         self.advance(now, id);
     }
 
     /// What another keeper holds of an id that is waited for here, or that nobody seems to act for.
-    fn known(&mut self, now: Micros, from: PeerId, id: &Id, record: Option<Record>) {
-        let waits = self.works.get(id).is_some_and(|work| work.actor.is_none());
+    fn handle_record_read(&mut self, now: Micros, from: PeerId, id: &QueryId, record: Option<Record>) {
+        let waits = self.queries.get(id).is_some_and(|query| query.proposer.is_none());
         if let (true, Some(record)) = (waits, &record) {
-            self.elsewhere(now, id, record);
+            self.learn_outcome(now, id, record);
         }
-        let free = record.is_none_or(|record| record.left || self.is_away(&record));
-        let Some(asking) = self.asking.get_mut(id) else { return };
+        let free = record.is_none_or(|record| record.relinquished || self.is_owner_unavailable(&record));
+        let Some(release_votes) = self.release_votes.get_mut(id) else { return };
         if free {
-            asking.insert(from);
-            if 2 * asking.len() > self.setup.group {
-                self.asking.remove(id);
-                self.take(now, id);
+            release_votes.insert(from);
+            if 2 * release_votes.len() > self.config.group_size {
+                self.release_votes.remove(id);
+                self.take_over(now, id);
             }
         } else {
             // One that has a majority, perhaps. It is looked at again in a while.
-            self.asking.remove(id);
+            self.release_votes.remove(id);
             if self.watched.contains_key(id) {
-                self.tries.set(id, Some(now + 2 * STEP));
+                self.takeover_timers.set(id, Some(now + 2 * TAKEOVER_STAGGER));
             }
         }
     }
 
     /// A keeper that was counted on has started again: the ballot is of no more use, and a higher one is asked for.
-    fn again(&mut self, now: Micros, id: &Id) {
-        let held = self.works.get(id).and_then(|work| work.actor.as_ref());
-        let Some((held, opened)) = held.map(|actor| (actor.ballot(), actor.opened().clone())) else { return };
-        let ballot = self.ballot(held.round + 1);
-        let Some(work) = self.works.get_mut(id) else { return };
-        let keepers = keepers(id, self.setup.peers, self.setup.group);
-        let mut actor = Actor::take(Arc::clone(id), ballot, keepers, opened);
-        let wants = std::mem::take(&mut work.wants);
+    fn retry_with_higher_ballot(&mut self, now: Micros, id: &QueryId) {
+        let held = self.queries.get(id).and_then(|query| query.proposer.as_ref());
+        let Some((held, opened_at)) = held.map(|proposer| (proposer.ballot(), proposer.opened_at().clone()))
+        else {
+            return;
+        };
+        let ballot = self.next_ballot(held.round + 1);
+        let Some(query) = self.queries.get_mut(id) else { return };
+        let acceptors = acceptors_for(id, self.config.peer_count, self.config.group_size);
+        let mut proposer = Proposer::prepare(Arc::clone(id), ballot, acceptors, opened_at);
+        let wants = std::mem::take(&mut query.pending_permits);
         // What waited for leave was not sent, and is not: the attempts that come in its place may run.
-        actor.know_void(wants.iter().map(|(.., mark, _)| *mark));
-        work.voided |= !wants.is_empty();
-        work.actor = Some(actor);
-        self.deny(id, wants);
-        self.say(now, id);
+        proposer.inherit_not_executed(wants.iter().map(|(.., intent, _)| *intent));
+        query.any_revoked |= !wants.is_empty();
+        query.proposer = Some(proposer);
+        self.deny_permits(id, wants);
+        self.send_requests(now, id);
     }
 
     /// What another's record says of an id that is waited for here.
-    fn elsewhere(&mut self, now: Micros, id: &Id, record: &Record) {
-        if let (true, Some((_, outcome))) = (record.settled, &record.outcome) {
-            self.works.remove(id);
-            self.wishes.push(Wish::Ended(Arc::clone(id), Ended::read(outcome)));
+    fn learn_outcome(&mut self, now: Micros, id: &QueryId, record: &Record) {
+        if let (true, Some((_, outcome))) = (record.chosen, &record.outcome) {
+            self.queries.remove(id);
+            self.actions.push(Action::QueryEnded(Arc::clone(id), QueryEnd::from_bytes(outcome)));
             // Whatever else is held of it, here or where this process opened it in vain, is over with that.
-            for to in keepers(id, self.setup.peers, self.setup.group) {
-                let order = Order::Settled { id: Arc::clone(id), outcome: Arc::clone(outcome) };
-                self.tell(now, to, Note::Order(order));
+            for to in acceptors_for(id, self.config.peer_count, self.config.group_size) {
+                let request = ProposerRequest::Chosen { id: Arc::clone(id), outcome: Arc::clone(outcome) };
+                self.send(now, to, Message::Request(request));
             }
         }
     }
 
-    fn deny(&mut self, id: &Id, wants: Vec<(u32, u32, Mark, Micros)>) {
+    fn deny_permits(&mut self, id: &QueryId, wants: Vec<(u32, u32, AttemptRef, Micros)>) {
         for (part, attempt, ..) in wants {
-            self.wishes.push(Wish::Leave { id: Arc::clone(id), part, attempt, given: false });
+            self.actions.push(Action::PermitDecided { id: Arc::clone(id), part, attempt, granted: false });
         }
     }
 
     /// Says to keepers what they have not taken yet.
-    fn say(&mut self, now: Micros, id: &Id) {
-        let Some(work) = self.works.get_mut(id) else { return };
-        work.again = now + (AGAIN << work.tries.min(DOUBLINGS));
-        let Some(actor) = &work.actor else { return };
-        work.tries = if work.said == actor.version() { work.tries + 1 } else { 0 };
-        work.said = actor.version();
-        let mut missing = actor.missing();
-        if work.tries == 0 && *actor.standing() == Standing::Acting {
+    fn send_requests(&mut self, now: Micros, id: &QueryId) {
+        let Some(query) = self.queries.get_mut(id) else { return };
+        query.resend_at = now + (RESEND_INTERVAL << query.resends.min(RESEND_DOUBLINGS));
+        let Some(proposer) = &query.proposer else { return };
+        query.resends = if query.sent_version == proposer.version() { query.resends + 1 } else { 0 };
+        query.sent_version = proposer.version();
+        let mut pending_acceptors = proposer.pending_acceptors();
+        if query.resends == 0 && *proposer.phase() == ProposerPhase::Active {
             // A majority is enough, and is asked alone at first: another word would only cost both sides. Which one,
             // advice may say; whoever gave no word by the next time is asked beside all others.
-            let (me, away) = (self.setup.me, &self.away);
-            missing.sort_by_key(|peer| (away.contains(peer), !actor.has_taken(*peer), *peer != me));
-            missing.truncate(self.setup.group / 2 + 1);
+            let (me, unavailable) = (self.config.me, &self.unavailable);
+            pending_acceptors
+                .sort_by_key(|peer| (unavailable.contains(peer), !proposer.has_accepted(*peer), *peer != me));
+            pending_acceptors.truncate(self.config.group_size / 2 + 1);
         }
-        let orders: Vec<(PeerId, Order)> =
-            missing.into_iter().filter_map(|to| Some((to, actor.order(to)?))).collect();
-        for (to, order) in orders {
-            self.tell(now, to, Note::Order(order));
+        let orders: Vec<(PeerId, ProposerRequest)> =
+            pending_acceptors.into_iter().filter_map(|to| Some((to, proposer.request_for(to)?))).collect();
+        for (to, request) in orders {
+            self.send(now, to, Message::Request(request));
         }
     }
 
     /// Opens an id for a client here, unless something is done for it already.
-    fn open(&mut self, now: Micros, Request { id, asked, until, first }: Request) {
-        if self.works.get(id).is_some() {
+    fn open(
+        &mut self,
+        now: Micros,
+        ClientRequest { id, payload, deadline: until, is_first_attempt: first }: ClientRequest,
+    ) {
+        if self.queries.get(id).is_some() {
             return;
         }
-        let ballot = self.ballot(0);
-        let keepers = keepers(id, self.setup.peers, self.setup.group);
-        let lives = keepers.iter().filter_map(|peer| Some((*peer, *self.lives.get(peer)?))).collect();
-        let opened = Opened { lives, epochs: self.epochs.clone() };
-        let actor = Actor::open(Arc::clone(id), ballot, keepers, opened, Arc::clone(asked));
-        let work = Work::new(now, actor, Arc::clone(asked), until);
-        let work = Work { here: true, runs: true, first, ..work };
-        self.works.insert(id, work);
+        let ballot = self.next_ballot(0);
+        let acceptors = acceptors_for(id, self.config.peer_count, self.config.group_size);
+        let incarnations =
+            acceptors.iter().filter_map(|peer| Some((*peer, *self.incarnations.get(peer)?))).collect();
+        let opened_at = OpenedAt { incarnations, epochs: self.epochs.clone() };
+        let proposer = Proposer::open(Arc::clone(id), ballot, acceptors, opened_at, Arc::clone(payload));
+        let query = QueryState::new(now, proposer, Arc::clone(payload), until);
+        let query =
+            QueryState { has_local_clients: true, is_running: true, is_first_attempt: first, ..query };
+        self.queries.insert(id, query);
     }
 
     /// An attempt wants leave.
-    pub fn want(&mut self, now: Micros, request: Request, part: u32, attempt: u32) {
+    pub fn request_permit(&mut self, now: Micros, request: ClientRequest, part: u32, attempt: u32) {
         self.open(now, request);
         let id = request.id;
-        let Some(work) = self.works.get_mut(id) else { return };
+        let Some(query) = self.queries.get_mut(id) else { return };
         // Leave that came after an end was written would make that end untrue.
-        let actor = work.actor.as_mut().filter(|_| work.ended.is_none());
-        let mark = actor.and_then(|actor| actor.intend(part, attempt));
-        match mark {
-            Some(mark) => {
-                work.wants.push((part, attempt, mark, now));
-                self.say(now, id);
+        let proposer = query.proposer.as_mut().filter(|_| query.end.is_none());
+        let intent = proposer.and_then(|proposer| proposer.write_intent(part, attempt));
+        match intent {
+            Some(intent) => {
+                query.pending_permits.push((part, attempt, intent, now));
+                self.send_requests(now, id);
                 self.advance(now, id);
             }
-            None => self.wishes.push(Wish::Leave { id: Arc::clone(id), part, attempt, given: false }),
+            None => {
+                self.actions.push(Action::PermitDecided { id: Arc::clone(id), part, attempt, granted: false })
+            }
         }
     }
 
     /// What was asked again is refused here, and nothing was sent for it. Its client may be told that nothing ran
     /// only once nobody else can run it: that it never ran is written as its outcome, or the one that another
     /// came to is told in its place. Without a majority nothing is known, and that is said soon.
-    pub fn refuse(&mut self, now: Micros, request: Request) {
+    pub fn reject(&mut self, now: Micros, request: ClientRequest) {
         self.open(now, request);
-        let Some(work) = self.works.get_mut(request.id) else { return };
-        work.soon.get_or_insert(now + LEAVE);
-        work.ended.get_or_insert(Ended::NeverRan);
-        self.say(now, request.id);
+        let Some(query) = self.queries.get_mut(request.id) else { return };
+        query.reject_deadline.get_or_insert(now + PERMIT_TIMEOUT);
+        query.end.get_or_insert(QueryEnd::NotExecuted);
+        self.send_requests(now, request.id);
         self.advance(now, request.id);
     }
 
     /// Somebody here asks for an id that something is done for here already, and waits as well; `false` if
     /// nothing is.
-    pub fn wait(&mut self, id: &str, until: Micros) -> bool {
-        let Some(work) = self.works.get_mut(&Arc::from(id)) else { return false };
-        (work.here, work.until) = (true, work.until.max(until));
+    pub fn await_outcome(&mut self, id: &str, deadline: Micros) -> bool {
+        let Some(query) = self.queries.get_mut(&Arc::from(id)) else { return false };
+        (query.has_local_clients, query.deadline) = (true, query.deadline.max(deadline));
         true
     }
 
     /// An attempt that had leave never ran, or will not be sent.
-    pub fn void(&mut self, id: &str, part: u32, attempt: u32) {
-        let Some(work) = self.works.get_mut(&Arc::from(id)) else { return };
-        work.voided = true;
-        work.wants.retain(|(p, a, ..)| (*p, *a) != (part, attempt));
-        if let Some(actor) = &mut work.actor {
-            let ballot = actor.ballot();
-            actor.void(Mark { part, attempt, ballot });
+    pub fn mark_not_executed(&mut self, id: &str, part: u32, attempt: u32) {
+        let Some(query) = self.queries.get_mut(&Arc::from(id)) else { return };
+        query.any_revoked = true;
+        query.pending_permits.retain(|(p, a, ..)| (*p, *a) != (part, attempt));
+        if let Some(proposer) = &mut query.proposer {
+            let ballot = proposer.ballot();
+            proposer.mark_not_executed(AttemptRef { part, attempt, ballot });
         }
     }
 
     /// The id has ended here: it is told once that is recorded, as [`Wish::Ended`].
-    pub fn finish(&mut self, now: Micros, id: &Id, ended: Ended) {
-        let Some(work) = self.works.get_mut(id) else { return };
-        work.wants.clear();
-        if planted::is(Bug::AnswerBeforeTheRecord) && work.here {
-            self.wishes.push(Wish::Ended(Arc::clone(id), ended.clone()));
+    pub fn query_ended(&mut self, now: Micros, id: &QueryId, ended: QueryEnd) {
+        let Some(query) = self.queries.get_mut(id) else { return };
+        query.pending_permits.clear();
+        if planted::is(Bug::AnswerBeforeTheRecord) && query.has_local_clients {
+            self.actions.push(Action::QueryEnded(Arc::clone(id), ended.clone()));
         }
-        work.ended = Some(ended);
+        query.end = Some(ended);
         self.advance(now, id);
     }
 
     /// Does what the words that came allow.
-    fn advance(&mut self, now: Micros, id: &Id) {
+    fn advance(&mut self, now: Micros, id: &QueryId) {
         let came = self.watched.get(id).map_or(now, |came| *came);
-        let wanted = |work: &Work| !work.runs && work.actor.as_ref().is_some_and(|a| !a.asked().is_empty());
-        let full = self.works.get(id).is_some_and(wanted) && self.works.is_full(BURST);
-        let Some(work) = self.works.get_mut(id) else { return };
-        let Some(actor) = &mut work.actor else { return };
-        if *actor.standing() != Standing::Acting {
+        let wanted = |query: &QueryState| {
+            !query.is_running && query.proposer.as_ref().is_some_and(|a| !a.payload().is_empty())
+        };
+        let full = self.queries.get(id).is_some_and(wanted) && self.queries.is_full(CONCURRENT_TAKEOVERS);
+        let Some(query) = self.queries.get_mut(id) else { return };
+        let Some(proposer) = &mut query.proposer else { return };
+        if *proposer.phase() != ProposerPhase::Active {
             return;
         }
         let mut given = Vec::new();
-        work.wants.retain(|(part, attempt, mark, _)| {
-            let granted = actor.granted(*mark) || planted::is(Bug::SkipTheIntent);
+        query.pending_permits.retain(|(part, attempt, intent, _)| {
+            let granted = proposer.is_permitted(*intent) || planted::is(Bug::SkipTheIntent);
             if granted {
                 given.push((*part, *attempt));
             }
             !granted
         });
-        work.sent |= !given.is_empty();
-        if let Some(ended) = &work.ended {
+        query.any_permitted |= !given.is_empty();
+        if let Some(ended) = &query.end {
             // That nothing of it ran here says nothing of others who had leave before this ballot.
-            let elsewhere = *ended == Ended::NeverRan && actor.any_may_have_run();
-            actor.settle(if elsewhere { Ended::MayHaveRun.write() } else { ended.write() });
-        } else if actor.found().is_some() || (!work.runs && actor.any_may_have_run()) {
-            actor.settle(Ended::MayHaveRun.write());
-        } else if !work.runs && actor.asked().is_empty() {
-            actor.settle(Ended::NeverRan.write());
-        } else if !work.runs && !full {
-            work.runs = true;
-            work.asked = Arc::clone(actor.asked());
+            let elsewhere = *ended == QueryEnd::NotExecuted && proposer.any_may_have_executed();
+            proposer.propose_outcome(if elsewhere {
+                QueryEnd::PossiblyExecuted.to_bytes()
+            } else {
+                ended.to_bytes()
+            });
+        } else if proposer.found_outcome().is_some()
+            || (!query.is_running && proposer.any_may_have_executed())
+        {
+            proposer.propose_outcome(QueryEnd::PossiblyExecuted.to_bytes());
+        } else if !query.is_running && proposer.payload().is_empty() {
+            proposer.propose_outcome(QueryEnd::NotExecuted.to_bytes());
+        } else if !query.is_running && !full {
+            query.is_running = true;
+            query.payload = Arc::clone(proposer.payload());
             let age = now.saturating_sub(came);
-            self.wishes.push(Wish::Adopt(Arc::clone(id), Arc::clone(&work.asked), age));
+            self.actions.push(Action::TakeOver(Arc::clone(id), Arc::clone(&query.payload), age));
         }
-        let settled = actor.settled().cloned();
-        let more = actor.version() != work.said;
+        let chosen = proposer.chosen_outcome().cloned();
+        let more = proposer.version() != query.sent_version;
         for (part, attempt) in given {
-            self.wishes.push(Wish::Leave { id: Arc::clone(id), part, attempt, given: true });
+            self.actions.push(Action::PermitDecided { id: Arc::clone(id), part, attempt, granted: true });
         }
-        match settled {
+        match chosen {
             Some(outcome) => {
-                let here = work.here;
-                self.works.remove(id);
+                let here = query.has_local_clients;
+                self.queries.remove(id);
                 if here {
-                    self.wishes.push(Wish::Ended(Arc::clone(id), Ended::read(&outcome)));
+                    self.actions.push(Action::QueryEnded(Arc::clone(id), QueryEnd::from_bytes(&outcome)));
                 }
-                for to in keepers(id, self.setup.peers, self.setup.group) {
-                    let order = Order::Settled { id: Arc::clone(id), outcome: Arc::clone(&outcome) };
-                    self.tell(now, to, Note::Order(order));
+                for to in acceptors_for(id, self.config.peer_count, self.config.group_size) {
+                    let request =
+                        ProposerRequest::Chosen { id: Arc::clone(id), outcome: Arc::clone(&outcome) };
+                    self.send(now, to, Message::Request(request));
                 }
             }
-            None if more => self.say(now, id),
+            None if more => self.send_requests(now, id),
             None => {}
         }
     }
 
     /// Takes over an id, if it is still as it was.
-    fn take(&mut self, now: Micros, id: &Id) {
-        let record = self.keeper.as_ref().and_then(|keeper| keeper.record(id));
-        let Some(record) = record.filter(|record| !record.settled) else {
+    fn take_over(&mut self, now: Micros, id: &QueryId) {
+        let record = self.acceptor.as_ref().and_then(|acceptor| acceptor.record(id));
+        let Some(record) = record.filter(|record| !record.chosen) else {
             self.unwatch(id);
             return;
         };
-        if self.works.get(id).is_some_and(|work| work.actor.is_some()) {
+        if self.queries.get(id).is_some_and(|query| query.proposer.is_some()) {
             return;
         }
-        let (round, asked) = (record.promised.round + 1, Arc::clone(&record.asked));
-        let opened = record.opened.clone();
-        let ballot = self.ballot(round);
-        let actor =
-            Actor::take(Arc::clone(id), ballot, keepers(id, self.setup.peers, self.setup.group), opened);
-        let here = self.works.get(id).is_some_and(|work| work.here);
-        let work = Work { here, ..Work::new(now, actor, asked, now + self.setup.bounds.life) };
-        self.works.insert(id, work);
-        self.say(now, id);
+        let (round, payload) = (record.promised.round + 1, Arc::clone(&record.payload));
+        let opened_at = record.opened_at.clone();
+        let ballot = self.next_ballot(round);
+        let proposer = Proposer::prepare(
+            Arc::clone(id),
+            ballot,
+            acceptors_for(id, self.config.peer_count, self.config.group_size),
+            opened_at,
+        );
+        let here = self.queries.get(id).is_some_and(|query| query.has_local_clients);
+        let query = QueryState {
+            has_local_clients: here,
+            ..QueryState::new(now, proposer, payload, now + self.config.limits.query_lifetime)
+        };
+        self.queries.insert(id, query);
+        self.send_requests(now, id);
     }
 
     /// An id has ended, or is not held here any more.
-    fn unwatch(&mut self, id: &Id) {
+    fn unwatch(&mut self, id: &QueryId) {
         self.watched.remove(id);
-        self.tries.remove(id);
-        self.curious.remove(id);
+        self.takeover_timers.remove(id);
+        self.subscribers.remove(id);
     }
 
     /// When something is to be done without a message.
     #[must_use]
-    pub fn due(&self) -> Option<Micros> {
+    pub fn poll_timeout(&self) -> Option<Micros> {
         // Before a first link there is no keeper to look after; who asks all the same waits, and is told in time.
-        let round = self.keeper.as_ref().map(|_| self.round + ROUND);
-        [self.works.due(), self.tries.first(), round].into_iter().flatten().min()
+        let round = self.acceptor.as_ref().map(|_| self.last_scan + SCAN_INTERVAL);
+        [self.queries.poll_timeout(), self.takeover_timers.first(), round].into_iter().flatten().min()
     }
 
     /// Does all whose time has come.
-    pub fn tick(&mut self, now: Micros) {
-        if self.due().is_none_or(|due| due > now) {
+    pub fn handle_timeout(&mut self, now: Micros) {
+        if self.poll_timeout().is_none_or(|due| due > now) {
             return;
         }
-        for id in self.tries.take(now) {
-            let record = self.keeper.as_ref().and_then(|keeper| keeper.record(&id));
-            if record.is_some_and(|record| record.left && !record.settled) {
+        for id in self.takeover_timers.take(now) {
+            let record = self.acceptor.as_ref().and_then(|acceptor| acceptor.record(&id));
+            if record.is_some_and(|record| record.relinquished && !record.chosen) {
                 // Who left lost to another, who may have a majority and be at work: the others are asked first.
-                self.asking.insert(Arc::clone(&id), BTreeSet::new());
+                self.release_votes.insert(Arc::clone(&id), BTreeSet::new());
                 // Words that are lost are asked for again.
-                self.tries.set(&id, Some(now + 2 * STEP));
-                for to in keepers(&id, self.setup.peers, self.setup.group) {
-                    self.tell(now, to, Note::Order(Order::Ask { id: Arc::clone(&id) }));
+                self.takeover_timers.set(&id, Some(now + 2 * TAKEOVER_STAGGER));
+                for to in acceptors_for(&id, self.config.peer_count, self.config.group_size) {
+                    self.send(now, to, Message::Request(ProposerRequest::ReadRecord { id: Arc::clone(&id) }));
                 }
             } else {
-                self.take(now, &id);
+                self.take_over(now, &id);
             }
         }
-        for id in self.works.take(now) {
-            self.work_late(now, &id);
+        for id in self.queries.take(now) {
+            self.query_timeout(now, &id);
         }
-        if self.round + ROUND <= now {
-            self.round = now;
-            self.look_round(now);
+        if self.last_scan + SCAN_INTERVAL <= now {
+            self.last_scan = now;
+            self.scan(now);
         }
     }
 
-    fn work_late(&mut self, now: Micros, id: &Id) {
-        let Some(work) = self.works.get_mut(id) else { return };
-        if work.end() <= now {
-            let wants = std::mem::take(&mut work.wants);
-            let (here, untouched) = (work.here, work.is_untouched());
-            self.works.remove(id);
-            self.deny(id, wants);
+    fn query_timeout(&mut self, now: Micros, id: &QueryId) {
+        let Some(query) = self.queries.get_mut(id) else { return };
+        if query.deadline() <= now {
+            let wants = std::mem::take(&mut query.pending_permits);
+            let (here, not_executed) = (query.has_local_clients, query.certainly_not_executed());
+            self.queries.remove(id);
+            self.deny_permits(id, wants);
             if here {
-                self.wishes.push(Wish::Unsure { id: Arc::clone(id), untouched });
+                self.actions.push(Action::OutcomeUnknown { id: Arc::clone(id), not_executed });
             }
             return;
         }
-        if work.wants.iter().any(|(.., since)| since + LEAVE <= now) {
-            self.give_up(now, id);
+        if query.pending_permits.iter().any(|(.., since)| since + PERMIT_TIMEOUT <= now) {
+            self.abandon_permits(now, id);
         }
-        let Some(work) = self.works.get_mut(id) else { return };
-        if work.again > now {
+        let Some(query) = self.queries.get_mut(id) else { return };
+        if query.resend_at > now {
             return;
         }
-        if work.actor.is_some() {
-            self.say(now, id);
+        if query.proposer.is_some() {
+            self.send_requests(now, id);
             return self.advance(now, id);
         }
-        work.again = now + (POLL << work.tries.min(POLL_DOUBLINGS));
-        work.tries += 1;
-        for to in keepers(id, self.setup.peers, self.setup.group) {
-            self.tell(now, to, Note::Order(Order::Ask { id: Arc::clone(id) }));
+        query.resend_at = now + (OUTCOME_POLL_INTERVAL << query.resends.min(OUTCOME_POLL_DOUBLINGS));
+        query.resends += 1;
+        for to in acceptors_for(id, self.config.peer_count, self.config.group_size) {
+            self.send(now, to, Message::Request(ProposerRequest::ReadRecord { id: Arc::clone(id) }));
         }
     }
 
     /// What is looked at now and then: whom this keeper has to hear, ids that nobody ends.
-    fn look_round(&mut self, now: Micros) {
-        if self.keeper.as_mut().is_some_and(|keeper| keeper.tidy(now)) {
-            let (life, epoch) = (self.life(), self.keeper.as_ref().map_or(0, Keeper::epoch));
-            self.epochs.insert(self.setup.me, epoch);
-            let others: Vec<PeerId> = self.lives.keys().copied().filter(|p| *p != self.setup.me).collect();
-            self.wishes
-                .extend(others.into_iter().map(|to| Wish::Tell(to, Box::new(Note::Epoch(life, epoch)))));
-        }
-        let Some(keeper) = &self.keeper else { return };
-        let (life, unmet) = (keeper.life(), keeper.unmet());
-        let records: BTreeMap<Id, bool> =
-            keeper.open().map(|(id, record)| (Arc::clone(id), record.left || self.is_away(record))).collect();
-        for (to, after) in unmet {
-            self.wishes.push(Wish::Tell(to, Box::new(Note::Meet(life, after))));
+    fn scan(&mut self, now: Micros) {
+        if self.acceptor.as_mut().is_some_and(|acceptor| acceptor.end_epoch(now)) {
+            let (incarnation, epoch) =
+                (self.incarnation(), self.acceptor.as_ref().map_or(0, Acceptor::epoch));
+            self.epochs.insert(self.config.me, epoch);
+            let others: Vec<PeerId> =
+                self.incarnations.keys().copied().filter(|p| *p != self.config.me).collect();
+            self.actions.extend(
+                others.into_iter().map(|to| Action::Send(to, Box::new(Message::Epoch(incarnation, epoch)))),
+            );
+        }
+        let Some(acceptor) = &self.acceptor else { return };
+        let (incarnation, missing_transfers) = (acceptor.incarnation(), acceptor.missing_transfers());
+        let records: BTreeMap<QueryId, bool> = acceptor
+            .open_records()
+            .map(|(id, record)| (Arc::clone(id), record.relinquished || self.is_owner_unavailable(record)))
+            .collect();
+        for (to, after) in missing_transfers {
+            self.actions.push(Action::Send(to, Box::new(Message::TransferRequest(incarnation, after))));
         }
         let over = self.watched.keys().filter(|id| !records.contains_key(*id));
-        for id in over.cloned().collect::<Vec<Id>>() {
+        for id in over.cloned().collect::<Vec<QueryId>>() {
             self.unwatch(&id);
         }
-        self.asking.retain(|id, _| records.contains_key(id));
-        for (id, away) in records {
-            let rank = self.rank(&id);
-            let life = self.setup.bounds.life;
+        self.release_votes.retain(|id, _| records.contains_key(id));
+        for (id, unavailable) in records {
+            let takeover_rank = self.takeover_rank(&id);
+            let incarnation = self.config.limits.query_lifetime;
             let came = *self.watched.entry(Arc::clone(&id)).or_insert(now);
             // One whose owner is there and does not end it may be cut off from its keepers.
-            let old = now.saturating_sub(came) >= life;
-            if self.tries.at(&id).is_none() && (away || old) {
-                self.tries.set(&id, Some(now + rank * STEP));
+            let old = now.saturating_sub(came) >= incarnation;
+            if self.takeover_timers.at(&id).is_none() && (unavailable || old) {
+                self.takeover_timers.set(&id, Some(now + takeover_rank * TAKEOVER_STAGGER));
             }
         }
     }
 }
 
 /// What tells one body from another.
-fn head(asked: &[u8]) -> &[u8] {
-    &asked[..asked.len().min(HEAD)]
+fn head(payload: &[u8]) -> &[u8] {
+    &payload[..payload.len().min(REQUEST_DIGEST_BYTES)]
 }
--- a/crates/cluster/tests/register_model.rs
+++ b/crates/cluster/tests/register_model.rs
@@ -1,5 +1,5 @@
 //! The register under every order of events: what is sent may be lost and swapped, processes may stop for any
-//! time between any two steps, and keepers start again with nothing. The very code of the program runs in it;
+//! time between any two steps, and acceptors start again with nothing. The very code of the program runs in it;
 //! the model only carries messages.
 //!
 //! Small fleets are searched whole by stateright; larger ones, with doubled messages as well, by random walks from
@@ -9,12 +9,13 @@
 use std::sync::Arc;
 
 use mallowgauge_cluster::register::{
-    Actor, Ballot, Bounds, Id, Keeper, Mark, Meeting, Opened, Order, Standing, Word,
+    Acceptor, AcceptorLimits, AcceptorReply, AttemptRef, Ballot, OpenedAt, Proposer, ProposerPhase,
+    ProposerRequest, QueryId, StateTransfer,
 };
 use mallowgauge_cluster::{Incarnation, PeerId};
 use stateright::{Checker, Model, Property};
 
-const BOUNDS: Bounds = Bounds { records: 100, bytes: 1 << 20, life: 1_000_000 };
+const BOUNDS: AcceptorLimits = AcceptorLimits { records: 100, bytes: 1 << 20, query_lifetime: 1_000_000 };
 const KEEPERS: usize = 3;
 
 /// What is wrong on purpose.
@@ -23,15 +24,15 @@
     Nothing,
     /// An attempt is sent though its intent is with nobody.
     SkipTheIntent,
-    /// A keeper that starts again gives its word at once.
+    /// An acceptor that starts again gives its word at once.
     ForgetAPromise,
-    /// What was granted once is not asked for again, and a fence is not looked at: one keeper's word is enough.
+    /// What was granted once is not asked for again, and a fence is not looked at: one acceptor's word is enough.
     SendAfterTheFence,
     /// An answer is told when it is written, not when it is recorded.
     AnswerBeforeTheRecord,
     /// One promise is enough to take over.
     AdoptWithoutAMajority,
-    /// Keepers take what counts on lives that are over.
+    /// Acceptors take what counts on incarnations that are over.
     CountOnThePast,
 }
 
@@ -48,19 +49,19 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Packet {
-    Order(usize, usize, Order),
-    Word(usize, usize, Word),
+    ProposerRequest(usize, usize, ProposerRequest),
+    AcceptorReply(usize, usize, AcceptorReply),
     Meet(usize, usize, Incarnation),
-    Meeting(usize, Meeting),
+    StateTransfer(usize, StateTransfer),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    keepers: Vec<Keeper>,
-    actors: Vec<Option<Actor>>,
+    acceptors: Vec<Acceptor>,
+    proposers: Vec<Option<Proposer>>,
     /// What is never delivered is lost.
     wire: BTreeSet<Packet>,
-    marks: Vec<Option<Mark>>,
+    intent_versions: Vec<Option<AttemptRef>>,
     sent: Vec<bool>,
     told: BTreeSet<Arc<[u8]>>,
     crashes: u8,
@@ -73,136 +74,145 @@
     /// A client asks, or somebody takes over.
     Start(usize),
     Deliver(Box<Packet>),
-    /// The attempt leaves for the host: any time after leave was given.
+    /// The attempt leaves for the host: any time after the permit was given.
     Send(usize),
     /// The owner has something to send.
     Ready,
-    /// A keeper starts again with nothing.
+    /// An acceptor starts again with nothing.
     Crash(usize),
 }
 
-fn life(number: u64) -> Incarnation {
+fn incarnation(number: u64) -> Incarnation {
     Incarnation { number, nonce: 0 }
 }
 
-fn id() -> Id {
+fn id() -> QueryId {
     "q".into()
 }
 
-fn keepers() -> Vec<PeerId> {
+fn acceptors() -> Vec<PeerId> {
     (0..KEEPERS as u16).map(PeerId).collect()
 }
 
-/// A keeper that has heard from the others that there is nothing to hear.
-fn founder(at: usize, number: u64) -> Keeper {
-    let mut keeper = Keeper::new(0, PeerId(at as u16), life(number), KEEPERS, KEEPERS, BOUNDS);
-    for from in keepers().into_iter().filter(|from| usize::from(from.0) != at) {
-        keeper.met(
+/// An acceptor that has heard from the others that there is nothing to hear.
+fn founder(at: usize, number: u64) -> Acceptor {
+    let mut acceptor = Acceptor::new(0, PeerId(at as u16), incarnation(number), KEEPERS, KEEPERS, BOUNDS);
+    for from in acceptors().into_iter().filter(|from| usize::from(from.0) != at) {
+        acceptor.receive_transfer(
             0,
-            Meeting {
+            StateTransfer {
                 from,
-                life: life(1),
-                to: life(number),
+                incarnation: incarnation(1),
+                to: incarnation(number),
                 epoch: 0,
-                whole: true,
+                remembers_all: true,
                 records: Vec::new(),
                 after: None,
                 next: None,
             },
         );
     }
-    keeper
+    acceptor
 }
 
 /// When all were in their first life.
-fn opened() -> Opened {
-    let lives = keepers().into_iter().map(|peer| (peer, life(1))).collect();
-    Opened { lives, epochs: keepers().into_iter().map(|peer| (peer, 0)).collect() }
+fn opened_at() -> OpenedAt {
+    let incarnations = acceptors().into_iter().map(|peer| (peer, incarnation(1))).collect();
+    OpenedAt { incarnations, epochs: acceptors().into_iter().map(|peer| (peer, 0)).collect() }
 }
 
 impl Fleet {
     fn ballot(at: usize) -> Ballot {
-        Ballot { round: at as u32, by: PeerId(10 + at as u16), life: life(1), turn: 1 }
+        Ballot {
+            round: at as u32,
+            proposer: PeerId(10 + at as u16),
+            incarnation: incarnation(1),
+            sequence: 1,
+        }
     }
 
-    /// What an actor does of itself, and what it then wants to tell keepers.
-    fn drive(&self, world: &mut World, at: usize, said: &[Option<Order>]) {
-        let Some(actor) = &mut world.actors[at] else { return };
-        if *actor.standing() == Standing::Acting {
+    /// What an actor does of itself, and what it then wants to tell acceptors.
+    fn drive(&self, world: &mut World, at: usize, said: &[Option<ProposerRequest>]) {
+        let Some(proposer) = &mut world.proposers[at] else { return };
+        if *proposer.phase() == ProposerPhase::Active {
             let waits = self.lazy && at == 0 && !world.ready;
             if waits {
                 // Its opening goes out as it is.
-            } else if world.marks[at].is_none() && actor.found().is_none() {
-                world.marks[at] = actor.intend(0, 0);
+            } else if world.intent_versions[at].is_none() && proposer.found_outcome().is_none() {
+                world.intent_versions[at] = proposer.write_intent(0, 0);
             }
             // Whoever sent it knows how it ended; whoever may not send it says that it may have run.
             if world.sent[at] {
-                actor.settle(format!("ran, says {at}").into_bytes().into());
-            } else if world.marks[at].is_none() && !waits {
-                actor.settle(b"may have run"[..].into());
+                proposer.propose_outcome(format!("ran, says {at}").into_bytes().into());
+            } else if world.intent_versions[at].is_none() && !waits {
+                proposer.propose_outcome(b"may have run"[..].into());
             }
         }
         let early = self.planted == Planted::AnswerBeforeTheRecord && world.sent[at];
         let told = if early {
             Some(format!("ran, says {at}").into_bytes().into())
         } else {
-            actor.settled().cloned()
+            proposer.chosen_outcome().cloned()
         };
         world.told.extend(told);
-        for keeper in actor.missing() {
+        for acceptor in proposer.pending_acceptors() {
             // What was said before would only be said again: a lost message and a late one are the same here.
-            let order = actor.order(keeper).filter(|order| said.iter().flatten().all(|known| known != order));
-            let Some(mut order) = order else { continue };
+            let request = proposer
+                .request_for(acceptor)
+                .filter(|request| said.iter().flatten().all(|known| known != request));
+            let Some(mut request) = request else { continue };
             if self.planted == Planted::CountOnThePast {
-                if let Order::Write { lives, .. } = &mut order {
-                    lives.clear();
+                if let ProposerRequest::Accept { incarnations, .. } = &mut request {
+                    incarnations.clear();
                 }
-                if let Order::Open { lives, .. } = &mut order {
-                    lives.retain(|peer, _| *peer == keeper);
+                if let ProposerRequest::Open { incarnations, .. } = &mut request {
+                    incarnations.retain(|peer, _| *peer == acceptor);
                 }
             }
-            world.wire.insert(Packet::Order(at, usize::from(keeper.0), order));
+            world.wire.insert(Packet::ProposerRequest(at, usize::from(acceptor.0), request));
         }
     }
 
-    /// What an actor has said to keepers so far.
-    fn said(world: &World, at: usize) -> Vec<Option<Order>> {
-        let order = |peer| world.actors[at].as_ref().and_then(|actor| actor.order(peer));
-        keepers().into_iter().map(order).collect()
+    /// What an actor has said to acceptors so far.
+    fn said(world: &World, at: usize) -> Vec<Option<ProposerRequest>> {
+        let request = |peer| world.proposers[at].as_ref().and_then(|proposer| proposer.request_for(peer));
+        acceptors().into_iter().map(request).collect()
     }
 
     fn deliver(&self, world: &mut World, packet: Packet) -> Option<()> {
         match packet {
-            Packet::Order(from, to, order) => {
-                let word = world.keepers[to].order(0, order);
-                world.wire.extend(word.map(|word| Packet::Word(to, from, word)));
+            Packet::ProposerRequest(from, to, request) => {
+                let reply = world.acceptors[to].handle_request(0, request);
+                world.wire.extend(reply.map(|reply| Packet::AcceptorReply(to, from, reply)));
             }
-            Packet::Word(from, to, word) => {
+            Packet::AcceptorReply(from, to, reply) => {
                 let said = Self::said(world, to);
-                world.actors[to].as_mut()?.word(PeerId(from as u16), word);
+                world.proposers[to].as_mut()?.handle_reply(PeerId(from as u16), reply);
                 self.drive(world, to, &said);
             }
-            Packet::Meet(from, to, life) => {
-                let meeting = world.keepers[to].meet(0, PeerId(from as u16), life, None);
-                world.wire.insert(Packet::Meeting(from, meeting));
+            Packet::Meet(from, to, incarnation) => {
+                let meeting = world.acceptors[to].serve_transfer(0, PeerId(from as u16), incarnation, None);
+                world.wire.insert(Packet::StateTransfer(from, meeting));
             }
-            Packet::Meeting(to, meeting) => drop(world.keepers[to].met(0, meeting)),
+            Packet::StateTransfer(to, meeting) => drop(world.acceptors[to].receive_transfer(0, meeting)),
         }
         Some(())
     }
 
     fn may_send(&self, world: &World, at: usize) -> bool {
-        let (Some(actor), Some(mark)) = (&world.actors[at], world.marks[at]) else { return false };
+        let (Some(proposer), Some(intent)) = (&world.proposers[at], world.intent_versions[at]) else {
+            return false;
+        };
         !world.sent[at]
             && match self.planted {
                 Planted::SkipTheIntent => true,
                 Planted::SendAfterTheFence => {
-                    *actor.standing() != Standing::Asking
-                        && world.keepers.iter().any(|keeper| {
-                            keeper.record(&id()).is_some_and(|record| record.intents.contains(&mark))
+                    *proposer.phase() != ProposerPhase::Preparing
+                        && world.acceptors.iter().any(|acceptor| {
+                            acceptor.record(&id()).is_some_and(|record| record.intents.contains(&intent))
                         })
                 }
-                _ => actor.granted(mark),
+                _ => proposer.is_permitted(intent),
             }
     }
 }
@@ -212,13 +222,13 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<World> {
-        let actors = 1 + self.rivals;
+        let proposers = 1 + self.rivals;
         vec![World {
-            keepers: (0..KEEPERS).map(|at| founder(at, 1)).collect(),
-            actors: vec![None; actors],
+            acceptors: (0..KEEPERS).map(|at| founder(at, 1)).collect(),
+            proposers: vec![None; proposers],
             wire: BTreeSet::new(),
-            marks: vec![None; actors],
-            sent: vec![false; actors],
+            intent_versions: vec![None; proposers],
+            sent: vec![false; proposers],
             told: BTreeSet::new(),
             crashes: self.crashes,
             ready: false,
@@ -226,9 +236,9 @@
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Act>) {
-        for at in 0..world.actors.len() {
+        for at in 0..world.proposers.len() {
             // Nobody takes over what was never asked.
-            if world.actors[at].is_none() && (at == 0 || world.actors[0].is_some()) {
+            if world.proposers[at].is_none() && (at == 0 || world.proposers[0].is_some()) {
                 actions.push(Act::Start(at));
             }
             if self.may_send(world, at) {
@@ -236,7 +246,7 @@
             }
         }
         actions.extend(world.wire.iter().cloned().map(Box::new).map(Act::Deliver));
-        if self.lazy && !world.ready && world.actors[0].is_some() {
+        if self.lazy && !world.ready && world.proposers[0].is_some() {
             actions.push(Act::Ready);
         }
         if world.crashes > 0 {
@@ -251,27 +261,39 @@
         }
         match act {
             Act::Start(at) => {
-                let actor = if at == 0 {
-                    Actor::open(id(), Self::ballot(0), keepers(), opened(), b"what"[..].into())
+                let proposer = if at == 0 {
+                    Proposer::open(id(), Self::ballot(0), acceptors(), opened_at(), b"what"[..].into())
                 } else {
-                    let mut actor = Actor::take(id(), Self::ballot(at), keepers(), opened());
+                    let mut proposer = Proposer::prepare(id(), Self::ballot(at), acceptors(), opened_at());
                     if self.planted == Planted::AdoptWithoutAMajority {
-                        // Two keepers are made up that promise and hold nothing.
+                        // Two acceptors are made up that promise and hold nothing.
                         for from in [PeerId(0), PeerId(1)] {
                             let (id, ballot) = (id(), Self::ballot(at));
-                            actor.word(from, Word::Promised { id, ballot, life: life(1), record: None });
+                            proposer.handle_reply(
+                                from,
+                                AcceptorReply::Promised {
+                                    id,
+                                    ballot,
+                                    incarnation: incarnation(1),
+                                    record: None,
+                                },
+                            );
                         }
                         // What is written needs no promise either, then.
-                        for keeper in &mut world.keepers[..2] {
-                            keeper.order(
+                        for acceptor in &mut world.acceptors[..2] {
+                            acceptor.handle_request(
                                 0,
-                                Order::Take { id: id(), ballot: Self::ballot(at), opened: opened() },
+                                ProposerRequest::Prepare {
+                                    id: id(),
+                                    ballot: Self::ballot(at),
+                                    opened_at: opened_at(),
+                                },
                             );
                         }
                     }
-                    actor
+                    proposer
                 };
-                world.actors[at] = Some(actor);
+                world.proposers[at] = Some(proposer);
                 self.drive(&mut world, at, &[]);
             }
             Act::Send(at) => {
@@ -287,13 +309,13 @@
             }
             Act::Crash(at) => {
                 world.crashes -= 1;
-                let number = world.keepers[at].life().number + 1;
-                world.keepers[at] = match self.planted {
+                let number = world.acceptors[at].incarnation().number + 1;
+                world.acceptors[at] = match self.planted {
                     Planted::ForgetAPromise => founder(at, 1),
-                    _ => Keeper::new(0, PeerId(at as u16), life(number), KEEPERS, KEEPERS, BOUNDS),
+                    _ => Acceptor::new(0, PeerId(at as u16), incarnation(number), KEEPERS, KEEPERS, BOUNDS),
                 };
                 for to in (0..KEEPERS).filter(|to| *to != at) {
-                    world.wire.insert(Packet::Meet(at, to, life(number)));
+                    world.wire.insert(Packet::Meet(at, to, incarnation(number)));
                 }
             }
         }
@@ -430,8 +452,8 @@
     }
 }
 
-/// All keepers take the owner's opening; then keeper 0 alone takes its intent, and starts again. It hears from the
-/// others, which know of no intent yet; then keeper 1 gets it, late. A rival takes over by 0 and 2. How many send.
+/// All acceptors take the owner's opening; then acceptor 0 alone takes its intent, and starts again. It hears from the
+/// others, which know of no intent yet; then acceptor 1 gets it, late. A rival takes over by 0 and 2. How many send.
 fn late_intent(planted: Planted) -> usize {
     let fleet = Fleet { rivals: 1, crashes: 1, doubling: false, lazy: true, planted };
     let mut world = fleet.init_states().remove(0);
@@ -445,34 +467,36 @@
         }
         world.sent.iter().filter(|sent| **sent).count()
     };
-    let order = |from: usize, to: usize| move |act: &Act| matches!(act, Act::Deliver(p) if matches!(**p, Packet::Order(f, t, _) if (f, t) == (from, to)));
-    let word = |from: usize, to: usize| move |act: &Act| matches!(act, Act::Deliver(p) if matches!(**p, Packet::Word(f, t, _) if (f, t) == (from, to)));
+    let request = |from: usize, to: usize| move |act: &Act| matches!(act, Act::Deliver(p) if matches!(**p, Packet::ProposerRequest(f, t, _) if (f, t) == (from, to)));
+    let reply = |from: usize, to: usize| move |act: &Act| matches!(act, Act::Deliver(p) if matches!(**p, Packet::AcceptorReply(f, t, _) if (f, t) == (from, to)));
     step(&|act| *act == Act::Start(0));
-    for keeper in 0..KEEPERS {
-        step(&order(0, keeper));
-        step(&word(keeper, 0));
+    for acceptor in 0..KEEPERS {
+        step(&request(0, acceptor));
+        step(&reply(acceptor, 0));
     }
     step(&|act| *act == Act::Ready);
-    step(&order(0, 0));
-    step(&word(0, 0));
+    step(&request(0, 0));
+    step(&reply(0, 0));
     step(&|act| *act == Act::Crash(0));
     for _ in 0..4 {
-        step(&|act| matches!(act, Act::Deliver(p) if matches!(**p, Packet::Meet(..) | Packet::Meeting(..))));
+        step(
+            &|act| matches!(act, Act::Deliver(p) if matches!(**p, Packet::Meet(..) | Packet::StateTransfer(..))),
+        );
     }
-    step(&order(0, 1));
-    step(&word(1, 0));
+    step(&request(0, 1));
+    step(&reply(1, 0));
     step(&|act| *act == Act::Send(0));
     step(&|act| *act == Act::Start(1));
     for _ in 0..3 {
-        for keeper in [0, 2] {
-            step(&order(1, keeper));
-            step(&word(keeper, 1));
+        for acceptor in [0, 2] {
+            step(&request(1, acceptor));
+            step(&reply(acceptor, 1));
         }
     }
     step(&|act| *act == Act::Send(1))
 }
 
-// Guards the fence by lives: a word that was given and forgotten is counted by nobody.
+// Guards the fence by incarnations: a word that was given and forgotten is counted by nobody.
 #[test]
 fn a_word_of_an_earlier_life_is_not_counted_with_one_given_after_it() {
     assert_eq!(late_intent(Planted::CountOnThePast), 2, "the fault that the fence is against");
--- a/crates/cluster/tests/stored_format.rs
+++ b/crates/cluster/tests/stored_format.rs
@@ -6,9 +6,10 @@
 use std::sync::Arc;
 
 use mallowgauge_cluster::register::{
-    Abstains, Ballot, Bounds, Id, Keeper, Lives, Mark, Meeting, Opened, Order, Record, Word, Written,
+    AbstainReason, Acceptor, AcceptorLimits, AcceptorReply, AttemptRef, Ballot, Incarnations, OpenedAt,
+    Proposal, ProposerRequest, QueryId, Record, StateTransfer,
 };
-use mallowgauge_cluster::takeover::{Ended, Note};
+use mallowgauge_cluster::takeover::{Message, QueryEnd};
 use mallowgauge_cluster::{Incarnation, PeerId};
 use serde::{de::DeserializeOwned, Serialize};
 
@@ -34,164 +35,183 @@
 }
 
 fn ballot() -> Ballot {
-    Ballot { round: 3, by: PeerId(300), life: incarnation(2), turn: 200 }
+    Ballot { round: 3, proposer: PeerId(300), incarnation: incarnation(2), sequence: 200 }
 }
 
-fn id() -> Id {
+fn id() -> QueryId {
     "query-1".into()
 }
 
-fn lives() -> Lives {
+fn incarnations() -> Incarnations {
     [(PeerId(0), incarnation(1)), (PeerId(4), incarnation(5))].into()
 }
 
-fn opened() -> Opened {
-    Opened { lives: lives(), epochs: [(PeerId(0), 6), (PeerId(4), 128)].into() }
+fn opened_at() -> OpenedAt {
+    OpenedAt { incarnations: incarnations(), epochs: [(PeerId(0), 6), (PeerId(4), 128)].into() }
 }
 
-fn mark(part: u32, attempt: u32) -> Mark {
-    Mark { part, attempt, ballot: ballot() }
+fn intent(part: u32, attempt: u32) -> AttemptRef {
+    AttemptRef { part, attempt, ballot: ballot() }
 }
 
 fn bytes(text: &str) -> Arc<[u8]> {
     text.as_bytes().into()
 }
 
-fn written() -> Written {
-    Written {
-        intents: [mark(0, 1), mark(2, 3)].into(),
-        voids: [mark(2, 3)].into(),
+fn proposal() -> Proposal {
+    Proposal {
+        intents: [intent(0, 1), intent(2, 3)].into(),
+        not_executed: [intent(2, 3)].into(),
         outcome: Some(bytes("end")),
-        left: true,
+        relinquished: true,
     }
 }
 
 fn record() -> Record {
     Record {
         promised: ballot(),
-        asked: bytes("body"),
-        intents: [mark(0, 1), mark(2, 3)].into(),
-        voids: [mark(0, 1)].into(),
+        payload: bytes("body"),
+        intents: [intent(0, 1), intent(2, 3)].into(),
+        not_executed: [intent(0, 1)].into(),
         outcome: Some((Ballot { round: 1, ..ballot() }, bytes("end"))),
-        settled: true,
-        left: false,
-        opened: opened(),
+        chosen: true,
+        relinquished: false,
+        opened_at: opened_at(),
     }
 }
 
 fn empty_record() -> Record {
     Record {
         promised: ballot(),
-        asked: bytes(""),
+        payload: bytes(""),
         intents: [].into(),
-        voids: [].into(),
+        not_executed: [].into(),
         outcome: None,
-        settled: false,
-        left: true,
-        opened: Opened::default(),
+        chosen: false,
+        relinquished: true,
+        opened_at: OpenedAt::default(),
     }
 }
 
-fn abstains(why: Abstains) -> Note {
-    Note::Word(Word::Abstains { id: id(), ballot: ballot(), why, life: incarnation(7) })
+fn abstains(reason: AbstainReason) -> Message {
+    Message::Reply(AcceptorReply::Abstained {
+        id: id(),
+        ballot: ballot(),
+        reason,
+        incarnation: incarnation(7),
+    })
 }
 
 #[test]
 fn each_request_of_a_proposer_has_these_bytes() {
     pin(
-        &Note::Order(Order::Open {
+        &Message::Request(ProposerRequest::Open {
             id: id(),
             ballot: ballot(),
-            lives: lives(),
-            epochs: opened().epochs,
-            asked: bytes("body"),
-            written: written(),
+            incarnations: incarnations(),
+            epochs: opened_at().epochs,
+            payload: bytes("body"),
+            proposal: proposal(),
             version: 300,
         }),
         "00000771756572792d3103ac0202ef9bafcdf8acd19101c801020001ef9bafcdf8acd191010405ef9bafcdf8acd1910102000604800104626f647902000103ac0202ef9bafcdf8acd19101c801020303ac0202ef9bafcdf8acd19101c80101020303ac0202ef9bafcdf8acd19101c8010103656e6401ac02",
     );
     pin(
-        &Note::Order(Order::Write {
+        &Message::Request(ProposerRequest::Accept {
             id: id(),
             ballot: ballot(),
-            lives: lives(),
-            written: Written::default(),
+            incarnations: incarnations(),
+            proposal: Proposal::default(),
             version: 2,
         }),
         "00010771756572792d3103ac0202ef9bafcdf8acd19101c801020001ef9bafcdf8acd191010405ef9bafcdf8acd191010000000002",
     );
-    pin(&Note::Order(Order::Take { id: id(), ballot: ballot(), opened: opened() }), "00020771756572792d3103ac0202ef9bafcdf8acd19101c801020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
-    pin(&Note::Order(Order::Settled { id: id(), outcome: bytes("end") }), "00030771756572792d3103656e64");
-    pin(&Note::Order(Order::Ask { id: id() }), "00040771756572792d31");
+    pin(&Message::Request(ProposerRequest::Prepare { id: id(), ballot: ballot(), opened_at: opened_at() }), "00020771756572792d3103ac0202ef9bafcdf8acd19101c801020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
+    pin(
+        &Message::Request(ProposerRequest::Chosen { id: id(), outcome: bytes("end") }),
+        "00030771756572792d3103656e64",
+    );
+    pin(&Message::Request(ProposerRequest::ReadRecord { id: id() }), "00040771756572792d31");
 }
 
 #[test]
 fn each_reply_of_an_acceptor_has_these_bytes() {
-    let (id, ballot, life) = (id(), ballot(), incarnation(7));
-    let done = Word::Done { id: Arc::clone(&id), ballot, version: 129, life };
-    pin(&Note::Word(done), "01000771756572792d3103ac0202ef9bafcdf8acd19101c801810107ef9bafcdf8acd19101");
-    let promised = |record| Note::Word(Word::Promised { id: Arc::clone(&id), ballot, life, record });
+    let (id, ballot, incarnation) = (id(), ballot(), incarnation(7));
+    let done = AcceptorReply::Accepted { id: Arc::clone(&id), ballot, version: 129, incarnation };
+    pin(&Message::Reply(done), "01000771756572792d3103ac0202ef9bafcdf8acd19101c801810107ef9bafcdf8acd19101");
+    let promised =
+        |record| Message::Reply(AcceptorReply::Promised { id: Arc::clone(&id), ballot, incarnation, record });
     pin(&promised(None), "01010771756572792d3103ac0202ef9bafcdf8acd19101c80107ef9bafcdf8acd1910100");
     pin(&promised(Some(record())), "01010771756572792d3103ac0202ef9bafcdf8acd19101c80107ef9bafcdf8acd191010103ac0202ef9bafcdf8acd19101c80104626f647902000103ac0202ef9bafcdf8acd19101c801020303ac0202ef9bafcdf8acd19101c80101000103ac0202ef9bafcdf8acd19101c8010101ac0202ef9bafcdf8acd19101c80103656e640100020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
     pin(
-        &Note::Word(Word::Held { id: Arc::clone(&id), refused: ballot, record: empty_record() }),
+        &Message::Reply(AcceptorReply::Rejected {
+            id: Arc::clone(&id),
+            rejected: ballot,
+            record: empty_record(),
+        }),
         "01020771756572792d3103ac0202ef9bafcdf8acd19101c80103ac0202ef9bafcdf8acd19101c8010000000000010000",
     );
     pin(
-        &abstains(Abstains::Forgetful),
+        &abstains(AbstainReason::Recovering),
         "01030771756572792d3103ac0202ef9bafcdf8acd19101c8010007ef9bafcdf8acd19101",
     );
     pin(
-        &abstains(Abstains::Outlived),
+        &abstains(AbstainReason::StaleIncarnation),
         "01030771756572792d3103ac0202ef9bafcdf8acd19101c8010107ef9bafcdf8acd19101",
     );
     pin(
-        &abstains(Abstains::Unknown),
+        &abstains(AbstainReason::UnknownQuery),
         "01030771756572792d3103ac0202ef9bafcdf8acd19101c8010207ef9bafcdf8acd19101",
     );
     pin(
-        &abstains(Abstains::Full),
+        &abstains(AbstainReason::CapacityExhausted),
         "01030771756572792d3103ac0202ef9bafcdf8acd19101c8010307ef9bafcdf8acd19101",
     );
-    let known = |record, forgetful| Note::Word(Word::Known { id: Arc::clone(&id), record, forgetful });
+    let known = |record, possibly_forgotten| {
+        Message::Reply(AcceptorReply::RecordRead { id: Arc::clone(&id), record, possibly_forgotten })
+    };
     pin(&known(None, true), "01040771756572792d310001");
     pin(&known(Some(record()), false), "01040771756572792d310103ac0202ef9bafcdf8acd19101c80104626f647902000103ac0202ef9bafcdf8acd19101c801020303ac0202ef9bafcdf8acd19101c80101000103ac0202ef9bafcdf8acd19101c8010101ac0202ef9bafcdf8acd19101c80103656e640100020001ef9bafcdf8acd191010405ef9bafcdf8acd1910102000604800100");
 }
 
 #[test]
 fn each_message_of_state_transfer_has_these_bytes() {
-    pin(&Note::Meet(incarnation(9), None), "0209ef9bafcdf8acd1910100");
-    pin(&Note::Meet(incarnation(9), Some(id())), "0209ef9bafcdf8acd19101010771756572792d31");
-    let meeting = Meeting {
+    pin(&Message::TransferRequest(incarnation(9), None), "0209ef9bafcdf8acd1910100");
+    pin(&Message::TransferRequest(incarnation(9), Some(id())), "0209ef9bafcdf8acd19101010771756572792d31");
+    let meeting = StateTransfer {
         from: PeerId(1),
-        life: incarnation(2),
+        incarnation: incarnation(2),
         to: incarnation(3),
         epoch: 400,
-        whole: true,
+        remembers_all: true,
         records: vec![(id(), record(), 1_000_000), ("z".into(), empty_record(), 0)],
         after: Some("a".into()),
         next: None,
     };
-    pin(&Note::Meeting(meeting.clone()), "030102ef9bafcdf8acd1910103ef9bafcdf8acd19101900301020771756572792d3103ac0202ef9bafcdf8acd19101c80104626f647902000103ac0202ef9bafcdf8acd19101c801020303ac0202ef9bafcdf8acd19101c80101000103ac0202ef9bafcdf8acd19101c8010101ac0202ef9bafcdf8acd19101c80103656e640100020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001c0843d017a03ac0202ef9bafcdf8acd19101c80100000000000100000001016100");
-    let page = Meeting { whole: false, records: vec![], after: None, next: Some(id()), ..meeting };
-    pin(&Note::Meeting(page), "030102ef9bafcdf8acd1910103ef9bafcdf8acd191019003000000010771756572792d31");
-    pin(&Note::Epoch(incarnation(9), 1000), "0409ef9bafcdf8acd19101e807");
+    pin(&Message::StateTransfer(meeting.clone()), "030102ef9bafcdf8acd1910103ef9bafcdf8acd19101900301020771756572792d3103ac0202ef9bafcdf8acd19101c80104626f647902000103ac0202ef9bafcdf8acd19101c801020303ac0202ef9bafcdf8acd19101c80101000103ac0202ef9bafcdf8acd19101c8010101ac0202ef9bafcdf8acd19101c80103656e640100020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001c0843d017a03ac0202ef9bafcdf8acd19101c80100000000000100000001016100");
+    let page =
+        StateTransfer { remembers_all: false, records: vec![], after: None, next: Some(id()), ..meeting };
+    pin(
+        &Message::StateTransfer(page),
+        "030102ef9bafcdf8acd1910103ef9bafcdf8acd191019003000000010771756572792d31",
+    );
+    pin(&Message::Epoch(incarnation(9), 1000), "0409ef9bafcdf8acd19101e807");
 }
 
 #[test]
 fn a_record_as_an_acceptor_holds_it_has_these_bytes() {
     pin(&record(), "03ac0202ef9bafcdf8acd19101c80104626f647902000103ac0202ef9bafcdf8acd19101c801020303ac0202ef9bafcdf8acd19101c80101000103ac0202ef9bafcdf8acd19101c8010101ac0202ef9bafcdf8acd19101c80103656e640100020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
-    let bounds = Bounds { records: 4, bytes: 1 << 20, life: 1_000_000 };
-    let mut keeper = Keeper::new(0, PeerId(0), incarnation(1), 3, 3, bounds);
+    let limits = AcceptorLimits { records: 4, bytes: 1 << 20, query_lifetime: 1_000_000 };
+    let mut acceptor = Acceptor::new(0, PeerId(0), incarnation(1), 3, 3, limits);
     for from in [1, 2] {
-        keeper.met(
+        acceptor.receive_transfer(
             0,
-            Meeting {
+            StateTransfer {
                 from: PeerId(from),
-                life: incarnation(1),
+                incarnation: incarnation(1),
                 to: incarnation(1),
                 epoch: 0,
-                whole: true,
+                remembers_all: true,
                 records: vec![],
                 after: None,
                 next: None,
@@ -199,43 +219,53 @@
         );
     }
     let first = Ballot { round: 0, ..ballot() };
-    let intent = Mark { part: 0, attempt: 0, ballot: first };
-    keeper.order(
+    let intent = AttemptRef { part: 0, attempt: 0, ballot: first };
+    acceptor.handle_request(
         0,
-        Order::Open {
+        ProposerRequest::Open {
             id: id(),
             ballot: first,
-            lives: lives(),
-            epochs: opened().epochs,
-            asked: bytes("body"),
-            written: Written { intents: [intent].into(), ..Written::default() },
+            incarnations: incarnations(),
+            epochs: opened_at().epochs,
+            payload: bytes("body"),
+            proposal: Proposal { intents: [intent].into(), ..Proposal::default() },
             version: 1,
         },
     );
-    pin(keeper.record("query-1").unwrap(), "00ac0202ef9bafcdf8acd19101c80104626f647901000000ac0202ef9bafcdf8acd19101c80100000000020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
-    keeper.order(0, Order::Take { id: id(), ballot: ballot(), opened: opened() });
+    pin(acceptor.record("query-1").unwrap(), "00ac0202ef9bafcdf8acd19101c80104626f647901000000ac0202ef9bafcdf8acd19101c80100000000020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
+    acceptor
+        .handle_request(0, ProposerRequest::Prepare { id: id(), ballot: ballot(), opened_at: opened_at() });
     let outcome = Some(bytes("end"));
-    let written = Written { voids: [intent].into(), outcome, ..Written::default() };
-    keeper.order(0, Order::Write { id: id(), ballot: ballot(), lives: lives(), written, version: 2 });
-    pin(keeper.record("query-1").unwrap(), "03ac0202ef9bafcdf8acd19101c80104626f647901000000ac0202ef9bafcdf8acd19101c80101000000ac0202ef9bafcdf8acd19101c8010103ac0202ef9bafcdf8acd19101c80103656e640000020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
-    keeper.order(0, Order::Settled { id: id(), outcome: bytes("end") });
-    pin(keeper.record("query-1").unwrap(), "03ac0202ef9bafcdf8acd19101c80104626f647901000000ac0202ef9bafcdf8acd19101c80101000000ac0202ef9bafcdf8acd19101c8010103ac0202ef9bafcdf8acd19101c80103656e640100020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
+    let proposal = Proposal { not_executed: [intent].into(), outcome, ..Proposal::default() };
+    acceptor.handle_request(
+        0,
+        ProposerRequest::Accept {
+            id: id(),
+            ballot: ballot(),
+            incarnations: incarnations(),
+            proposal,
+            version: 2,
+        },
+    );
+    pin(acceptor.record("query-1").unwrap(), "03ac0202ef9bafcdf8acd19101c80104626f647901000000ac0202ef9bafcdf8acd19101c80101000000ac0202ef9bafcdf8acd19101c8010103ac0202ef9bafcdf8acd19101c80103656e640000020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
+    acceptor.handle_request(0, ProposerRequest::Chosen { id: id(), outcome: bytes("end") });
+    pin(acceptor.record("query-1").unwrap(), "03ac0202ef9bafcdf8acd19101c80104626f647901000000ac0202ef9bafcdf8acd19101c80101000000ac0202ef9bafcdf8acd19101c8010103ac0202ef9bafcdf8acd19101c80103656e640100020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
 }
 
 #[test]
 fn each_end_of_a_query_has_these_bytes() {
     let ends = [
-        (Ended::Said(bytes("answer")), "00616e73776572"),
-        (Ended::Said(bytes("")), "00"),
-        (Ended::MayHaveRun, "01"),
-        (Ended::NeverRan, "02"),
+        (QueryEnd::Answered(bytes("answer")), "00616e73776572"),
+        (QueryEnd::Answered(bytes("")), "00"),
+        (QueryEnd::PossiblyExecuted, "01"),
+        (QueryEnd::NotExecuted, "02"),
     ];
     for (end, bytes) in ends {
-        assert_eq!(hex(&end.write()), bytes, "written: {end:?}");
-        assert_eq!(Ended::read(&unhex(bytes)), end, "read: {bytes}");
+        assert_eq!(hex(&end.to_bytes()), bytes, "written: {end:?}");
+        assert_eq!(QueryEnd::from_bytes(&unhex(bytes)), end, "read: {bytes}");
     }
     // What a later build may write, and this one does not know, may have run.
     for bytes in ["", "0100", "0200", "03", "ff"] {
-        assert_eq!(Ended::read(&unhex(bytes)), Ended::MayHaveRun, "read: {bytes}");
+        assert_eq!(QueryEnd::from_bytes(&unhex(bytes)), QueryEnd::PossiblyExecuted, "read: {bytes}");
     }
 }
--- a/crates/cluster/tests/takeover.rs
+++ b/crates/cluster/tests/takeover.rs
@@ -1,12 +1,14 @@
-//! Whole processes' desks on a network of their own in simulated time: owners die, are halted and come back,
-//! messages are lost, doubled and late, and clients ask again elsewhere. Holds are counted at the host.
+//! Whole processes' takeover managers on a network of their own in simulated time: owners die, are halted and come back,
+//! messages are lost, doubled and late, and clients ask again elsewhere. Executions are counted at the host.
 //! `TAKEOVER_SEEDS` sets how many random histories are played.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use mallowgauge_cluster::register::{Bounds, Id, Order};
-use mallowgauge_cluster::takeover::{Desk, Ended, Note, Request, Setup, Wish};
+use mallowgauge_cluster::register::{AcceptorLimits, ProposerRequest, QueryId};
+use mallowgauge_cluster::takeover::{
+    Action, ClientRequest, Message, QueryEnd, TakeoverConfig, TakeoverManager,
+};
 use mallowgauge_cluster::{Incarnation, PeerId};
 
 const MS: u64 = 1000;
@@ -14,22 +16,22 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Note(usize, usize, Box<Note>),
+    Message(usize, usize, Box<Message>),
     /// The frame with an attempt reaches the host; the answer goes back.
-    Run(usize, Id),
-    /// The host's answer, for the life that sent it.
-    Answer(usize, u64, Id),
+    Run(usize, QueryId),
+    /// The host's answer, for the incarnation that sent it.
+    Answer(usize, u64, QueryId),
     /// A client asks for an id at a process, and waits until then.
-    Ask(usize, Id, u64),
+    Ask(usize, QueryId, u64),
 }
 
 struct Process {
-    desk: Desk,
-    life: u64,
+    manager: TakeoverManager,
+    incarnation: u64,
     dead: bool,
     paused_until: u64,
-    /// Attempts so far of each id, in this life.
-    tries: BTreeMap<Id, u32>,
+    /// Attempts so far of each id, in this incarnation.
+    tries: BTreeMap<QueryId, u32>,
 }
 
 struct World {
@@ -42,44 +44,44 @@
     loss: f64,
     twice: f64,
     cut: BTreeSet<(usize, usize)>,
-    runs: BTreeMap<Id, u32>,
-    told: BTreeMap<Id, BTreeSet<Arc<[u8]>>>,
+    runs: BTreeMap<QueryId, u32>,
+    told: BTreeMap<QueryId, BTreeSet<Arc<[u8]>>>,
     unsure: u32,
-    /// How often a keeper was asked what it holds.
+    /// How often an acceptor was asked what it holds.
     questions: u32,
-    /// How often a keeper elsewhere was told to write something.
+    /// How often an acceptor elsewhere was told to write something.
     writes: u32,
-    /// Records that keepers told others which had started.
+    /// Records that acceptors told others which had started.
     paged: usize,
     /// Who was told of an end, and when.
     heard: Vec<(u64, usize)>,
     /// Asks of each id that came to a process.
-    asks: BTreeMap<Id, u32>,
+    asks: BTreeMap<QueryId, u32>,
     /// Shares of attempts that the core gives up while they wait for leave, and of re-asks that find no room.
     given_up: f64,
     full: f64,
     /// Ids of which somebody was told that nothing ran.
-    refused: BTreeSet<Id>,
+    rejected: BTreeSet<QueryId>,
 }
 
-fn life(number: u64) -> Incarnation {
+fn incarnation(number: u64) -> Incarnation {
     Incarnation { number, nonce: 0 }
 }
 
-fn asked() -> Arc<[u8]> {
+fn payload() -> Arc<[u8]> {
     b"the body"[..].into()
 }
 
 impl World {
     fn new(count: usize, seed: u64) -> Self {
-        let mut world = Self::started(count, seed);
+        let mut world = Self::started_at(count, seed);
         // All started at once: nothing is promised before no id from before can be asked.
         world.run(2 * LIFE + 600 * MS);
         world
     }
 
     /// All have just started.
-    fn started(count: usize, seed: u64) -> Self {
+    fn started_at(count: usize, seed: u64) -> Self {
         let mut world = Self {
             now: 0,
             rng: fastrand::Rng::with_seed(seed),
@@ -99,12 +101,12 @@
             asks: BTreeMap::new(),
             given_up: 0.0,
             full: 0.0,
-            refused: BTreeSet::new(),
+            rejected: BTreeSet::new(),
         };
         for at in 0..count {
             world.all.push(Process {
-                desk: Self::desk(at, count),
-                life: 1,
+                manager: Self::manager(at, count),
+                incarnation: 1,
                 dead: false,
                 paused_until: 0,
                 tries: BTreeMap::new(),
@@ -114,9 +116,9 @@
         world
     }
 
-    fn desk(at: usize, peers: usize) -> Desk {
-        let bounds = Bounds { records: 10_000, bytes: 16 << 20, life: LIFE };
-        Desk::new(Setup { me: PeerId(at as u16), peers, group: 3, bounds })
+    fn manager(at: usize, peer_count: usize) -> TakeoverManager {
+        let limits = AcceptorLimits { records: 10_000, bytes: 16 << 20, query_lifetime: LIFE };
+        TakeoverManager::new(TakeoverConfig { me: PeerId(at as u16), peer_count, group_size: 3, limits })
     }
 
     /// Links one with all that are there.
@@ -125,10 +127,10 @@
             if self.all[other].dead {
                 continue;
             }
-            let (a, b) = (life(self.all[at].life), life(self.all[other].life));
+            let (a, b) = (incarnation(self.all[at].incarnation), incarnation(self.all[other].incarnation));
             let now = self.now;
-            self.all[at].desk.linked(now, PeerId(other as u16), b, a);
-            self.all[other].desk.linked(now, PeerId(at as u16), a, b);
+            self.all[at].manager.peer_connected(now, PeerId(other as u16), b, a);
+            self.all[other].manager.peer_connected(now, PeerId(at as u16), a, b);
             self.carry(other);
         }
         self.carry(at);
@@ -139,19 +141,23 @@
         self.events.insert((self.now + after, self.number), event);
     }
 
-    fn ask(&mut self, after: u64, at: usize, id: &Id) {
+    fn ask(&mut self, after: u64, at: usize, id: &QueryId) {
         let until = self.now + LIFE / 2 + after;
         self.put(after, Event::Ask(at, Arc::clone(id), until));
     }
 
     fn carry(&mut self, at: usize) {
-        for wish in self.all[at].desk.wishes() {
-            match wish {
-                Wish::Tell(to, note) => {
-                    self.questions += u32::from(matches!(*note, Note::Order(Order::Ask { .. })));
-                    let write = matches!(*note, Note::Order(Order::Open { .. } | Order::Write { .. }));
+        for action in self.all[at].manager.take_actions() {
+            match action {
+                Action::Send(to, message) => {
+                    self.questions +=
+                        u32::from(matches!(*message, Message::Request(ProposerRequest::ReadRecord { .. })));
+                    let write = matches!(
+                        *message,
+                        Message::Request(ProposerRequest::Open { .. } | ProposerRequest::Accept { .. })
+                    );
                     self.writes += u32::from(write);
-                    if let Note::Meeting(meeting) = &*note {
+                    if let Message::StateTransfer(meeting) = &*message {
                         self.paged += meeting.records.len();
                     }
                     let to = usize::from(to.0);
@@ -159,57 +165,57 @@
                     for _ in 0..copies {
                         if !self.cut.contains(&(at, to)) && self.rng.f64() >= self.loss {
                             let after = self.rng.u64(200..3000);
-                            self.put(after, Event::Note(at, to, note.clone()));
+                            self.put(after, Event::Message(at, to, message.clone()));
                         }
                     }
                 }
-                Wish::Leave { id, given: true, .. } => {
+                Action::PermitDecided { id, granted: true, .. } => {
                     let after = self.rng.u64(0..5 * MS);
                     self.put(after, Event::Run(at, id));
                 }
-                Wish::Leave { .. } | Wish::Elsewhere(_) | Wish::Another(_) => {}
-                Wish::Ended(id, ended) => {
+                Action::PermitDecided { .. } | Action::OwnedByPeer(_) | Action::RequestIdConflict(_) => {}
+                Action::QueryEnded(id, ended) => {
                     self.heard.push((self.now, at));
-                    self.told.entry(id).or_default().insert(ended.write());
+                    self.told.entry(id).or_default().insert(ended.to_bytes());
                 }
-                Wish::Adopt(id, _, age) if age > LIFE => {
+                Action::TakeOver(id, _, age) if age > LIFE => {
                     let now = self.now;
-                    self.all[at].desk.finish(now, &id, Ended::NeverRan);
+                    self.all[at].manager.query_ended(now, &id, QueryEnd::NotExecuted);
                     self.carry(at);
                 }
-                Wish::Adopt(id, ..) => self.want(at, &id),
-                Wish::Unsure { id, untouched } => {
+                Action::TakeOver(id, ..) => self.request_permit(at, &id),
+                Action::OutcomeUnknown { id, not_executed } => {
                     self.unsure += 1;
-                    if untouched {
-                        self.refused.insert(id);
+                    if not_executed {
+                        self.rejected.insert(id);
                     }
                 }
             }
         }
     }
 
-    fn want(&mut self, at: usize, id: &Id) {
+    fn request_permit(&mut self, at: usize, id: &QueryId) {
         let (now, first) = (self.now, self.asks.get(id) == Some(&1));
-        let (asked, given_up) = (asked(), self.rng.f64() < self.given_up);
+        let (payload, given_up) = (payload(), self.rng.f64() < self.given_up);
         let process = &mut self.all[at];
         let tries = process.tries.entry(Arc::clone(id)).or_insert(0);
         *tries += 1;
-        let request = Request { id, asked: &asked, until: now + LIFE, first };
-        process.desk.want(now, request, 0, *tries);
+        let request = ClientRequest { id, payload: &payload, deadline: now + LIFE, is_first_attempt: first };
+        process.manager.request_permit(now, request, 0, *tries);
         if given_up {
             // The core waits for this attempt no longer, and asks for another.
-            process.desk.void(id, 0, *tries);
+            process.manager.mark_not_executed(id, 0, *tries);
             *tries += 1;
-            process.desk.want(now, request, 0, *tries);
+            process.manager.request_permit(now, request, 0, *tries);
         }
         self.carry(at);
     }
 
     /// What was asked again is refused at the door.
-    fn refuse(&mut self, at: usize, id: &Id) {
-        let (now, asked) = (self.now, asked());
-        let request = Request { id, asked: &asked, until: now + LIFE, first: false };
-        self.all[at].desk.refuse(now, request);
+    fn reject(&mut self, at: usize, id: &QueryId) {
+        let (now, payload) = (self.now, payload());
+        let request = ClientRequest { id, payload: &payload, deadline: now + LIFE, is_first_attempt: false };
+        self.all[at].manager.reject(now, request);
         self.carry(at);
     }
 
@@ -217,8 +223,12 @@
         let end = self.now + time;
         loop {
             let awake = |p: &&Process| !p.dead;
-            let due =
-                self.all.iter().filter(awake).filter_map(|p| Some(p.desk.due()?.max(p.paused_until))).min();
+            let due = self
+                .all
+                .iter()
+                .filter(awake)
+                .filter_map(|p| Some(p.manager.poll_timeout()?.max(p.paused_until)))
+                .min();
             let next = self.events.keys().next().map(|(at, _)| *at);
             let at = due.into_iter().chain(next).min().unwrap_or(end).max(self.now);
             if at >= end {
@@ -233,7 +243,7 @@
             for at in 0..self.all.len() {
                 if !self.all[at].dead && self.all[at].paused_until <= self.now {
                     let now = self.now;
-                    self.all[at].desk.tick(now);
+                    self.all[at].manager.handle_timeout(now);
                     self.carry(at);
                 }
             }
@@ -242,7 +252,7 @@
 
     fn event(&mut self, event: Event) {
         let at = match &event {
-            Event::Note(_, at, _) | Event::Run(at, ..) | Event::Answer(at, ..) | Event::Ask(at, ..) => *at,
+            Event::Message(_, at, _) | Event::Run(at, ..) | Event::Answer(at, ..) | Event::Ask(at, ..) => *at,
         };
         if self.all[at].dead {
             return;
@@ -254,27 +264,29 @@
         }
         let now = self.now;
         match event {
-            Event::Note(from, _, note) => self.all[at].desk.note(now, PeerId(from as u16), *note),
+            Event::Message(from, _, message) => {
+                self.all[at].manager.handle_message(now, PeerId(from as u16), *message)
+            }
             Event::Run(_, id) => {
                 *self.runs.entry(Arc::clone(&id)).or_insert(0) += 1;
-                let (life, after) = (self.all[at].life, self.rng.u64(MS..30 * MS));
-                self.put(after, Event::Answer(at, life, id));
+                let (incarnation, after) = (self.all[at].incarnation, self.rng.u64(MS..30 * MS));
+                self.put(after, Event::Answer(at, incarnation, id));
             }
-            Event::Answer(_, life, id) if self.all[at].life == life => {
-                let said = Ended::Said(format!("held for {id}").into_bytes().into());
-                self.all[at].desk.finish(now, &id, said);
+            Event::Answer(_, incarnation, id) if self.all[at].incarnation == incarnation => {
+                let said = QueryEnd::Answered(format!("held for {id}").into_bytes().into());
+                self.all[at].manager.query_ended(now, &id, said);
             }
             Event::Answer(..) => {}
             // Nobody waits for it any more: an id is asked again within its life, or not at all.
             Event::Ask(_, _, until) if until < now => {}
-            Event::Ask(_, id, _) if self.all[at].desk.wait(&id, now + LIFE) => {}
+            Event::Ask(_, id, _) if self.all[at].manager.await_outcome(&id, now + LIFE) => {}
             Event::Ask(_, id, _) => {
                 let asks = self.asks.entry(Arc::clone(&id)).or_insert(0);
                 *asks += 1;
                 if *asks > 1 && self.rng.f64() < self.full {
-                    self.refuse(at, &id);
+                    self.reject(at, &id);
                 } else {
-                    self.want(at, &id);
+                    self.request_permit(at, &id);
                 }
             }
         }
@@ -285,7 +297,7 @@
         self.all[at].dead = true;
         for other in (0..self.all.len()).filter(|other| *other != at) {
             let now = self.now;
-            self.all[other].desk.held(now, PeerId(at as u16), true);
+            self.all[other].manager.peer_availability_changed(now, PeerId(at as u16), true);
             self.carry(other);
         }
     }
@@ -293,8 +305,8 @@
     fn restart(&mut self, at: usize) {
         let count = self.all.len();
         let process = &mut self.all[at];
-        (process.dead, process.life, process.paused_until) = (false, process.life + 1, 0);
-        process.desk = Self::desk(at, count);
+        (process.dead, process.incarnation, process.paused_until) = (false, process.incarnation + 1, 0);
+        process.manager = Self::manager(at, count);
         process.tries.clear();
         self.link(at);
     }
@@ -305,13 +317,13 @@
         }
         for (id, told) in &self.told {
             assert!(told.len() <= 1, "{id} was told {told:?}");
-            let never = told.first().is_some_and(|told| Ended::read(told) == Ended::NeverRan);
+            let never = told.first().is_some_and(|told| QueryEnd::from_bytes(told) == QueryEnd::NotExecuted);
             assert!(
                 !never || !self.runs.contains_key(id),
                 "{id} ran, and somebody was told that it never did"
             );
         }
-        for id in self.refused.iter().filter(|id| self.asks.get(*id) == Some(&1)) {
+        for id in self.rejected.iter().filter(|id| self.asks.get(*id) == Some(&1)) {
             assert!(
                 !self.runs.contains_key(id),
                 "{id} ran, and its only client was told that it was refused"
@@ -323,7 +335,7 @@
 #[test]
 fn a_hold_runs_and_is_told_to_all_who_ask_for_it() {
     let mut world = World::new(5, 1);
-    let id: Id = "q1".into();
+    let id: QueryId = "q1".into();
     world.ask(0, 0, &id);
     world.run(100 * MS);
     (1..5).for_each(|at| world.ask(0, at, &id));
@@ -337,7 +349,7 @@
 fn a_re_ask_at_three_at_once_runs_once() {
     for seed in 0..200 {
         let mut world = World::new(5, seed);
-        let id: Id = format!("q{seed}").into();
+        let id: QueryId = format!("q{seed}").into();
         (0..3).for_each(|at| world.ask(0, at, &id));
         world.run(2_000 * MS);
         world.check();
@@ -350,7 +362,7 @@
     let (mut served, mut known) = (0, 0);
     for seed in 0..200 {
         let mut world = World::new(5, seed);
-        let id: Id = format!("q{seed}").into();
+        let id: QueryId = format!("q{seed}").into();
         world.ask(0, 0, &id);
         let after = world.rng.u64(0..40 * MS);
         world.run(after);
@@ -358,9 +370,9 @@
         world.ask(0, 1, &id);
         world.run(3_000 * MS);
         world.check();
-        let told = world.told.get(&id).and_then(|told| told.first()).map(|told| Ended::read(told));
+        let told = world.told.get(&id).and_then(|told| told.first()).map(|told| QueryEnd::from_bytes(told));
         known += usize::from(told.is_some());
-        served += usize::from(matches!(told, Some(Ended::Said(_))));
+        served += usize::from(matches!(told, Some(QueryEnd::Answered(_))));
     }
     assert_eq!(known, 200, "everybody who asks again is told how it ended");
     assert!(
@@ -377,7 +389,7 @@
         let mut world = World::new(5, seed);
         (world.loss, world.twice) = (world.rng.f64() * 0.3, world.rng.f64() * 0.3);
         (world.given_up, world.full) = (world.rng.f64() * 0.3, world.rng.f64() * 0.5);
-        let (mut asked, mut firsts) = (0, BTreeMap::new());
+        let (mut payload, mut firsts) = (0, BTreeMap::new());
         for _ in 0..30 {
             let at = world.rng.usize(0..5);
             match world.rng.u32(0..9) {
@@ -390,9 +402,9 @@
                 }
                 4 => world.cut.clear(),
                 _ => {
-                    let id: Id = format!("{seed}-{}", asked / 2).into();
-                    let first = *firsts.entry(asked / 2).or_insert(world.now);
-                    asked += 1;
+                    let id: QueryId = format!("{seed}-{}", payload / 2).into();
+                    let first = *firsts.entry(payload / 2).or_insert(world.now);
+                    payload += 1;
                     if world.now > first + LIFE / 2 {
                         continue;
                     }
@@ -415,23 +427,23 @@
 
 #[test]
 fn what_was_refused_untouched_is_never_run() {
-    let mut refused = 0;
+    let mut rejected = 0;
     for seed in 0..400 {
         let mut world = World::new(5, seed);
         world.given_up = 0.5;
         // The owner reaches one or two of the others, and dies some time after it gave up.
         let heard = world.rng.usize(1..3);
         world.cut.extend((heard + 1..5).flat_map(|other| [(0, other), (other, 0)]));
-        let id: Id = format!("q{seed}").into();
+        let id: QueryId = format!("q{seed}").into();
         world.ask(0, 0, &id);
         let after = world.rng.u64(150 * MS..400 * MS);
         world.run(after);
         world.kill(0);
         world.run(3_000 * MS);
         world.check();
-        refused += usize::from(world.refused.contains(&id));
+        rejected += usize::from(world.rejected.contains(&id));
     }
-    assert!(refused > 20, "{refused}");
+    assert!(rejected > 20, "{rejected}");
 }
 
 #[test]
@@ -440,7 +452,7 @@
     for seed in 0..200 {
         let mut world = World::new(5, seed);
         world.full = 1.0;
-        let id: Id = format!("q{seed}").into();
+        let id: QueryId = format!("q{seed}").into();
         world.ask(0, 0, &id);
         let after = world.rng.u64(0..40 * MS);
         world.run(after);
@@ -450,9 +462,9 @@
         world.ask(0, 1, &id);
         world.run(3_000 * MS);
         world.check();
-        let told = world.told.get(&id).and_then(|told| told.first()).map(|told| Ended::read(told));
-        served += usize::from(matches!(told, Some(Ended::Said(_))));
-        never += usize::from(told == Some(Ended::NeverRan));
+        let told = world.told.get(&id).and_then(|told| told.first()).map(|told| QueryEnd::from_bytes(told));
+        served += usize::from(matches!(told, Some(QueryEnd::Answered(_))));
+        never += usize::from(told == Some(QueryEnd::NotExecuted));
         assert!(told.is_some(), "seed {seed}");
     }
     assert!(served > 100 && never > 0, "{served} {never}");
@@ -461,7 +473,7 @@
 #[test]
 fn who_waits_for_an_end_does_not_fill_the_links_with_questions() {
     let mut world = World::new(5, 3);
-    let id: Id = "slow".into();
+    let id: QueryId = "slow".into();
     world.ask(0, 0, &id);
     world.run(10 * MS);
     // Halted, and nobody has noticed.
@@ -478,7 +490,7 @@
 fn a_re_ask_that_is_refused_without_a_majority_is_told_soon_that_nothing_is_known() {
     let mut world = World::new(5, 9);
     world.full = 1.0;
-    let id: Id = "again".into();
+    let id: QueryId = "again".into();
     world.cut.extend((1..5).flat_map(|other| [(0, other), (other, 0)]));
     world.asks.insert(Arc::clone(&id), 1);
     world.ask(0, 0, &id);
@@ -486,18 +498,18 @@
     assert_eq!((world.unsure, world.told.len()), (0, 0));
     world.run(20 * MS);
     assert_eq!((world.unsure, world.told.len()), (1, 0));
-    assert!(world.refused.is_empty(), "that nothing ran is not known");
+    assert!(world.rejected.is_empty(), "that nothing ran is not known");
 }
 
 #[test]
 fn a_hold_that_no_keeper_takes_is_given_up_after_two_tellings_and_told_no_more() {
-    let mut world = World::started(5, 4);
+    let mut world = World::started_at(5, 4);
     world.run(50 * MS);
     for number in 0..20 {
         world.ask(0, 0, &format!("early-{number}").into());
     }
     world.run(80 * MS);
-    assert_eq!((world.unsure, world.refused.len()), (20, 20), "nobody is kept waiting for what cannot be");
+    assert_eq!((world.unsure, world.rejected.len()), (20, 20), "nobody is kept waiting for what cannot be");
     world.run(3_000 * MS);
     assert!(world.writes <= 20 * (2 + 3), "{} messages for 20 holds", world.writes);
     world.check();
@@ -513,7 +525,7 @@
     world.run(3_000 * MS);
     world.check();
     assert_eq!(world.told.len(), 40);
-    // Two keepers each at most, once for the intent and once for the end; one where this process is a keeper itself.
+    // Two acceptors each at most, once for the intent and once for the end; one where this process is an acceptor itself.
     assert!(world.writes <= 40 * 4, "{} messages for 40 holds", world.writes);
 }
 
@@ -521,7 +533,7 @@
 fn who_waits_for_an_end_elsewhere_hears_of_it_when_it_comes() {
     for seed in 0..20 {
         let mut world = World::new(5, seed);
-        let id: Id = format!("slow-{seed}").into();
+        let id: QueryId = format!("slow-{seed}").into();
         world.ask(0, 0, &id);
         world.run(3 * MS);
         world.all[0].paused_until = world.now + 900 * MS;
@@ -553,25 +565,34 @@
     assert!(world.paged > 0 && world.paged <= 200 * 2 * 3, "{} records for 200 ids", world.paged);
 }
 
-// Found by reading: a desk had nothing to do and no time for it before its first link, so that who was asked before
+// Found by reading: a takeover manager had nothing to do and no time for it before its first link, so that who was asked before
 // was never told anything, however long it waited.
 #[test]
 fn a_hold_asked_before_the_first_link_is_given_up_as_one_that_no_keeper_takes() {
-    let mut desk = World::desk(0, 5);
-    let (id, asked): (Id, _) = ("alone".into(), asked());
-    let (mut now, mut wishes) = (0, Vec::new());
-    desk.want(now, Request { id: &id, asked: &asked, until: LIFE, first: true }, 0, 0);
-    while let Some(due) = desk.due().filter(|due| *due <= LIFE + 2_000 * MS) {
+    let mut manager = World::manager(0, 5);
+    let (id, payload): (QueryId, _) = ("alone".into(), payload());
+    let (mut now, mut actions) = (0, Vec::new());
+    manager.request_permit(
+        now,
+        ClientRequest { id: &id, payload: &payload, deadline: LIFE, is_first_attempt: true },
+        0,
+        0,
+    );
+    while let Some(due) = manager.poll_timeout().filter(|due| *due <= LIFE + 2_000 * MS) {
         now = due.max(now + 1);
-        desk.tick(now);
-        wishes.extend(
-            desk.wishes().into_iter().filter(|wish| !matches!(wish, Wish::Tell(..))).map(|wish| (now, wish)),
+        manager.handle_timeout(now);
+        actions.extend(
+            manager
+                .take_actions()
+                .into_iter()
+                .filter(|action| !matches!(action, Action::Send(..)))
+                .map(|action| (now, action)),
         );
     }
-    let denied = Wish::Leave { id: Arc::clone(&id), part: 0, attempt: 0, given: false };
-    let told = Wish::Unsure { id: Arc::clone(&id), untouched: true };
-    let at = |what: &Wish| wishes.iter().find(|(_, wish)| wish == what).map(|(at, _)| *at);
-    assert!(at(&denied).is_some_and(|at| at <= 210 * MS), "{wishes:?}");
-    assert!(at(&told).is_some_and(|at| at <= 210 * MS), "{wishes:?}");
-    assert_eq!(desk.load().0, 0, "nothing is kept of it");
+    let denied = Action::PermitDecided { id: Arc::clone(&id), part: 0, attempt: 0, granted: false };
+    let told = Action::OutcomeUnknown { id: Arc::clone(&id), not_executed: true };
+    let at = |what: &Action| actions.iter().find(|(_, action)| action == what).map(|(at, _)| *at);
+    assert!(at(&denied).is_some_and(|at| at <= 210 * MS), "{actions:?}");
+    assert!(at(&told).is_some_and(|at| at <= 210 * MS), "{actions:?}");
+    assert_eq!(manager.usage().0, 0, "nothing is kept of it");
 }
--- a/crates/edge/src/peers/mod.rs
+++ b/crates/edge/src/peers/mod.rs
@@ -14,8 +14,10 @@
 use mallowgauge_cluster::flow::{Bundle, Intake, Queue};
 use mallowgauge_cluster::links::{latest, Dials, Hello, Refusal, Register, Room};
 use mallowgauge_cluster::members::{Claim, Members, Note, Order, State};
-use mallowgauge_cluster::register::Bounds;
-use mallowgauge_cluster::takeover::{Desk, Note as DeskNote, Setup, Wish};
+use mallowgauge_cluster::register::AcceptorLimits;
+use mallowgauge_cluster::takeover::{
+    Action as TakeoverAction, Message as TakeoverMessage, TakeoverConfig, TakeoverManager,
+};
 use mallowgauge_cluster::{Incarnation, PeerId};
 use mallowgauge_net::{Handle, Listener, ReadEnd, Stream, Token};
 use mallowgauge_router::Micros;
@@ -126,9 +128,9 @@
     addresses: Vec<SocketAddr>,
     members: Members,
     /// What is done for ids, where queries are taken over.
-    takeover: Option<Desk>,
-    /// What the desk wants of the rest of the program.
-    takeover_actions: Vec<Wish>,
+    takeover: Option<TakeoverManager>,
+    /// What the manager wants of the rest of the program.
+    takeover_actions: Vec<TakeoverAction>,
     dials: Dials,
     room: Room,
     listener: Option<Listener>,
@@ -186,8 +188,17 @@
             members: Members::new(now, me, fleet.peers.len(), life, fleet.pace, seed),
             dials: Dials::new(now, &register, seed ^ life),
             takeover: fleet.handover.map(|life| {
-                let bounds = Bounds { records: room.records, bytes: room.records * A_RECORD, life };
-                Desk::new(Setup { me, peers: fleet.peers.len(), group: fleet.group, bounds })
+                let limits = AcceptorLimits {
+                    records: room.records,
+                    bytes: room.records * A_RECORD,
+                    query_lifetime: life,
+                };
+                TakeoverManager::new(TakeoverConfig {
+                    me,
+                    peer_count: fleet.peers.len(),
+                    group_size: fleet.group,
+                    limits,
+                })
             }),
             takeover_actions: Vec::new(),
             register,
@@ -230,7 +241,7 @@
             self.late(now, id);
         }
         self.members.tick(now);
-        self.takeover.iter_mut().for_each(|desk| desk.tick(now));
+        self.takeover.iter_mut().for_each(|manager| manager.handle_timeout(now));
         for peer in self.dials.take(now) {
             self.dial(now, handle, peer);
         }
@@ -262,13 +273,17 @@
         self.room.message / 2 - A_RECORDS_REST
     }
 
-    /// What the desk wants of the rest of the program since the last call.
-    pub fn take_takeover_actions(&mut self) -> Vec<Wish> {
+    /// What the manager wants of the rest of the program since the last call.
+    pub fn take_takeover_actions(&mut self) -> Vec<TakeoverAction> {
         std::mem::take(&mut self.takeover_actions)
     }
 
     /// Something happens to a query; what comes of it is sent at once.
-    pub fn with_takeover_manager<T>(&mut self, now: Micros, call: impl FnOnce(&mut Desk) -> T) -> Option<T> {
+    pub fn with_takeover_manager<T>(
+        &mut self,
+        now: Micros,
+        call: impl FnOnce(&mut TakeoverManager) -> T,
+    ) -> Option<T> {
         let done = call(self.takeover.as_mut()?);
         self.settle(now);
         Some(done)
@@ -279,18 +294,19 @@
         // Sending can end a link, and that can be worth a message: each round ends one link at the least.
         loop {
             let orders = self.members.orders();
-            let wishes = self.takeover.as_mut().map(Desk::wishes).unwrap_or_default();
-            if orders.is_empty() && wishes.is_empty() {
+            let takeover_actions =
+                self.takeover.as_mut().map(TakeoverManager::take_actions).unwrap_or_default();
+            if orders.is_empty() && takeover_actions.is_empty() {
                 break;
             }
             orders.into_iter().for_each(|order| self.order(now, order));
-            for wish in wishes {
-                match wish {
-                    Wish::Tell(to, note) => {
+            for action in takeover_actions {
+                match action {
+                    TakeoverAction::Send(to, note) => {
                         let id = self.link(to);
                         id.into_iter().for_each(|id| self.bundle(now, id, &note));
                     }
-                    wish => self.takeover_actions.push(wish),
+                    action => self.takeover_actions.push(action),
                 }
             }
         }
@@ -314,15 +330,15 @@
         self.settle(now);
         let again = (!self.unsaid.is_empty()).then_some(now);
         let links = self.links.values().filter_map(Link::due);
-        let desk = self.takeover.as_ref().and_then(Desk::due);
-        let rest = [self.members.due(), self.dials.due(), self.resting, desk, again];
+        let manager = self.takeover.as_ref().and_then(TakeoverManager::poll_timeout);
+        let rest = [self.members.due(), self.dials.due(), self.resting, manager, again];
         self.next_timeout = links.chain(rest.into_iter().flatten()).min();
     }
 
     /// A note goes to a peer, with others of this turn.
-    fn bundle(&mut self, now: Micros, id: u64, note: &DeskNote) {
+    fn bundle(&mut self, now: Micros, id: u64, note: &TakeoverMessage) {
         let Some(link) = self.links.get_mut(&id) else { return };
-        let before = link.bundle.add(now, &wire::note(note), note.is_waited_for());
+        let before = link.bundle.add(now, &wire::note(note), note.is_awaited());
         self.unsaid.insert(id);
         before.into_iter().for_each(|notes| self.say(id, &Said::Notes(notes)));
     }
@@ -366,7 +382,9 @@
                 }
                 // Who has said that it ends goes on until it has ended what it took: it is away once its link is.
                 let away = state != "alive" && !(state == "left" && self.link(about).is_some());
-                self.takeover.iter_mut().for_each(|desk| desk.held(now, about, away));
+                self.takeover
+                    .iter_mut()
+                    .for_each(|manager| manager.peer_availability_changed(now, about, away));
                 if state == "alive" {
                     self.dials.hint(now, about);
                 }
@@ -379,7 +397,7 @@
                 tracing::error!("another gatherer is {name}, life {held}; this one stands aside");
                 // Nobody takes this process for a member now, and it takes part in nothing.
                 let life = self.members.incarnation();
-                self.takeover.iter_mut().for_each(|desk| desk.reborn(now, life));
+                self.takeover.iter_mut().for_each(|manager| manager.incarnation_changed(now, life));
                 let up: Vec<u64> = self.of.iter().copied().flatten().collect();
                 for id in up {
                     self.part(now, id, "it stands aside");
@@ -387,7 +405,7 @@
             }
             Note::Renewed(incarnation) => {
                 tracing::info!("an earlier life of this gatherer was known; it goes on as {incarnation}");
-                self.takeover.iter_mut().for_each(|desk| desk.reborn(now, incarnation));
+                self.takeover.iter_mut().for_each(|manager| manager.incarnation_changed(now, incarnation));
             }
         }
     }
@@ -565,8 +583,8 @@
                 if let Some(link) = self.links.get_mut(&id) {
                     link.intake.owe(notes.len().saturating_sub(1) as u64);
                 }
-                if let Some(desk) = &mut self.takeover {
-                    notes.into_iter().for_each(|note| desk.note(now, peer, note));
+                if let Some(manager) = &mut self.takeover {
+                    notes.into_iter().for_each(|note| manager.handle_message(now, peer, note));
                 }
             }
             // Of a later version: passed by.
@@ -613,7 +631,7 @@
         tracing::info!("peer {} is linked, life {}", self.register.name(peer), hello.incarnation);
         self.members.linked(now, own);
         let life = self.members.incarnation();
-        self.takeover.iter_mut().for_each(|desk| desk.linked(now, peer, own.incarnation, life));
+        self.takeover.iter_mut().for_each(|manager| manager.peer_connected(now, peer, own.incarnation, life));
     }
 
     /// Says why, and lets the other side read it.
@@ -689,7 +707,7 @@
         self.dials.ended(now, peer);
         self.members.unlinked(now, peer, broken);
         if self.members.claim(peer).is_some_and(|claim| claim.state == State::Left) {
-            self.takeover.iter_mut().for_each(|desk| desk.held(now, peer, true));
+            self.takeover.iter_mut().for_each(|manager| manager.peer_availability_changed(now, peer, true));
         }
         Some(peer)
     }
--- a/crates/edge/src/peers/wire.rs
+++ b/crates/edge/src/peers/wire.rs
@@ -4,7 +4,7 @@
 use mallowgauge_cluster::flow::Worth;
 use mallowgauge_cluster::links::Hello;
 use mallowgauge_cluster::members::{Claim, Grade, Message, Reached, State};
-use mallowgauge_cluster::takeover::Note;
+use mallowgauge_cluster::takeover::Message as TakeoverMessage;
 use mallowgauge_cluster::{Incarnation, PeerId};
 use prost::Message as _;
 
@@ -267,13 +267,13 @@
 
 /// A note as bytes.
 #[must_use]
-pub fn note(note: &Note) -> Vec<u8> {
+pub fn note(note: &TakeoverMessage) -> Vec<u8> {
     postcard::to_stdvec(note).unwrap_or_default()
 }
 
 /// The notes of [`Said::Notes`], up to the first that this version does not know.
 #[must_use]
-pub fn notes(mut bytes: &[u8]) -> Vec<Note> {
+pub fn notes(mut bytes: &[u8]) -> Vec<TakeoverMessage> {
     let mut notes = Vec::new();
     while let Ok((note, rest)) = postcard::take_from_bytes(bytes) {
         notes.push(note);
--- a/crates/edge/src/takeover.rs
+++ b/crates/edge/src/takeover.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use mallowgauge_cluster::takeover::{Ended, Request, Stands, Wish};
+use mallowgauge_cluster::takeover::{Action, ClientRequest, QueryEnd, RequestState};
 use mallowgauge_core::{
     AttemptId, AttemptRequest, CompletedQuery, Core, Failure, PartRequest, QueryRequest, QueryResponse,
     ResponseHandle, Value,
@@ -15,9 +15,9 @@
 
 use crate::peers::Peers;
 
-/// What was asked, as another gatherer needs it to run it.
+/// What was payload, as another gatherer needs it to run it.
 #[derive(Serialize, Deserialize)]
-struct Asked {
+struct StoredRequest {
     class: u32,
     /// How long its client still waited when it was written.
     left: u64,
@@ -27,51 +27,52 @@
 
 /// An answer as a record holds it.
 #[derive(Serialize, Deserialize)]
-struct Served {
-    whole: bool,
+struct StoredResponse {
+    complete: bool,
     values: Vec<(u32, String)>,
 }
 
 /// Queries too old for anything to come of them are ended without a part sent.
-const TOO_OLD: Micros = 20_000;
+const MIN_TIME_LEFT_US: Micros = 20_000;
 
-fn parts(ask: &QueryRequest) -> Vec<(u32, f64)> {
-    ask.parts.iter().map(|part| (part.shard.0, part.weight)).collect()
+fn parts(request: &QueryRequest) -> Vec<(u32, f64)> {
+    request.parts.iter().map(|part| (part.shard.0, part.weight)).collect()
 }
 
 /// Eight bytes that tell one body from another.
-fn digest(ask: &QueryRequest) -> [u8; 8] {
-    let body = postcard::to_stdvec(&(ask.class.0 as u32, &*ask.body, parts(ask))).unwrap_or_default();
+fn digest(request: &QueryRequest) -> [u8; 8] {
+    let body =
+        postcard::to_stdvec(&(request.class.0 as u32, &*request.body, parts(request))).unwrap_or_default();
     mallowgauge_cluster::digest(body).to_be_bytes()
 }
 
-/// Eight bytes that tell one body from another, and then what was asked.
-fn write(ask: &QueryRequest, left: Micros) -> Arc<[u8]> {
-    let parts = parts(ask);
-    let asked = Asked { class: ask.class.0 as u32, left, text: ask.body.to_vec(), parts };
+/// Eight bytes that tell one body from another, and then what was payload.
+fn write(request: &QueryRequest, left: Micros) -> Arc<[u8]> {
+    let parts = parts(request);
+    let payload = StoredRequest { class: request.class.0 as u32, left, text: request.body.to_vec(), parts };
     // Who takes over cannot plan phases anew: of these it only learns whether something may have run.
-    let asked = if ask.plan.is_some() { None } else { postcard::to_stdvec(&asked).ok() };
-    [&digest(ask)[..], &asked.unwrap_or_default()].concat().into()
+    let payload = if request.plan.is_some() { None } else { postcard::to_stdvec(&payload).ok() };
+    [&digest(request)[..], &payload.unwrap_or_default()].concat().into()
 }
 
-/// What was asked, with what is left of its client's time.
-fn read(id: &str, asked: &[u8], age: Micros) -> Option<QueryRequest> {
-    let asked: Asked = postcard::from_bytes(asked.get(8..)?).ok()?;
-    let left = asked.left.checked_sub(age).filter(|left| *left > TOO_OLD)?;
-    let parts = asked.parts.iter().map(|&(shard, weight)| PartRequest { shard: ShardId(shard), weight });
+/// What was payload, with what is left of its client's time.
+fn read(id: &str, payload: &[u8], age: Micros) -> Option<QueryRequest> {
+    let payload: StoredRequest = postcard::from_bytes(payload.get(8..)?).ok()?;
+    let left = payload.left.checked_sub(age).filter(|left| *left > MIN_TIME_LEFT_US)?;
+    let parts = payload.parts.iter().map(|&(shard, weight)| PartRequest { shard: ShardId(shard), weight });
     Some(QueryRequest {
         id: id.into(),
-        class: ClassId(asked.class as usize),
+        class: ClassId(payload.class as usize),
         expires_in: left,
         retry: true,
         work_hint: None,
-        body: asked.text.into(),
+        body: payload.text.into(),
         parts: parts.collect(),
         plan: None,
     })
 }
 
-fn ended(answer: &QueryResponse, touched: bool, most: usize) -> Ended {
+fn ended(answer: &QueryResponse, possibly_executed: bool, most: usize) -> QueryEnd {
     let texts = |values: &[(ShardId, Value)]| {
         let text = |(shard, value): &(ShardId, Value)| match value {
             Value::Text(text) => Some((shard.0, text.to_string())),
@@ -79,30 +80,32 @@
         };
         values.iter().map(text).collect::<Option<Vec<_>>>()
     };
-    if let QueryResponse::Completed { complete: whole, values } = answer {
-        let values =
-            texts(values).and_then(|values| postcard::to_stdvec(&Served { whole: *whole, values }).ok());
+    if let QueryResponse::Completed { complete, values } = answer {
+        let values = texts(values)
+            .and_then(|values| postcard::to_stdvec(&StoredResponse { complete: *complete, values }).ok());
         let values = values.filter(|bytes| bytes.len() <= most);
-        return values.map_or(Ended::MayHaveRun, |bytes| Ended::Said(bytes.into()));
+        return values.map_or(QueryEnd::PossiblyExecuted, |bytes| QueryEnd::Answered(bytes.into()));
     }
-    if touched {
-        Ended::MayHaveRun
+    if possibly_executed {
+        QueryEnd::PossiblyExecuted
     } else {
-        Ended::NeverRan
+        QueryEnd::NotExecuted
     }
 }
 
-fn answer(ended: &Ended, core: &mut Core) -> QueryResponse {
+fn answer(ended: &QueryEnd, core: &mut Core) -> QueryResponse {
     match ended {
-        Ended::Said(bytes) => match postcard::from_bytes::<Served>(bytes) {
-            Ok(Served { whole, values }) => {
+        QueryEnd::Answered(bytes) => match postcard::from_bytes::<StoredResponse>(bytes) {
+            Ok(StoredResponse { complete, values }) => {
                 let values = values.into_iter().map(|(shard, text)| (ShardId(shard), text.into()));
-                QueryResponse::Completed { complete: whole, values: values.collect() }
+                QueryResponse::Completed { complete, values: values.collect() }
             }
             Err(_) => QueryResponse::Failed(Failure::PartsFailed),
         },
-        Ended::MayHaveRun => QueryResponse::Failed(Failure::PartsFailed),
-        Ended::NeverRan => QueryResponse::Rejected { retry_after: core.retry_after(), not_executed: true },
+        QueryEnd::PossiblyExecuted => QueryResponse::Failed(Failure::PartsFailed),
+        QueryEnd::NotExecuted => {
+            QueryResponse::Rejected { retry_after: core.retry_after(), not_executed: true }
+        }
     }
 }
 
@@ -113,7 +116,7 @@
     held: BTreeMap<(Rc<str>, u32, u32), (BackendId, AttemptRequest)>,
     /// Who waits for how an id ends, once the core has done with it.
     waiting: BTreeMap<Rc<str>, Vec<ResponseHandle>>,
-    adopted: u64,
+    taken_over: u64,
 }
 
 /// What is to be done with the rest of the program.
@@ -129,29 +132,33 @@
     pub fn request_permit(
         &mut self,
         now: Micros,
-        server: BackendId,
+        backend: BackendId,
         send: AttemptRequest,
         core: &mut Core,
         peers: &mut Peers,
     ) -> Vec<Task> {
-        let Some((ask, left)) = core.open_request(now, &send.query) else { return Vec::new() };
+        let Some((request, left)) = core.open_request(now, &send.query) else { return Vec::new() };
         let (id, part, attempt) = (Rc::clone(&send.query), send.shard.0, send.attempt.number);
-        if peers.with_takeover_manager(now, |desk| desk.stands(&send.query)) == Some(Stands::Awaited) {
-            // Asked again here, while its end comes from elsewhere or it is being taken over.
-            let askers = core.release_query(&send.query);
-            self.await_end(now, &send.query, now + left, askers, peers);
+        if peers.with_takeover_manager(now, |manager| manager.request_state(&send.query))
+            == Some(RequestState::AwaitingOutcome)
+        {
+            // StoredRequest again here, while its end comes from elsewhere or it is being taken over.
+            let handles = core.release_query(&send.query);
+            self.await_end(now, &send.query, now + left, handles, peers);
             return Vec::new();
         }
-        let (asked, first) = (write(ask, left), !ask.retry);
-        if asked.len() > peers.largest_record() {
+        let (payload, first) = (write(request, left), !request.retry);
+        if payload.len() > peers.largest_record() {
             let answer = QueryResponse::Failed(Failure::Invalid("more is asked than other gatherers keep"));
-            let askers = core.release_query(&send.query);
-            return askers.into_iter().map(|asker| Task::Reply(asker, answer.clone())).collect();
+            let handles = core.release_query(&send.query);
+            return handles.into_iter().map(|handle| Task::Reply(handle, answer.clone())).collect();
         }
-        self.held.insert((Rc::clone(&id), part, attempt), (server, send));
+        self.held.insert((Rc::clone(&id), part, attempt), (backend, send));
         let id = Arc::from(&*id);
-        let request = Request { id: &id, asked: &asked, until: now + left, first };
-        peers.with_takeover_manager(now, |desk| desk.want(now, request, part, attempt));
+        let client_request =
+            ClientRequest { id: &id, payload: &payload, deadline: now + left, is_first_attempt: first };
+        peers
+            .with_takeover_manager(now, |manager| manager.request_permit(now, client_request, part, attempt));
         Vec::new()
     }
 
@@ -160,14 +167,16 @@
         let found = self.held.iter().find(|(_, (_, send))| send.attempt == attempt);
         let Some(key) = found.map(|(key, _)| key.clone()) else { return false };
         self.held.remove(&key);
-        peers.with_takeover_manager(now, |desk| desk.void(&key.0, key.1, key.2));
+        peers.with_takeover_manager(now, |manager| manager.mark_not_executed(&key.0, key.1, key.2));
         true
     }
 
     /// An attempt ended in a way that proves that it never ran.
     pub fn attempt_not_executed(&mut self, now: Micros, attempt: AttemptId, core: &Core, peers: &mut Peers) {
         if let Some((id, shard)) = core.attempt_target(attempt) {
-            peers.with_takeover_manager(now, |desk| desk.void(&id, shard.0, attempt.number));
+            peers.with_takeover_manager(now, |manager| {
+                manager.mark_not_executed(&id, shard.0, attempt.number)
+            });
         }
     }
 
@@ -179,40 +188,44 @@
         peers: &mut Peers,
     ) -> Vec<Task> {
         let CompletedQuery {
-            request: ask,
+            request,
             deadline: end,
-            response_handles: askers,
+            response_handles: handles,
             response: answer,
-            possibly_executed: touched,
+            possibly_executed,
         } = recorded;
-        self.drop_held(&ask.id);
-        let stands = peers.with_takeover_manager(now, |desk| desk.stands(&ask.id)).unwrap_or(Stands::Unknown);
-        // One that was asked before may have run elsewhere, whatever was decided here.
+        self.drop_held(&request.id);
+        let state = peers
+            .with_takeover_manager(now, |manager| manager.request_state(&request.id))
+            .unwrap_or(RequestState::Unknown);
+        // One that was payload before may have run elsewhere, whatever was decided here.
         let told =
             matches!(answer, QueryResponse::Completed { .. } | QueryResponse::Failed(Failure::Invalid(_)));
-        let elsewhere = ask.retry && !told;
-        if stands == Stands::Unknown && !elsewhere {
-            // No attempt ever asked for leave.
-            return askers.into_iter().map(|asker| Task::Reply(asker, answer.clone())).collect();
+        let elsewhere = request.retry && !told;
+        if state == RequestState::Unknown && !elsewhere {
+            // No attempt ever payload for leave.
+            return handles.into_iter().map(|handle| Task::Reply(handle, answer.clone())).collect();
         }
-        let (id, most) = (Arc::from(&*ask.id), peers.largest_record());
-        match stands {
-            Stands::Unknown if askers.iter().all(|asker| matches!(asker, ResponseHandle::TakenOver(_))) => {}
-            Stands::Unknown => {
+        let (id, most) = (Arc::from(&*request.id), peers.largest_record());
+        match state {
+            RequestState::Unknown
+                if handles.iter().all(|handle| matches!(handle, ResponseHandle::TakenOver(_))) => {}
+            RequestState::Unknown => {
                 // Nobody is to run it: what tells its body from another is enough, however large it is.
-                let asked = digest(&ask).into();
-                let request = Request { id: &id, asked: &asked, until: end, first: false };
-                peers.with_takeover_manager(now, |desk| desk.refuse(now, request));
+                let payload = digest(&request).into();
+                let client_request =
+                    ClientRequest { id: &id, payload: &payload, deadline: end, is_first_attempt: false };
+                peers.with_takeover_manager(now, |manager| manager.reject(now, client_request));
             }
-            Stands::Runs => {
-                self.await_end(now, &ask.id, end, askers, peers);
-                let ended = ended(&answer, touched, most);
-                peers.with_takeover_manager(now, |desk| desk.finish(now, &id, ended));
+            RequestState::Running => {
+                self.await_end(now, &request.id, end, handles, peers);
+                let ended = ended(&answer, possibly_executed, most);
+                peers.with_takeover_manager(now, |manager| manager.query_ended(now, &id, ended));
                 return Vec::new();
             }
-            Stands::Awaited => {}
+            RequestState::AwaitingOutcome => {}
         }
-        self.await_end(now, &ask.id, end, askers, peers);
+        self.await_end(now, &request.id, end, handles, peers);
         Vec::new()
     }
 
@@ -222,14 +235,14 @@
         now: Micros,
         id: &Rc<str>,
         until: Micros,
-        askers: Vec<ResponseHandle>,
+        handles: Vec<ResponseHandle>,
         peers: &mut Peers,
     ) {
-        let here = askers.into_iter().filter(|asker| !matches!(asker, ResponseHandle::TakenOver(_)));
+        let here = handles.into_iter().filter(|handle| !matches!(handle, ResponseHandle::TakenOver(_)));
         let here: Vec<ResponseHandle> = here.collect();
         if !here.is_empty() {
             self.waiting.entry(Rc::clone(id)).or_default().extend(here);
-            peers.with_takeover_manager(now, |desk| desk.wait(id, until));
+            peers.with_takeover_manager(now, |manager| manager.await_outcome(id, until));
         }
     }
 
@@ -241,68 +254,70 @@
     pub fn handle_action(
         &mut self,
         now: Micros,
-        wish: Wish,
+        action: Action,
         core: &mut Core,
         peers: &mut Peers,
     ) -> Vec<Task> {
-        match wish {
-            Wish::Leave { id, part, attempt, given } => {
+        match action {
+            Action::PermitDecided { id, part, attempt, granted } => {
                 let held = self.held.remove(&(Rc::from(&*id), part, attempt));
-                let Some((server, send)) = held else { return Vec::new() };
-                if !given {
+                let Some((backend, send)) = held else { return Vec::new() };
+                if !granted {
                     core.attempt_completed(now, send.attempt, Outcome::NotSent, None);
                 } else if core.is_in_flight(send.attempt) {
-                    return vec![Task::Send(server, send)];
+                    return vec![Task::Send(backend, send)];
                 } else {
-                    peers.with_takeover_manager(now, |desk| desk.void(&id, part, attempt));
+                    peers.with_takeover_manager(now, |manager| manager.mark_not_executed(&id, part, attempt));
                 }
                 Vec::new()
             }
-            Wish::Ended(id, ended) => {
-                let askers = self.askers(&id, core);
+            Action::QueryEnded(id, ended) => {
+                let handles = self.handles(&id, core);
                 let answer = answer(&ended, core);
-                askers.into_iter().map(|asker| Task::Reply(asker, answer.clone())).collect()
+                handles.into_iter().map(|handle| Task::Reply(handle, answer.clone())).collect()
             }
-            Wish::Elsewhere(id) => {
-                let askers = core.release_query(&id);
+            Action::OwnedByPeer(id) => {
+                let handles = core.release_query(&id);
                 self.drop_held(&id);
-                self.waiting.entry(Rc::from(&*id)).or_default().extend(askers);
+                self.waiting.entry(Rc::from(&*id)).or_default().extend(handles);
                 Vec::new()
             }
-            Wish::Another(id) => {
+            Action::RequestIdConflict(id) => {
                 let answer = QueryResponse::Failed(Failure::Invalid("this id was asked with another body"));
-                let askers = self.askers(&id, core);
-                askers.into_iter().map(|asker| Task::Reply(asker, answer.clone())).collect()
+                let handles = self.handles(&id, core);
+                handles.into_iter().map(|handle| Task::Reply(handle, answer.clone())).collect()
             }
-            Wish::Unsure { id, untouched } => {
-                let answer = if untouched {
-                    QueryResponse::Rejected { retry_after: core.retry_after(), not_executed: untouched }
+            Action::OutcomeUnknown { id, not_executed } => {
+                let answer = if not_executed {
+                    QueryResponse::Rejected { retry_after: core.retry_after(), not_executed }
                 } else {
                     QueryResponse::Failed(Failure::DeadlineExceeded)
                 };
-                let askers = self.askers(&id, core);
-                askers.into_iter().map(|asker| Task::Reply(asker, answer.clone())).collect()
+                let handles = self.handles(&id, core);
+                handles.into_iter().map(|handle| Task::Reply(handle, answer.clone())).collect()
             }
-            Wish::Adopt(id, asked, age) => {
-                self.adopted += 1;
-                let asker = ResponseHandle::TakenOver(self.adopted);
-                let known = |ask: &QueryRequest| ask.class.0 < core.classes().count();
-                let ask = read(&id, &asked, age).filter(known);
-                let taken = ask.map(|ask| core.submit(now, asker, ask));
+            Action::TakeOver(id, payload, age) => {
+                self.taken_over += 1;
+                let handle = ResponseHandle::TakenOver(self.taken_over);
+                let known = |request: &QueryRequest| request.class.0 < core.classes().count();
+                let request = read(&id, &payload, age).filter(known);
+                let taken = request.map(|request| core.submit(now, handle, request));
                 if !matches!(taken, Some(Ok(()))) {
-                    peers.with_takeover_manager(now, |desk| desk.finish(now, &id, Ended::NeverRan));
+                    peers.with_takeover_manager(now, |manager| {
+                        manager.query_ended(now, &id, QueryEnd::NotExecuted)
+                    });
                 }
                 Vec::new()
             }
-            Wish::Tell(..) => Vec::new(),
+            Action::Send(..) => Vec::new(),
         }
     }
 
     /// Everybody who waits for an id here.
-    fn askers(&mut self, id: &str, core: &mut Core) -> Vec<ResponseHandle> {
+    fn handles(&mut self, id: &str, core: &mut Core) -> Vec<ResponseHandle> {
         self.drop_held(id);
-        let mut askers = self.waiting.remove(id).unwrap_or_default();
-        askers.extend(core.release_query(id));
-        askers
+        let mut handles = self.waiting.remove(id).unwrap_or_default();
+        handles.extend(core.release_query(id));
+        handles
     }
 }
--- a/crates/edge/tests/peer_wire_format.rs
+++ b/crates/edge/tests/peer_wire_format.rs
@@ -5,8 +5,8 @@
 
 use mallowgauge_cluster::links::Hello;
 use mallowgauge_cluster::members::{Claim, Grade, Message, Reached, State};
-use mallowgauge_cluster::register::{Ballot, Mark, Order, Written};
-use mallowgauge_cluster::takeover::Note;
+use mallowgauge_cluster::register::{AttemptRef, Ballot, Proposal, ProposerRequest};
+use mallowgauge_cluster::takeover::Message as TakeoverMessage;
 use mallowgauge_cluster::{Incarnation, PeerId};
 use mallowgauge_edge::peers::wire::{self, Said};
 
@@ -23,7 +23,7 @@
     (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
 }
 
-/// The frame is written as these bytes, and these bytes are read as the frame.
+/// The frame is proposal as these bytes, and these bytes are read as the frame.
 fn pin(frame: &Said, bytes: &str) {
     assert_eq!(hex(&wire::write(frame)), bytes, "written: {frame:?}");
     let bytes = unhex(bytes);
@@ -95,11 +95,17 @@
 
 #[test]
 fn messages_about_queries_have_these_bytes() {
-    let ballot = Ballot { round: 3, by: PeerId(300), life: incarnation(2), turn: 200 };
-    let mark = Mark { part: 1, attempt: 2, ballot };
-    let written = Written { intents: [mark].into(), ..Written::default() };
-    let order = Order::Write { id: "query-1".into(), ballot, lives: [].into(), written, version: 2 };
-    let notes = vec![Note::Epoch(incarnation(9), 1000), Note::Order(order)];
+    let ballot = Ballot { round: 3, proposer: PeerId(300), incarnation: incarnation(2), sequence: 200 };
+    let intent = AttemptRef { part: 1, attempt: 2, ballot };
+    let proposal = Proposal { intents: [intent].into(), ..Proposal::default() };
+    let request = ProposerRequest::Accept {
+        id: "query-1".into(),
+        ballot,
+        incarnations: [].into(),
+        proposal,
+        version: 2,
+    };
+    let notes = vec![TakeoverMessage::Epoch(incarnation(9), 1000), TakeoverMessage::Request(request)];
     let bytes: Vec<u8> = notes.iter().flat_map(wire::note).collect();
     assert_eq!(wire::notes(&bytes), notes);
     pin(&Said::Notes(bytes), "0000003f423d0409ef9bafcdf8acd19101e80700010771756572792d3103ac0202ef9bafcdf8acd19101c8010001010203ac0202ef9bafcdf8acd19101c80100000002");
