--- a/crates/cluster/src/takeover.rs
+++ b/crates/cluster/src/takeover.rs
@@ -13,9 +13,9 @@
 use crate::agenda::Agenda;
 use crate::planted::{self, Bug};
 use crate::register::{
-    acceptors_for, AbstainReason, Acceptor, AcceptorLimits, AcceptorReply, AttemptRef, Ballot, Epochs,
-    Incarnations, OpenedAt, Proposer, ProposerPhase, ProposerRequest, QueryId, Record, StateTransfer,
-    REQUEST_DIGEST_BYTES,
+    acceptors_for, payload_digest, AbstainReason, Acceptor, AcceptorLimits, AcceptorReply, AcceptorUsage,
+    AttemptRef, Ballot, Epochs, Incarnations, OpenedAt, PendingTransfer, Proposer, ProposerPhase,
+    ProposerRequest, QueryId, Record, RecordedOutcome, StateTransfer,
 };
 use crate::{Incarnation, Micros, PeerId};
 
@@ -345,7 +345,8 @@
     /// Ids that something is done for here, and records kept with their bytes.
     #[must_use]
     pub fn usage(&self) -> (usize, usize, usize) {
-        let (records, bytes) = self.acceptor.as_ref().map_or((0, 0), Acceptor::usage);
+        let AcceptorUsage { records, bytes } =
+            self.acceptor.as_ref().map(Acceptor::usage).unwrap_or_default();
         (self.queries.all.len(), records, bytes)
     }
 
@@ -385,12 +386,11 @@
             self.epochs.remove(&peer);
         }
         self.unavailable.remove(&peer);
-        let missing_transfers = self.acceptor.as_ref().map(Acceptor::missing_transfers).unwrap_or_default();
-        let missing_transfers =
-            missing_transfers.into_iter().find(|(missing_transfers, _)| *missing_transfers == peer);
-        if missing_transfers.is_some() || before != Some(incarnation) {
+        let pending = self.acceptor.as_ref().map(Acceptor::pending_transfers).unwrap_or_default();
+        let pending = pending.into_iter().find(|pending| pending.peer == peer);
+        if pending.is_some() || before != Some(incarnation) {
             // Also one that was met: in a new life it knows no longer in which one this process is.
-            let after = missing_transfers.and_then(|(_, after)| after);
+            let after = pending.and_then(|pending| pending.after);
             self.actions
                 .push(Action::Send(peer, Box::new(Message::TransferRequest(self.incarnation(), after))));
         }
@@ -504,14 +504,14 @@
             Message::Reply(reply) => self.handle_reply(now, from, reply),
             Message::TransferRequest(incarnation, after) => {
                 let Some(acceptor) = &mut self.acceptor else { return };
-                let meeting = acceptor.serve_transfer(now, from, incarnation, after);
-                self.send(now, from, Message::StateTransfer(meeting));
+                let transfer = acceptor.serve_transfer(now, from, incarnation, after);
+                self.send(now, from, Message::StateTransfer(transfer));
             }
             Message::Epoch(incarnation, epoch) => self.learn_epoch(from, incarnation, epoch),
-            Message::StateTransfer(meeting) => {
-                self.learn_epoch(meeting.from, meeting.incarnation, meeting.epoch);
+            Message::StateTransfer(transfer) => {
+                self.learn_epoch(transfer.from, transfer.incarnation, transfer.epoch);
                 let Some(acceptor) = &mut self.acceptor else { return };
-                let (incarnation, next) = (acceptor.incarnation(), acceptor.receive_transfer(now, meeting));
+                let (incarnation, next) = (acceptor.incarnation(), acceptor.receive_transfer(now, transfer));
                 for (id, _) in acceptor.open_records() {
                     self.watched.entry(Arc::clone(id)).or_insert(now);
                 }
@@ -568,7 +568,7 @@
                 self.queries.remove(&id);
             } else if !payload.is_empty()
                 && !record.payload.is_empty()
-                && head(&payload) != head(&record.payload)
+                && payload_digest(&payload) != payload_digest(&record.payload)
             {
                 self.queries.remove(&id);
                 self.actions.push(Action::RequestIdConflict(id));
@@ -657,7 +657,7 @@
 
     /// What another's record says of an id that is waited for here.
     fn learn_outcome(&mut self, now: Micros, id: &QueryId, record: &Record) {
-        if let (true, Some((_, outcome))) = (record.chosen, &record.outcome) {
+        if let (true, Some(RecordedOutcome { outcome, .. })) = (record.chosen, &record.outcome) {
             self.queries.remove(id);
             self.actions.push(Action::QueryEnded(Arc::clone(id), QueryEnd::from_bytes(outcome)));
             // Whatever else is held of it, here or where this process opened it in vain, is over with that.
@@ -682,7 +682,7 @@
         query.resends = if query.sent_version == proposer.version() { query.resends + 1 } else { 0 };
         query.sent_version = proposer.version();
         let mut pending_acceptors = proposer.pending_acceptors();
-        if query.resends == 0 && *proposer.phase() == ProposerPhase::Active {
+        if query.resends == 0 && proposer.phase() == ProposerPhase::Active {
             // A majority is enough, and is asked alone at first: another word would only cost both sides. Which one,
             // advice may say; whoever gave no word by the next time is asked beside all others.
             let (me, unavailable) = (self.config.me, &self.unavailable);
@@ -725,7 +725,7 @@
         let Some(query) = self.queries.get_mut(id) else { return };
         // Leave that came after an end was written would make that end untrue.
         let proposer = query.proposer.as_mut().filter(|_| query.end.is_none());
-        let intent = proposer.and_then(|proposer| proposer.write_intent(part, attempt));
+        let intent = proposer.and_then(|proposer| proposer.propose_intent(part, attempt));
         match intent {
             Some(intent) => {
                 query.pending_permits.push((part, attempt, intent, now));
@@ -789,7 +789,7 @@
         let full = self.queries.get(id).is_some_and(wanted) && self.queries.is_full(CONCURRENT_TAKEOVERS);
         let Some(query) = self.queries.get_mut(id) else { return };
         let Some(proposer) = &mut query.proposer else { return };
-        if *proposer.phase() != ProposerPhase::Active {
+        if proposer.phase() != ProposerPhase::Active {
             return;
         }
         let mut given = Vec::new();
@@ -809,7 +809,7 @@
             } else {
                 ended.to_bytes()
             });
-        } else if proposer.found_outcome().is_some()
+        } else if proposer.inherited_outcome().is_some()
             || (!query.is_running && proposer.any_may_have_executed())
         {
             proposer.propose_outcome(QueryEnd::PossiblyExecuted.to_bytes());
@@ -958,12 +958,12 @@
             );
         }
         let Some(acceptor) = &self.acceptor else { return };
-        let (incarnation, missing_transfers) = (acceptor.incarnation(), acceptor.missing_transfers());
+        let (incarnation, missing_transfers) = (acceptor.incarnation(), acceptor.pending_transfers());
         let records: BTreeMap<QueryId, bool> = acceptor
             .open_records()
             .map(|(id, record)| (Arc::clone(id), record.relinquished || self.is_owner_unavailable(record)))
             .collect();
-        for (to, after) in missing_transfers {
+        for PendingTransfer { peer: to, after } in missing_transfers {
             self.actions.push(Action::Send(to, Box::new(Message::TransferRequest(incarnation, after))));
         }
         let over = self.watched.keys().filter(|id| !records.contains_key(*id));
@@ -983,8 +983,3 @@
         }
     }
 }
-
-/// What tells one body from another.
-fn head(payload: &[u8]) -> &[u8] {
-    &payload[..payload.len().min(REQUEST_DIGEST_BYTES)]
-}
--- a/crates/cluster/tests/register.rs
+++ b/crates/cluster/tests/register.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use mallowgauge_cluster::register::{
-    acceptors_for, AbstainReason, Acceptor, AcceptorLimits, AcceptorReply, Ballot, Incarnations, OpenedAt,
-    Proposal, Proposer, ProposerRequest, QueryId, StateTransfer,
+    acceptors_for, AbstainReason, Acceptor, AcceptorLimits, AcceptorReply, AcceptorUsage, Ballot,
+    Incarnations, OpenedAt, PendingTransfer, Proposal, Proposer, ProposerRequest, QueryId, StateTransfer,
 };
 use mallowgauge_cluster::{Incarnation, PeerId};
 
@@ -23,7 +23,7 @@
     Acceptor::new(0, PeerId(0), incarnation(number), 3, 3, BOUNDS)
 }
 
-fn meeting(from: u16, remembers_all: bool) -> StateTransfer {
+fn transfer(from: u16, remembers_all: bool) -> StateTransfer {
     let (records, after, next) = (Vec::new(), None, None);
     StateTransfer {
         from: PeerId(from),
@@ -40,8 +40,8 @@
 /// One that remembers, for there was nothing before it.
 fn founder() -> Acceptor {
     let mut acceptor = fresh(1);
-    acceptor.receive_transfer(0, meeting(1, true));
-    acceptor.receive_transfer(0, meeting(2, true));
+    acceptor.receive_transfer(0, transfer(1, true));
+    acceptor.receive_transfer(0, transfer(2, true));
     acceptor
 }
 
@@ -88,25 +88,25 @@
         OpenedAt { incarnations: [(PeerId(0), incarnation(1))].into(), epochs: [(PeerId(0), 0)].into() };
     let take = ProposerRequest::Prepare { id: "a".into(), ballot: ballot(1, 9), opened_at };
     assert_eq!(reason(acceptor.handle_request(0, take.clone())), Some(AbstainReason::Recovering));
-    acceptor.receive_transfer(0, meeting(1, true));
+    acceptor.receive_transfer(0, transfer(1, true));
     assert_eq!(reason(acceptor.handle_request(0, take.clone())), Some(AbstainReason::Recovering));
     // One that does not remember itself is no help.
-    acceptor.receive_transfer(0, meeting(2, false));
+    acceptor.receive_transfer(0, transfer(2, false));
     assert_eq!(reason(acceptor.handle_request(0, take.clone())), Some(AbstainReason::Recovering));
-    assert_eq!(acceptor.missing_transfers(), [(PeerId(2), None)]);
+    assert_eq!(acceptor.pending_transfers(), [PendingTransfer { peer: PeerId(2), after: None }]);
     // What was meant for an earlier incarnation of it is none either.
-    acceptor.receive_transfer(0, StateTransfer { to: incarnation(0), ..meeting(2, true) });
+    acceptor.receive_transfer(0, StateTransfer { to: incarnation(0), ..transfer(2, true) });
     assert!(!acceptor.remembers_every_query(0));
-    acceptor.receive_transfer(0, meeting(2, true));
-    assert!(acceptor.remembers_every_query(0) && acceptor.missing_transfers().is_empty());
+    acceptor.receive_transfer(0, transfer(2, true));
+    assert!(acceptor.remembers_every_query(0) && acceptor.pending_transfers().is_empty());
     assert!(matches!(acceptor.handle_request(0, take), Some(AcceptorReply::Promised { record: None, .. })));
 }
 
 #[test]
 fn where_all_started_at_once_they_wait_until_no_id_from_before_can_be_asked() {
     let mut acceptor = fresh(1);
-    acceptor.receive_transfer(0, meeting(1, false));
-    acceptor.receive_transfer(0, meeting(2, false));
+    acceptor.receive_transfer(0, transfer(1, false));
+    acceptor.receive_transfer(0, transfer(2, false));
     assert_eq!(
         reason(acceptor.handle_request(2 * LIFE - 1, open("a", ballot(0, 9), 1))),
         Some(AbstainReason::Recovering)
@@ -135,7 +135,7 @@
     ));
     assert!(acceptor.end_epoch(101 * LIFE) && acceptor.record("a").is_some());
     assert!(acceptor.end_epoch(102 * LIFE));
-    assert_eq!((acceptor.epoch(), acceptor.usage()), (3, (0, 0)));
+    assert_eq!((acceptor.epoch(), acceptor.usage()), (3, AcceptorUsage { records: 0, bytes: 0 }));
     // Now it is forgotten, and so is whatever was asked by then.
     let late = acceptor.handle_request(101 * LIFE, open("a", ballot(0, 8), 1));
     assert_eq!(reason(late), Some(AbstainReason::UnknownQuery));
@@ -191,7 +191,7 @@
             let mut acceptor = Acceptor::new(0, PeerId(at), incarnation(1), 3, 3, BOUNDS);
             (0..3)
                 .filter(|from| *from != at)
-                .for_each(|from| drop(acceptor.receive_transfer(0, meeting(from, true))));
+                .for_each(|from| drop(acceptor.receive_transfer(0, transfer(from, true))));
             acceptor
         })
         .collect();
@@ -206,20 +206,20 @@
     let opened_at = OpenedAt { incarnations, epochs: names().into_iter().map(|peer| (peer, 0)).collect() };
     let mut owner = Proposer::open("a".into(), ballot(0, 9), names(), opened_at.clone(), b"what"[..].into());
     // Its first attempt is known to acceptor 2 alone, and so is that it never ran.
-    let first = owner.write_intent(0, 0).expect("an attempt");
+    let first = owner.propose_intent(0, 0).expect("an attempt");
     owner.mark_not_executed(first);
     tell(&mut owner, &[2]);
     assert!(!owner.is_permitted(first));
     let mut second = Proposer::prepare("a".into(), ballot(1, 8), names(), opened_at.clone());
     tell(&mut second, &[0, 1]);
-    let sent = second.write_intent(0, 0).expect("an attempt");
+    let sent = second.propose_intent(0, 0).expect("an attempt");
     tell(&mut second, &[0, 1]);
     assert!(second.is_permitted(sent));
     // It dies. Whoever comes next hears of both attempts, and of one that it is void.
     let mut third = Proposer::prepare("a".into(), ballot(2, 7), names(), opened_at);
     tell(&mut third, &[1, 2]);
     assert!(third.may_have_executed(0));
-    assert_eq!(third.write_intent(0, 0), None);
+    assert_eq!(third.propose_intent(0, 0), None);
 }
 
 #[test]
@@ -257,8 +257,8 @@
 fn what_a_keeper_holds_goes_over_in_pages() {
     let many = AcceptorLimits { records: 1000, ..BOUNDS };
     let mut full = Acceptor::new(0, PeerId(0), incarnation(1), 3, 3, many);
-    full.receive_transfer(0, meeting(1, true));
-    full.receive_transfer(0, meeting(2, true));
+    full.receive_transfer(0, transfer(1, true));
+    full.receive_transfer(0, transfer(2, true));
     let ids: Vec<QueryId> = (0..200).map(|at| format!("q{at:03}").into()).collect();
     for (id, sequence) in ids.iter().zip(1..) {
         assert!(matches!(
@@ -267,7 +267,7 @@
         ));
     }
     let mut late = Acceptor::new(0, PeerId(1), incarnation(2), 3, 3, many);
-    late.receive_transfer(0, StateTransfer { to: incarnation(2), ..meeting(2, true) });
+    late.receive_transfer(0, StateTransfer { to: incarnation(2), ..transfer(2, true) });
     let (mut after, mut pages) = (None, 0);
     loop {
         let page = full.serve_transfer(0, PeerId(1), incarnation(2), after.clone());
@@ -283,10 +283,10 @@
         }
         assert_eq!(late.receive_transfer(0, page), None);
         assert_eq!(late.receive_transfer(0, full.serve_transfer(0, PeerId(1), incarnation(2), None)), None);
-        let missing_transfers = late.missing_transfers().into_iter().find(|(peer, _)| *peer == PeerId(0));
+        let pending = late.pending_transfers().into_iter().find(|pending| pending.peer == PeerId(0));
         assert_eq!(
-            missing_transfers,
-            Some((PeerId(0), next.clone())),
+            pending,
+            Some(PendingTransfer { peer: PeerId(0), after: next.clone() }),
             "a lost one is asked for again, not all of them"
         );
         after = next;
@@ -301,8 +301,8 @@
     let mut now = 0;
     let mut acceptors: Vec<Acceptor> = vec![founder(), founder()];
     acceptors[1] = Acceptor::new(0, PeerId(1), incarnation(1), 3, 3, BOUNDS);
-    acceptors[1].receive_transfer(0, StateTransfer { from: PeerId(0), ..meeting(0, true) });
-    acceptors[1].receive_transfer(0, meeting(2, true));
+    acceptors[1].receive_transfer(0, StateTransfer { from: PeerId(0), ..transfer(0, true) });
+    acceptors[1].receive_transfer(0, transfer(2, true));
     acceptors[0].handle_request(now, open("old", ballot(0, 9), 1));
     acceptors[0].handle_request(now, chosen("old"));
     for number in 3..10 {
--- a/crates/cluster/tests/register_model.rs
+++ b/crates/cluster/tests/register_model.rs
@@ -134,12 +134,12 @@
     /// What an actor does of itself, and what it then wants to tell acceptors.
     fn drive(&self, world: &mut World, at: usize, said: &[Option<ProposerRequest>]) {
         let Some(proposer) = &mut world.proposers[at] else { return };
-        if *proposer.phase() == ProposerPhase::Active {
+        if proposer.phase() == ProposerPhase::Active {
             let waits = self.lazy && at == 0 && !world.ready;
             if waits {
                 // Its opening goes out as it is.
-            } else if world.intent_versions[at].is_none() && proposer.found_outcome().is_none() {
-                world.intent_versions[at] = proposer.write_intent(0, 0);
+            } else if world.intent_versions[at].is_none() && proposer.inherited_outcome().is_none() {
+                world.intent_versions[at] = proposer.propose_intent(0, 0);
             }
             // Whoever sent it knows how it ended; whoever may not send it says that it may have run.
             if world.sent[at] {
@@ -191,10 +191,10 @@
                 self.drive(world, to, &said);
             }
             Packet::Meet(from, to, incarnation) => {
-                let meeting = world.acceptors[to].serve_transfer(0, PeerId(from as u16), incarnation, None);
-                world.wire.insert(Packet::StateTransfer(from, meeting));
+                let transfer = world.acceptors[to].serve_transfer(0, PeerId(from as u16), incarnation, None);
+                world.wire.insert(Packet::StateTransfer(from, transfer));
             }
-            Packet::StateTransfer(to, meeting) => drop(world.acceptors[to].receive_transfer(0, meeting)),
+            Packet::StateTransfer(to, transfer) => drop(world.acceptors[to].receive_transfer(0, transfer)),
         }
         Some(())
     }
@@ -207,7 +207,7 @@
             && match self.planted {
                 Planted::SkipTheIntent => true,
                 Planted::SendAfterTheFence => {
-                    *proposer.phase() != ProposerPhase::Preparing
+                    proposer.phase() != ProposerPhase::Preparing
                         && world.acceptors.iter().any(|acceptor| {
                             acceptor.record(&id()).is_some_and(|record| record.intents.contains(&intent))
                         })
--- a/crates/cluster/tests/stored_format.rs
+++ b/crates/cluster/tests/stored_format.rs
@@ -7,7 +7,7 @@
 
 use mallowgauge_cluster::register::{
     AbstainReason, Acceptor, AcceptorLimits, AcceptorReply, AttemptRef, Ballot, Incarnations, OpenedAt,
-    Proposal, ProposerRequest, QueryId, Record, StateTransfer,
+    Proposal, ProposerRequest, QueryId, Record, RecordedOutcome, StateTransfer, TransferredRecord,
 };
 use mallowgauge_cluster::takeover::{Message, QueryEnd};
 use mallowgauge_cluster::{Incarnation, PeerId};
@@ -73,7 +73,7 @@
         payload: bytes("body"),
         intents: [intent(0, 1), intent(2, 3)].into(),
         not_executed: [intent(0, 1)].into(),
-        outcome: Some((Ballot { round: 1, ..ballot() }, bytes("end"))),
+        outcome: Some(RecordedOutcome { ballot: Ballot { round: 1, ..ballot() }, outcome: bytes("end") }),
         chosen: true,
         relinquished: false,
         opened_at: opened_at(),
@@ -184,7 +184,10 @@
         to: incarnation(3),
         epoch: 400,
         remembers_all: true,
-        records: vec![(id(), record(), 1_000_000), ("z".into(), empty_record(), 0)],
+        records: vec![
+            TransferredRecord { id: id(), record: record(), chosen_for: 1_000_000 },
+            TransferredRecord { id: "z".into(), record: empty_record(), chosen_for: 0 },
+        ],
         after: Some("a".into()),
         next: None,
     };
--- a/crates/cluster/tests/takeover.rs
+++ b/crates/cluster/tests/takeover.rs
@@ -157,8 +157,8 @@
                         Message::Request(ProposerRequest::Open { .. } | ProposerRequest::Accept { .. })
                     );
                     self.writes += u32::from(write);
-                    if let Message::StateTransfer(meeting) = &*message {
-                        self.paged += meeting.records.len();
+                    if let Message::StateTransfer(transfer) = &*message {
+                        self.paged += transfer.records.len();
                     }
                     let to = usize::from(to.0);
                     let copies = 1 + usize::from(self.rng.f64() < self.twice);
