--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -5,13 +5,13 @@
 //! chooses only whom to ask first and at what pace; nothing in it may ever allow an effect or a spend. *Promises*
 //! and *records* ([`register`]) hold through cuts, pauses and wrong clocks; only these allow an effect.
 
-mod agenda;
 pub mod flow;
 pub mod links;
 pub mod members;
 pub mod planted;
 pub mod register;
 pub mod takeover;
+pub mod timer_queue;
 
 /// Microseconds on a clock that does not run backwards; only differences count.
 pub type Micros = u64;
--- /dev/null
+++ b/crates/cluster/src/takeover/client_requests.rs
@@ -0,0 +1,92 @@
+//! What the program asks for on behalf of the clients of this process.
+
+use std::sync::Arc;
+
+use super::actions::{Action, ClientRequest};
+use super::manager::TakeoverManager;
+use super::outcome::QueryEnd;
+use super::query_state::{PendingPermit, QueryState, PERMIT_TIMEOUT};
+use crate::planted::{self, Bug};
+use crate::register::{AttemptRef, OpenedAt, Proposer, QueryId};
+use crate::Micros;
+
+impl TakeoverManager {
+    /// Opens a query for a client here, unless something is done for it already.
+    fn open(&mut self, now: Micros, request: ClientRequest) {
+        let ClientRequest { id, payload, deadline, is_first_attempt } = request;
+        if self.queries.get(id).is_some() {
+            return;
+        }
+        let ballot = self.next_ballot(0);
+        let acceptors = self.acceptors_for(id);
+        let known = acceptors.iter().filter_map(|peer| Some((*peer, *self.incarnations.get(peer)?)));
+        let opened_at = OpenedAt { incarnations: known.collect(), epochs: self.epochs.clone() };
+        let proposer = Proposer::open(Arc::clone(id), ballot, acceptors, opened_at, Arc::clone(payload));
+        let query = QueryState {
+            has_local_clients: true,
+            is_running: true,
+            is_first_attempt,
+            ..QueryState::new(now, proposer, Arc::clone(payload), deadline)
+        };
+        self.queries.insert(id, query);
+    }
+
+    /// An attempt is about to be sent; [`Action::PermitDecided`] says whether it may be.
+    pub fn request_permit(&mut self, now: Micros, request: ClientRequest, part: u32, attempt: u32) {
+        self.open(now, request);
+        let id = request.id;
+        let Some(query) = self.queries.get_mut(id) else { return };
+        // A permit after an end was proposed would make that end untrue.
+        let proposer = query.proposer.as_mut().filter(|_| query.end.is_none());
+        let Some(intent) = proposer.and_then(|proposer| proposer.propose_intent(part, attempt)) else {
+            let denied = Action::PermitDecided { id: Arc::clone(id), part, attempt, granted: false };
+            self.actions.push(denied);
+            return;
+        };
+        query.pending_permits.push(PendingPermit { intent, since: now });
+        self.send_requests(now, id);
+        self.advance(now, id);
+    }
+
+    /// A query that a client has submitted before is rejected here, and nothing was sent for it. Its client may be told
+    /// that nothing was executed only once no other instance can execute it: `NotExecuted` is proposed as the outcome,
+    /// and whichever outcome is chosen is told. Without a majority nothing is known, and the client hears that soon.
+    pub fn reject(&mut self, now: Micros, request: ClientRequest) {
+        self.open(now, request);
+        let Some(query) = self.queries.get_mut(request.id) else { return };
+        query.reject_deadline.get_or_insert(now + PERMIT_TIMEOUT);
+        query.end.get_or_insert(QueryEnd::NotExecuted);
+        self.send_requests(now, request.id);
+        self.advance(now, request.id);
+    }
+
+    /// One more client here waits for a query, until `deadline`; `false` if nothing is done for it.
+    pub fn await_outcome(&mut self, id: &str, deadline: Micros) -> bool {
+        let Some(query) = self.queries.get_mut(&Arc::from(id)) else { return false };
+        query.has_local_clients = true;
+        query.deadline = query.deadline.max(deadline);
+        true
+    }
+
+    /// An attempt that was permitted, or waits for that, was never executed and will not be sent.
+    pub fn mark_not_executed(&mut self, id: &str, part: u32, attempt: u32) {
+        let Some(query) = self.queries.get_mut(&Arc::from(id)) else { return };
+        query.any_revoked = true;
+        query.pending_permits.retain(|permit| (permit.intent.part, permit.intent.attempt) != (part, attempt));
+        if let Some(proposer) = &mut query.proposer {
+            let ballot = proposer.ballot();
+            proposer.mark_not_executed(AttemptRef { part, attempt, ballot });
+        }
+    }
+
+    /// The query has ended here. [`Action::QueryEnded`] says which outcome was chosen.
+    pub fn query_ended(&mut self, now: Micros, id: &QueryId, end: QueryEnd) {
+        let Some(query) = self.queries.get_mut(id) else { return };
+        query.pending_permits.clear();
+        if planted::is(Bug::AnswerBeforeTheRecord) && query.has_local_clients {
+            self.actions.push(Action::QueryEnded { id: Arc::clone(id), end: end.clone() });
+        }
+        query.end = Some(end);
+        self.advance(now, id);
+    }
+}
--- a/crates/cluster/tests/stored_format.rs
+++ b/crates/cluster/tests/stored_format.rs
@@ -176,8 +176,11 @@
 
 #[test]
 fn each_message_of_state_transfer_has_these_bytes() {
-    pin(&Message::TransferRequest(incarnation(9), None), "0209ef9bafcdf8acd1910100");
-    pin(&Message::TransferRequest(incarnation(9), Some(id())), "0209ef9bafcdf8acd19101010771756572792d31");
+    pin(&Message::TransferRequest { incarnation: incarnation(9), after: None }, "0209ef9bafcdf8acd1910100");
+    pin(
+        &Message::TransferRequest { incarnation: incarnation(9), after: Some(id()) },
+        "0209ef9bafcdf8acd19101010771756572792d31",
+    );
     let meeting = StateTransfer {
         from: PeerId(1),
         incarnation: incarnation(2),
@@ -198,7 +201,7 @@
         &Message::StateTransfer(page),
         "030102ef9bafcdf8acd1910103ef9bafcdf8acd191019003000000010771756572792d31",
     );
-    pin(&Message::Epoch(incarnation(9), 1000), "0409ef9bafcdf8acd19101e807");
+    pin(&Message::Epoch { incarnation: incarnation(9), epoch: 1000 }, "0409ef9bafcdf8acd19101e807");
 }
 
 #[test]
--- a/crates/cluster/tests/takeover.rs
+++ b/crates/cluster/tests/takeover.rs
@@ -149,7 +149,7 @@
     fn carry(&mut self, at: usize) {
         for action in self.all[at].manager.take_actions() {
             match action {
-                Action::Send(to, message) => {
+                Action::Send { to, message } => {
                     self.questions +=
                         u32::from(matches!(*message, Message::Request(ProposerRequest::ReadRecord { .. })));
                     let write = matches!(
@@ -173,17 +173,19 @@
                     let after = self.rng.u64(0..5 * MS);
                     self.put(after, Event::Run(at, id));
                 }
-                Action::PermitDecided { .. } | Action::OwnedByPeer(_) | Action::RequestIdConflict(_) => {}
-                Action::QueryEnded(id, ended) => {
+                Action::PermitDecided { .. }
+                | Action::OwnedByPeer { .. }
+                | Action::RequestIdConflict { .. } => {}
+                Action::QueryEnded { id, end: ended } => {
                     self.heard.push((self.now, at));
                     self.told.entry(id).or_default().insert(ended.to_bytes());
                 }
-                Action::TakeOver(id, _, age) if age > LIFE => {
+                Action::TakeOver { id, age, .. } if age > LIFE => {
                     let now = self.now;
                     self.all[at].manager.query_ended(now, &id, QueryEnd::NotExecuted);
                     self.carry(at);
                 }
-                Action::TakeOver(id, ..) => self.request_permit(at, &id),
+                Action::TakeOver { id, .. } => self.request_permit(at, &id),
                 Action::OutcomeUnknown { id, not_executed } => {
                     self.unsure += 1;
                     if not_executed {
@@ -585,7 +587,7 @@
             manager
                 .take_actions()
                 .into_iter()
-                .filter(|action| !matches!(action, Action::Send(..)))
+                .filter(|action| !matches!(action, Action::Send { .. }))
                 .map(|action| (now, action)),
         );
     }
@@ -594,5 +596,5 @@
     let at = |what: &Action| actions.iter().find(|(_, action)| action == what).map(|(at, _)| *at);
     assert!(at(&denied).is_some_and(|at| at <= 210 * MS), "{actions:?}");
     assert!(at(&told).is_some_and(|at| at <= 210 * MS), "{actions:?}");
-    assert_eq!(manager.usage().0, 0, "nothing is kept of it");
+    assert_eq!(manager.usage().queries, 0, "nothing is kept of it");
 }
--- /dev/null
+++ b/crates/cluster/tests/timer_queue.rs
@@ -0,0 +1,24 @@
+//! The deadlines of queries.
+
+use std::sync::Arc;
+
+use mallowgauge_cluster::register::QueryId;
+use mallowgauge_cluster::timer_queue::TimerQueue;
+
+#[test]
+fn each_id_is_due_once_at_the_time_that_was_set_last() {
+    let mut timers = TimerQueue::default();
+    let ids: Vec<QueryId> = ["a", "b", "c"].map(QueryId::from).into();
+    timers.set(&ids[0], Some(30));
+    timers.set(&ids[1], Some(20));
+    timers.set(&ids[2], Some(10));
+    timers.set(&ids[0], Some(5));
+    timers.set(&ids[2], None);
+    assert_eq!(
+        (timers.poll_timeout(), timers.deadline("b"), timers.deadline("c")),
+        (Some(5), Some(20), None)
+    );
+    assert_eq!(timers.take_due(19), [Arc::clone(&ids[0])]);
+    assert_eq!(timers.take_due(20), [Arc::clone(&ids[1])]);
+    assert_eq!((timers.poll_timeout(), timers.take_due(99)), (None, Vec::new()));
+}
--- a/crates/edge/src/peers/mod.rs
+++ b/crates/edge/src/peers/mod.rs
@@ -302,7 +302,7 @@
             orders.into_iter().for_each(|order| self.order(now, order));
             for action in takeover_actions {
                 match action {
-                    TakeoverAction::Send(to, note) => {
+                    TakeoverAction::Send { to, message: note } => {
                         let id = self.link(to);
                         id.into_iter().for_each(|id| self.bundle(now, id, &note));
                     }
--- a/crates/edge/src/takeover.rs
+++ b/crates/edge/src/takeover.rs
@@ -271,18 +271,18 @@
                 }
                 Vec::new()
             }
-            Action::QueryEnded(id, ended) => {
+            Action::QueryEnded { id, end: ended } => {
                 let handles = self.handles(&id, core);
                 let answer = answer(&ended, core);
                 handles.into_iter().map(|handle| Task::Reply(handle, answer.clone())).collect()
             }
-            Action::OwnedByPeer(id) => {
+            Action::OwnedByPeer { id } => {
                 let handles = core.release_query(&id);
                 self.drop_held(&id);
                 self.waiting.entry(Rc::from(&*id)).or_default().extend(handles);
                 Vec::new()
             }
-            Action::RequestIdConflict(id) => {
+            Action::RequestIdConflict { id } => {
                 let answer = QueryResponse::Failed(Failure::Invalid("this id was asked with another body"));
                 let handles = self.handles(&id, core);
                 handles.into_iter().map(|handle| Task::Reply(handle, answer.clone())).collect()
@@ -296,7 +296,7 @@
                 let handles = self.handles(&id, core);
                 handles.into_iter().map(|handle| Task::Reply(handle, answer.clone())).collect()
             }
-            Action::TakeOver(id, payload, age) => {
+            Action::TakeOver { id, payload, age } => {
                 self.taken_over += 1;
                 let handle = ResponseHandle::TakenOver(self.taken_over);
                 let known = |request: &QueryRequest| request.class.0 < core.classes().count();
@@ -309,7 +309,7 @@
                 }
                 Vec::new()
             }
-            Action::Send(..) => Vec::new(),
+            Action::Send { .. } => Vec::new(),
         }
     }
 
--- a/crates/edge/tests/peer_wire_format.rs
+++ b/crates/edge/tests/peer_wire_format.rs
@@ -105,7 +105,10 @@
         proposal,
         version: 2,
     };
-    let notes = vec![TakeoverMessage::Epoch(incarnation(9), 1000), TakeoverMessage::Request(request)];
+    let notes = vec![
+        TakeoverMessage::Epoch { incarnation: incarnation(9), epoch: 1000 },
+        TakeoverMessage::Request(request),
+    ];
     let bytes: Vec<u8> = notes.iter().flat_map(wire::note).collect();
     assert_eq!(wire::notes(&bytes), notes);
     pin(&Said::Notes(bytes), "0000003f423d0409ef9bafcdf8acd19101e80700010771756572792d3103ac0202ef9bafcdf8acd19101c8010001010203ac0202ef9bafcdf8acd19101c80100000002");
