--- a/crates/settings/tests/bad_input.rs
+++ b/crates/settings/tests/bad_input.rs
@@ -1,9 +1,9 @@
 //! Spoilt files and lists: each is read or refused in one line, never more than that, and what is read is inside the
 //! bounds that the programs rest on.
 
-use std::path::PathBuf;
-use std::sync::atomic::{AtomicU32, Ordering};
+mod examples;
 
+use examples::{list, operator, platform, File};
 use mallowgauge_router::EndpointState;
 use mallowgauge_settings::hosts;
 use mallowgauge_settings::{Config, Site};
@@ -20,43 +20,6 @@
     }
 }
 
-fn list() -> Value {
-    json!({"generation": 4, "reset": true, "instances": [
-        {"instanceId": "é-1", "hostPort": "127.0.0.1:7070", "zone": "z", "machineType": "m", "cell": 0,
-         "lifecycle": "active", "weight": 1.0, "startedAtMs": 12},
-        {"instanceId": "two", "hostPort": "127.0.0.1:7071", "zone": "z", "machineType": "m", "cell": 1,
-         "lifecycle": "leaving", "weight": 1.0, "startedAtMs": 0},
-        {"instanceId": "three", "lifecycle": "left"}]})
-}
-
-fn platform() -> Value {
-    let class = |name: &str, effect: &str| {
-        json!({"Name": name, "AimUs": 900_000, "DeadlineUs": 2_000_000, "LateValue": 0.2, "Semantics": effect,
-               "WindowUs": 700_000, "Worth": 1.0, "AimStretch": 0.5})
-    };
-    let settings = json!({
-        "Az": "b", "Azs": ["a", "b"], "Instances": 3, "TickUs": 4000, "MembershipMode": "automatic",
-        "Charges": {"CrossZone": 0.1},
-        "Classes": [class("p", "free"), class("q", "guarded"), class("r", "single_shot")],
-        "FamilyInfo": {"ClassFloor": [1.0, 0.5, 1.0], "ClassPartial": [0.9, 0.9, 0.9], "CompleteFrom": [1.0, 0.8, 1.0],
-            "FollowUp": [0, 0, 0], "OverheadUs": 100, "PartsACall": 4, "Places": 5, "Shards": 10, "Width": 2},
-        "Limits": {"Cancel": true, "ConnIdleUs": 1_000_000, "DialTimeoutUs": 250_000, "MaxAttempts": 3, "MaxOpen": 20,
-            "MaxRetryAfterUs": 2_000_000, "MaxStreams": 8, "Probing": true, "RetryAfter": true, "SecondCopies": true},
-        "Safety": {"AskWithinUs": 10_000_000, "ColdFrom": 0.2, "FallUs": 900_000, "TipMultiple": 3.0,
-            "WarmWithinUs": 9_000_000, "ResendRatio": 0.3, "BudgetFree": 2.0, "LookBackUs": 5_000_000}});
-    json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
-           "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512}, "known": list(), "settings": settings})
-}
-
-fn operator() -> Value {
-    json!({"flight": {"listen": "127.0.0.1:0", "hosts": ["x"], "ticket_s": 60, "token_s": 60},
-           "phases": {"rule": {"share": 0.5}, "sketches": 10, "sketch_ms": 100},
-           "fleet": {"name": "n1", "group": 3, "listen": "127.0.0.1:0", "peers": {"version": 1, "list": [
-               {"name": "n1", "address": "127.0.0.1:7401"}, {"name": "n2", "address": "127.0.0.1:7402"},
-               {"name": "n3", "address": "127.0.0.1:7403"}]}},
-           "log": {"format": "json"}})
-}
-
 /// Every place in a value, by its path.
 fn places(value: &Value, path: &str, found: &mut Vec<String>) {
     found.push(path.to_owned());
@@ -135,30 +98,6 @@
     value
 }
 
-/// A file of its own in the temporary folder.
-struct File(PathBuf);
-
-impl File {
-    fn of(text: &[u8]) -> Self {
-        static NUMBER: AtomicU32 = AtomicU32::new(0);
-        let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let path =
-            std::env::temp_dir().join(format!("mallowgauge-bad-input-{}-{number}", std::process::id()));
-        std::fs::write(&path, text).expect("a file in the temporary folder");
-        Self(path)
-    }
-
-    fn path(&self) -> &str {
-        self.0.to_str().expect("text")
-    }
-}
-
-impl Drop for File {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_file(&self.0);
-    }
-}
-
 fn load(platform: &[u8], operator: Option<&[u8]>) -> Result<Config, String> {
     let (platform, operator) = (File::of(platform), operator.map(File::of));
     let variable = |name: &str| (name == "RELAY_CONFIG").then(|| platform.path().to_owned());
