--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,15 +1,15 @@
 //! What the programs are told: the platform's file and settings, the operator's file. All of it is checked
 //! here, and what is wrong is said with file and key.
 
-mod config;
-mod fleet;
 pub mod hosts;
 mod operator;
+mod peers;
+mod platform;
 mod site;
 
-pub use config::{Config, Links};
-pub use fleet::{Fleet, Peer};
 pub use operator::{Flight, HostTls, LogFormat, Operator, ServerTls};
+pub use peers::{Fleet, Peer};
+pub use platform::{Config, Links};
 pub use site::{small, zone, Section, Site};
 
 /// Longest message about what is wrong with an input.
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -21,8 +21,8 @@
 use mallowgauge_router::Micros;
 use serde_json::{Map, Value};
 
-use crate::config::address;
-use crate::fleet::Fleet;
+use crate::peers::Fleet;
+use crate::platform::address;
 
 /// A front's certificate.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/peers.rs
@@ -17,8 +17,8 @@
 use mallowgauge_cluster::members::Pace;
 use serde_json::Value;
 
-use crate::config::address;
 use crate::operator::Part;
+use crate::platform::address;
 
 /// A gatherer of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/settings/src/config.rs
+++ b/crates/settings/src/platform.rs
@@ -4,8 +4,8 @@
 
 use serde_json::Value;
 
-use crate::fleet::Fleet;
 use crate::operator::{self, Flight, LogFormat, Operator};
+use crate::peers::Fleet;
 use crate::site::{Section, Site};
 use mallowgauge_cluster::links::Room;
 use mallowgauge_core::{CoreLimits, TwoPhaseSettings};
