--- a/crates/edge/src/discovery.rs
+++ b/crates/edge/src/discovery.rs
@@ -276,7 +276,7 @@
             return vec![self.fail(&format!("answer {}", response.status))];
         }
         let list = serde_json::from_slice(&response.body).map_err(|e| e.to_string());
-        let list = match list.and_then(|value: Value| parse(&value)) {
+        let list = match list.and_then(|value: Value| parse(&value).map_err(|e| e.to_string())) {
             Ok(list) => list,
             Err(e) => return vec![self.fail(&format!("no list: {e}"))],
         };
--- a/crates/edge/tests/bad_input.rs
+++ b/crates/edge/tests/bad_input.rs
@@ -325,7 +325,7 @@
     }
     for body in ["", "{}", "[]", "null", "{\"generation\":1}"] {
         let value = serde_json::from_str::<Value>(body).map_err(|e| e.to_string());
-        assert!(value.and_then(|value| hosts::parse(&value)).is_err(), "{body}");
+        assert!(value.and_then(|value| hosts::parse(&value).map_err(|e| e.to_string())).is_err(), "{body}");
     }
 }
 
--- a/crates/mallowgauge/src/main.rs
+++ b/crates/mallowgauge/src/main.rs
@@ -27,7 +27,10 @@
 }
 
 fn run(operator: Option<String>, life: u64) -> Result<(), String> {
-    let load = move || Config::load(|name| std::env::var(name).ok(), operator.as_deref());
+    let load = move || {
+        let config = Config::load(|name| std::env::var(name).ok(), operator.as_deref());
+        config.map_err(|e| e.to_string())
+    };
     Server::run(load, life)
 }
 
--- a/crates/settings/src/peers.rs
+++ b/crates/settings/src/peers.rs
@@ -1,4 +1,4 @@
-//! The section `fleet` of the operator's file: the fixed list of gatherers that are linked to each other.
+//! The section `fleet` of the operator's file: the fixed list of instances that are linked to each other.
 //!
 //! ```json
 //! {"fleet": {"name": "n1", "listen": "127.0.0.1:7401", "group": 3,
@@ -10,17 +10,17 @@
 //!            "handover": {"life_ms": 10000}}}
 //! ```
 
-use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
 use mallowgauge_cluster::links::Room;
 use mallowgauge_cluster::members::Pace;
+use mallowgauge_router::Micros;
 use serde_json::Value;
 
-use crate::operator::Part;
-use crate::platform::address;
+use crate::error::{OperatorError, PeerProblem, Problem};
+use crate::section::OperatorSection;
 
-/// A gatherer of the list.
+/// An instance of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
     /// Its name, the same after a restart.
@@ -29,35 +29,40 @@
     pub address: SocketAddr,
 }
 
-/// What an operator says of the fleet.
+/// What an operator configures of several instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fleet {
-    /// This gatherer's place in the list.
+    /// This instance's index in the list.
     pub me: usize,
     /// Where it listens for peers.
     pub listen: SocketAddr,
     /// All of them, in their order.
     pub peers: Vec<Peer>,
-    /// The version of the list: only gatherers with the same one are linked.
+    /// The version of the list: only instances with the same one are linked.
     pub version: u64,
-    /// How many keepers a query has.
+    /// How many acceptors a query has; odd.
     pub group: usize,
-    /// Pace of questions and doubts.
+    /// Intervals and time-outs of membership.
     pub pace: Pace,
-    /// Most bytes that wait for one peer, where the limits allow more.
+    /// Most bytes queued for one peer, where the limits allow more.
     pub queue: Option<usize>,
     /// Most messages taken from one peer in a second.
     pub rate: Option<u64>,
-    /// Queries with an effect are taken over, and this long an id may be asked again; off where there is none.
-    pub handover: Option<u64>,
+    /// How long a client may ask again for a query that was taken over, in µs; takeover is off where there is none.
+    pub handover: Option<Micros>,
 }
 
-/// Longest name of a gatherer.
+/// Longest name of an instance, in bytes.
 const LONGEST_NAME: usize = 64;
-/// Most gatherers in a list.
-const MOST: usize = 512;
+/// Most instances in a list.
+const MOST_PEERS: usize = 512;
+/// Acceptors of a query where nothing is configured; one in lists that are shorter than this.
+const DEFAULT_GROUP: usize = 3;
+/// Default of `handover.life_ms`.
+const DEFAULT_LIFE_MS: u64 = 10_000;
 
-fn is_near(ip: IpAddr) -> bool {
+/// Whether an address is reached from this machine or its private network alone: links are not encrypted.
+fn is_private(ip: IpAddr) -> bool {
     match ip {
         IpAddr::V4(ip) => ip.is_loopback() || ip.is_private() || ip.is_link_local(),
         IpAddr::V6(ip) => ip.is_loopback() || ip.is_unique_local() || ip.is_unicast_link_local(),
@@ -65,105 +70,131 @@
 }
 
 impl Fleet {
-    /// Reads the section; `name` is what the platform calls this gatherer, where the section does not say.
+    /// Reads the section; `name` is what the platform calls this instance, where the section does not say.
     ///
     /// # Errors
-    /// One line that names the file, the key and what was expected.
-    pub(crate) fn read(section: &Value, path: &str, name: Option<&str>) -> Result<Self, String> {
-        let known = ["name", "listen", "peers", "group", "anywhere", "pace", "bounds", "handover"];
-        let part = Part::new(section, path, "fleet", &known)?;
-        let own = part.text("name")?.or(name).ok_or_else(|| part.bad("name", "is missing"))?;
-        let anywhere = match section.get("anywhere") {
-            None => false,
-            Some(value) => value.as_bool().ok_or_else(|| part.bad("anywhere", "is not true or false"))?,
-        };
-        let list = section.get("peers").ok_or_else(|| part.bad("peers", "is missing"))?;
-        let list = Part::new(list, path, "fleet.peers", &["version", "list"])?;
+    /// The key that is wrong.
+    pub(crate) fn read(value: &Value, file: &str, name: Option<&str>) -> Result<Self, OperatorError> {
+        let known = &["name", "listen", "peers", "group", "anywhere", "pace", "bounds", "handover"];
+        let section = OperatorSection::new(value, file, "fleet", known)?;
+        let own = section.text("name")?.or(name).ok_or_else(|| section.error("name", Problem::Missing))?;
+        let anywhere = read_anywhere(&section)?;
+        let list = section.raw("peers").ok_or_else(|| section.error("peers", Problem::Missing))?;
+        let list = OperatorSection::new(list, file, "fleet.peers", &["version", "list"])?;
         let version = list.number("version", None, 1..=u32::MAX.into())?;
-        let entries = list.value("list").and_then(Value::as_array);
-        let entries = entries.ok_or_else(|| list.bad("list", "is not a list of peers"))?;
-        if entries.is_empty() || entries.len() > MOST {
-            return Err(list.bad("list", &format!("holds {}, not 1 to {MOST} peers", entries.len())));
-        }
-        let (mut peers, mut names) = (Vec::<Peer>::new(), BTreeMap::new());
-        for (at, entry) in entries.iter().enumerate() {
-            let peer = Part::new(entry, path, "fleet.peers.list", &["name", "address"])?;
-            let bad = |key: &str, what: &str| peer.bad(key, &format!("of entry {at} {what}"));
-            let name = peer.text("name")?.filter(|name| (1..=LONGEST_NAME).contains(&name.len()));
-            let name = name.ok_or_else(|| bad("name", "is not a text of 1 to 64 bytes"))?.to_owned();
-            let text = peer.text("address")?.ok_or_else(|| bad("address", "is missing"))?;
-            let address = address(text, "fleet.peers.list.address").map_err(|e| format!("{path}: {e}"))?;
-            if !anywhere && !is_near(address.ip()) {
-                return Err(bad(
-                    "address",
-                    &format!(
-                        "is {text}, neither loopback nor private; links are neither signed nor \
-                              encrypted, \"anywhere\": true allows it all the same"
-                    ),
-                ));
-            }
-            if peers.iter().any(|known| known.address == address) {
-                return Err(bad("address", &format!("is {text}, which an entry before it has")));
-            }
-            if names.insert(name.clone(), at).is_some() {
-                return Err(bad("name", &format!("is {name:?}, which an entry before it has")));
-            }
-            peers.push(Peer { name, address });
-        }
-        let me = *names.get(own).ok_or_else(|| part.bad("name", &format!("is {own:?}, not in the list")))?;
-        let usual = if peers.len() < 3 { 1 } else { 3 };
-        let group = part.number("group", Some(usual), 1..=MOST as u64)? as usize;
-        if group.is_multiple_of(2) {
-            return Err(part.bad("group", &format!("is {group}, not an odd number")));
-        }
-        if group > peers.len() {
-            return Err(part.bad("group", &format!("is {group}, larger than the list of {}", peers.len())));
-        }
-        let listen = match part.text("listen")? {
-            Some(text) => address(text, "fleet.listen").map_err(|e| format!("{path}: {e}"))?,
-            None => peers[me].address,
-        };
-        if !anywhere && !is_near(listen.ip()) {
-            return Err(part.bad("listen", "is neither loopback nor private; \"anywhere\": true allows it"));
+        let peers = read_peers(&list, file, anywhere)?;
+        let me = peers.iter().position(|peer| peer.name == own);
+        let not_listed = || section.error("name", Problem::NotListed { name: own.to_owned() });
+        let me = me.ok_or_else(not_listed)?;
+        let group = read_group(&section, peers.len())?;
+        let listen = section.address("listen")?.unwrap_or(peers[me].address);
+        if !anywhere && !is_private(listen.ip()) {
+            return Err(section.error("listen", Problem::NotPrivate));
         }
         let none = Value::Object(serde_json::Map::default());
-        let pace = Part::new(
-            section.get("pace").unwrap_or(&none),
-            path,
-            "fleet.pace",
-            &["probe_ms", "answer_ms", "doubt_ms"],
-        )?;
-        let usual = Pace::default();
-        let ms = |key: &str, usual: u64| pace.number(key, Some(usual / 1000), 10..=60_000).map(|n| n * 1000);
-        let pace = Pace {
-            probe: ms("probe_ms", usual.probe)?,
-            answer: ms("answer_ms", usual.answer)?,
-            doubt: ms("doubt_ms", usual.doubt)?,
-        };
-        let bounds = section.get("bounds").unwrap_or(&none);
-        let bounds = Part::new(bounds, path, "fleet.bounds", &["queue_kb", "messages_a_second"])?;
-        let bound = |key: &str, least: u64| {
-            let said = bounds.value(key).map(|_| bounds.number(key, None, least..=1_000_000));
-            said.transpose()
-        };
-        let queue = bound("queue_kb", 16)?.map(|kb| kb as usize * 1024);
-        let rate = bound("messages_a_second", 100)?;
-        let handover = part.value("handover").map(|value| {
-            let part = Part::new(value, path, "fleet.handover", &["life_ms"])?;
-            part.number("life_ms", Some(10_000), 1_000..=600_000).map(|ms| ms * 1000)
-        });
-        let handover = handover.transpose()?;
+        let pace = read_pace(section.raw("pace").unwrap_or(&none), file)?;
+        let bounds = section.raw("bounds").unwrap_or(&none);
+        let bounds = OperatorSection::new(bounds, file, "fleet.bounds", &["queue_kb", "messages_a_second"])?;
+        let queue = read_bound(&bounds, "queue_kb", 16)?.map(|kb| kb as usize * 1024);
+        let rate = read_bound(&bounds, "messages_a_second", 100)?;
+        let handover = section.value("handover").map(|value| read_handover(value, file)).transpose()?;
         Ok(Self { me, listen, peers, version, group, pace, queue, rate, handover })
     }
 
-    /// What the links may hold, of what the process may.
+    /// What links may hold, of what the process may: `sockets` descriptors and `memory` bytes.
     ///
     /// # Errors
-    /// What is too little.
+    /// The limit that is too low, and what is needed.
     pub fn room(&self, sockets: usize, memory: usize) -> Result<Room, String> {
-        let mut room = Room::of(self.peers.len(), sockets, memory)?;
+        let mut room = Room::of(self.peers.len(), sockets, memory).map_err(|e| e.to_string())?;
         room.queue = room.queue.min(self.queue.unwrap_or(room.queue));
         room.a_second = self.rate.unwrap_or(room.a_second);
         Ok(room)
     }
 }
+
+fn read_anywhere(section: &OperatorSection<'_>) -> Result<bool, OperatorError> {
+    let Some(value) = section.raw("anywhere") else { return Ok(false) };
+    let error = || section.error("anywhere", Problem::Unexpected("is not true or false"));
+    value.as_bool().ok_or_else(error)
+}
+
+/// The entries of `fleet.peers.list`; names and addresses stand there once each.
+fn read_peers(section: &OperatorSection<'_>, file: &str, anywhere: bool) -> Result<Vec<Peer>, OperatorError> {
+    let entries = section.value("list").and_then(Value::as_array);
+    let no_list = || section.error("list", Problem::Unexpected("is not a list of peers"));
+    let entries = entries.ok_or_else(no_list)?;
+    if entries.is_empty() || entries.len() > MOST_PEERS {
+        let problem = Problem::PeerCount { found: entries.len(), most: MOST_PEERS };
+        return Err(section.error("list", problem));
+    }
+    let mut peers = Vec::<Peer>::new();
+    for (index, entry) in entries.iter().enumerate() {
+        let peer = read_peer(entry, index, file, anywhere, &peers)?;
+        peers.push(peer);
+    }
+    Ok(peers)
+}
+
+/// An entry of the list; `earlier` are those before it.
+fn read_peer(
+    entry: &Value,
+    index: usize,
+    file: &str,
+    anywhere: bool,
+    earlier: &[Peer],
+) -> Result<Peer, OperatorError> {
+    let section = OperatorSection::new(entry, file, "fleet.peers.list", &["name", "address"])?;
+    let error = |key: &str, problem| section.error(key, Problem::PeerEntry { index, problem });
+    let name = section.text("name")?.filter(|name| (1..=LONGEST_NAME).contains(&name.len()));
+    let name = name.ok_or_else(|| error("name", PeerProblem::Name))?;
+    let missing = || error("address", PeerProblem::Missing);
+    let text = section.text("address")?.ok_or_else(missing)?;
+    let address = section.address("address")?.ok_or_else(missing)?;
+    if !anywhere && !is_private(address.ip()) {
+        return Err(error("address", PeerProblem::NotPrivate { address: text.to_owned() }));
+    }
+    if earlier.iter().any(|peer| peer.address == address) {
+        return Err(error("address", PeerProblem::Repeated { value: text.to_owned() }));
+    }
+    if earlier.iter().any(|peer| peer.name == name) {
+        return Err(error("name", PeerProblem::Repeated { value: format!("{name:?}") }));
+    }
+    Ok(Peer { name: name.to_owned(), address })
+}
+
+fn read_group(section: &OperatorSection<'_>, peers: usize) -> Result<usize, OperatorError> {
+    let default = if peers < DEFAULT_GROUP { 1 } else { DEFAULT_GROUP };
+    let group = section.number("group", Some(default as u64), 1..=MOST_PEERS as u64)? as usize;
+    if group.is_multiple_of(2) {
+        return Err(section.error("group", Problem::EvenGroup { group }));
+    }
+    if group > peers {
+        return Err(section.error("group", Problem::GroupTooLarge { group, peers }));
+    }
+    Ok(group)
+}
+
+fn read_pace(value: &Value, file: &str) -> Result<Pace, OperatorError> {
+    let section = OperatorSection::new(value, file, "fleet.pace", &["probe_ms", "answer_ms", "doubt_ms"])?;
+    let default = Pace::default();
+    let micros = |key: &str, default: Micros| {
+        let ms = section.number(key, Some(default / 1000), 10..=60_000);
+        ms.map(|ms| ms * 1000)
+    };
+    Ok(Pace {
+        probe: micros("probe_ms", default.probe)?,
+        answer: micros("answer_ms", default.answer)?,
+        doubt: micros("doubt_ms", default.doubt)?,
+    })
+}
+
+fn read_bound(section: &OperatorSection<'_>, key: &str, least: u64) -> Result<Option<u64>, OperatorError> {
+    section.value(key).map(|_| section.number(key, None, least..=1_000_000)).transpose()
+}
+
+fn read_handover(value: &Value, file: &str) -> Result<Micros, OperatorError> {
+    let section = OperatorSection::new(value, file, "fleet.handover", &["life_ms"])?;
+    let ms = section.number("life_ms", Some(DEFAULT_LIFE_MS), 1_000..=600_000)?;
+    Ok(ms * 1000)
+}
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -1,26 +1,29 @@
-//! What a gatherer is told at its start: the environment, the platform's file, the operator's file.
+//! The platform's file and the environment: all that an instance is configured with at its start.
 
-use std::net::{SocketAddr, ToSocketAddrs};
+use std::net::SocketAddr;
 
+use mallowgauge_cluster::links::Room;
+use mallowgauge_core::{CoreLimits, TwoPhaseSettings};
+use mallowgauge_router::Micros;
 use serde_json::Value;
 
-use crate::operator::{self, Flight, LogFormat, Operator};
+use crate::error::{ConfigError, OneLine, PlatformError};
+use crate::flight::Flight;
+use crate::operator::{self, LogFormat, Operator};
 use crate::peers::Fleet;
+use crate::section::address;
 use crate::site::{Section, Site};
-use mallowgauge_cluster::links::Room;
-use mallowgauge_core::{CoreLimits, TwoPhaseSettings};
-use mallowgauge_router::Micros;
 
-/// Figures for connections.
+/// Limits on connections to backends. Durations are in µs.
 #[derive(Clone, Copy, Debug)]
 pub struct Links {
-    /// Hosts close a connection that stood idle for so long.
+    /// Backends close a connection that has been idle for so long.
     pub idle: Micros,
-    /// A connection that is not up by then is given up.
+    /// A connection that is not established by then is given up.
     pub dial: Micros,
-    /// With nothing heard on a connection for so long while something is out, new parts take another.
+    /// With nothing received on a connection for so long while attempts are in flight, new ones take another.
     pub silent: Micros,
-    /// Most parts that one connection carries at a time.
+    /// Most attempts in flight on a connection.
     pub streams: usize,
     /// Most parts in a call.
     pub parts_a_call: usize,
@@ -28,92 +31,99 @@
     pub sockets: usize,
 }
 
-/// All that a gatherer is told.
+/// The configuration of an instance.
 pub struct Config {
     /// Its name.
     pub name: String,
-    /// Where clients connect.
+    /// Where HTTP clients connect.
     pub listen: SocketAddr,
-    /// Discovery.
+    /// Discovery's address.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// The seed of its random numbers.
     pub seed: u64,
-    /// The settings.
+    /// The settings of its site.
     pub site: Site,
-    /// CoreLimits of the core.
+    /// Bounds on open queries.
     pub bounds: CoreLimits,
-    /// Figures for connections.
+    /// Limits on connections to backends.
     pub links: Links,
     /// The memory that the process may use, in bytes.
     pub memory: usize,
-    /// The list of hosts as this gatherer last had it.
+    /// The cached endpoint list, which is valid.
     pub known: Value,
-    /// The second front.
+    /// The Flight frontend, and the backends that offer Flight.
     pub flight: Flight,
-    /// Queries in two phases, where they are taken.
+    /// Queries in two phases, where they are accepted.
     pub phases: Option<TwoPhaseSettings>,
-    /// The other gatherers, and what links to them may hold.
+    /// The other instances, and what links to them may hold.
     pub fleet: Option<(Fleet, Room)>,
 }
 
-/// Silence on a connection is told from slowness after this share of the shortest aim.
-const SILENT: f64 = 0.15;
-/// Descriptors held where the platform states no limit.
-const SOCKETS: u64 = 1024;
-/// Megabytes used where the platform states no limit.
-const MEMORY: u64 = 192;
-/// Too few for a listener, discovery, a host and a client with room to move.
+/// Fraction of the shortest latency objective after which a silent connection is avoided.
+const SILENCE_FRACTION: f64 = 0.15;
+/// Descriptors where the platform states no limit.
+const DEFAULT_SOCKETS: u64 = 1024;
+/// Megabytes where the platform states no limit.
+const DEFAULT_MEMORY_MB: u64 = 192;
+/// Descriptors for the listeners, discovery, a few backends and clients.
 const FEWEST_SOCKETS: usize = 32;
 
-pub(crate) fn address(text: &str, what: &str) -> Result<SocketAddr, String> {
-    let found = text.to_socket_addrs().ok().and_then(|mut all| all.next());
-    found.ok_or_else(|| format!("{what} {text} is not an address with a port"))
-}
-
 impl Config {
     /// Reads the platform's file, which `RELAY_CONFIG` names, and the operator's, if one is named.
     /// `RELAY_NAME`, `RELAY_LISTEN` and `RELAY_DISCOVERY` stand in for what the file leaves out.
     ///
     /// # Errors
-    /// One line that says what is wrong.
-    pub fn load(variable: impl Fn(&str) -> Option<String>, operator: Option<&str>) -> Result<Self, String> {
-        Self::load_all(variable, operator).map_err(crate::one_line)
+    /// What is wrong, in one line.
+    pub fn load(
+        variable: impl Fn(&str) -> Option<String>,
+        operator: Option<&str>,
+    ) -> Result<Self, OneLine<ConfigError>> {
+        Ok(Self::load_all(variable, operator)?)
     }
 
-    fn load_all(variable: impl Fn(&str) -> Option<String>, operator: Option<&str>) -> Result<Self, String> {
-        let path = variable("RELAY_CONFIG").ok_or("RELAY_CONFIG is not set")?;
-        let all = file(&path)?;
+    fn load_all(
+        variable: impl Fn(&str) -> Option<String>,
+        operator: Option<&str>,
+    ) -> Result<Self, ConfigError> {
+        let path = variable("RELAY_CONFIG").ok_or(ConfigError::NoPlatformFile)?;
+        let all = read_json(&path)?;
         let own = own_name(&all, &variable);
-        let read = |path| operator::read(&file(path)?, path, own.as_deref());
-        let mut operator = operator.map_or_else(|| Ok(Operator::default()), read)?;
+        let mut operator = match operator {
+            Some(path) => operator::read(&read_json(path)?, path, own.as_deref())?,
+            None => Operator::default(),
+        };
         let fleet = operator.fleet.take();
-        let mut config = Self::read(&all, variable, operator).map_err(|e| format!("{path}: {e}"))?;
-        if let Some(fleet) = fleet {
-            let room = fleet.room(config.links.sockets, config.memory);
-            let room = room.map_err(|e| format!("{path}: fleet.peers.list is too long: {e}"))?;
-            let flight = &config.flight;
-            if fleet.handover.is_some() && (flight.every_host || !flight.hosts.is_empty()) {
-                return Err(
-                    "fleet.handover is set beside flight.hosts: records hold no tables yet".to_owned()
-                );
-            }
-            config.fleet = Some((fleet, room));
+        let config = Self::read(&all, variable, operator);
+        let config = config.map_err(|source| ConfigError::Platform { file: path.clone(), source })?;
+        match fleet {
+            Some(fleet) => config.with_peers(fleet, &path),
+            None => Ok(config),
         }
-        Ok(config)
     }
 
-    /// What the platform calls this gatherer, as far as its file can be read.
+    /// Adds the other instances, within the limits of the platform's file.
+    fn with_peers(mut self, fleet: Fleet, path: &str) -> Result<Self, ConfigError> {
+        let room = fleet.room(self.links.sockets, self.memory);
+        let room = room.map_err(|reason| ConfigError::TooManyPeers { file: path.to_owned(), reason })?;
+        if fleet.handover.is_some() && (self.flight.every_host || !self.flight.hosts.is_empty()) {
+            return Err(ConfigError::TakeoverWithFlight);
+        }
+        self.fleet = Some((fleet, room));
+        Ok(self)
+    }
+
+    /// What the platform calls this instance, as far as its file can be read.
     #[must_use]
     pub fn name(variable: impl Fn(&str) -> Option<String>) -> Option<String> {
-        own_name(&file(&variable("RELAY_CONFIG")?).ok()?, variable)
+        own_name(&read_json(&variable("RELAY_CONFIG")?).ok()?, variable)
     }
 
-    /// How the log is to be written, as far as the operator's file can be read; what is wrong with it is said
-    /// by [`Config::load`].
+    /// How the log is to be written, as far as the operator's file can be read; what is wrong with it is an error of
+    /// [`Config::load`].
     #[must_use]
     pub fn log_format(operator: Option<&str>) -> LogFormat {
-        let log = |path| file(path).ok()?.get("log")?.get("format")?.as_str().map(str::to_owned);
-        match operator.and_then(log).as_deref() {
+        let format = |path| read_json(path).ok()?.get("log")?.get("format")?.as_str().map(str::to_owned);
+        match operator.and_then(format).as_deref() {
             Some("json") => LogFormat::Json,
             _ => LogFormat::Text,
         }
@@ -123,52 +133,31 @@
         all: &Value,
         variable: impl Fn(&str) -> Option<String>,
         operator: Operator,
-    ) -> Result<Self, String> {
-        let text = |key: &str, name: &str| {
+    ) -> Result<Self, PlatformError> {
+        let text = |key: &'static str, name: &str| {
             let value = all.get(key).and_then(Value::as_str).map(str::to_owned);
-            value.or_else(|| variable(name)).ok_or_else(|| format!("{key} is missing"))
+            value.or_else(|| variable(name)).ok_or(PlatformError::Missing(key))
         };
-        let settings = all.get("settings").ok_or("settings is missing")?;
-        let site = Site::read(settings).map_err(|e| format!("settings{e}"))?;
-        site.settings.validate().map_err(|e| e.to_string())?;
+        let settings = all.get("settings").ok_or(PlatformError::Missing("settings"))?;
+        let site = Site::read(settings)?;
+        site.settings.validate()?;
         let root = Section::root(settings)?;
-        let inner = |part: &str, key: &str| {
-            let found = root.sub(part).and_then(|section| section.int(key));
-            found.map_err(|e| format!("settings{e}"))
-        };
-        let small = |part: &str, key: &str| {
-            let value = usize::try_from(inner(part, key)?).ok().filter(|&n| n > 0);
-            value.ok_or_else(|| format!("settings.{part}.{key} is zero or far too large"))
-        };
-        let shards = u32::try_from(small("FamilyInfo", "Shards")?).map_err(|e| e.to_string())?;
-        let limit = |key: &str, usual: u64| {
-            let value =
-                all.get("limits").and_then(|limits| limits.get(key)).map_or(Some(usual), Value::as_u64);
-            let value = value.and_then(|n| u32::try_from(n).ok());
-            value.map(|n| n as usize).ok_or_else(|| format!("limits.{key} is not a small whole number"))
-        };
-        let (sockets, memory) = (limit("sockets", SOCKETS)?, limit("memory_mb", MEMORY)? * 1024 * 1024);
+        let shards = u32::try_from(count(&root, "FamilyInfo", "Shards")?)?;
+        let sockets = limit(all, "sockets", DEFAULT_SOCKETS)?;
+        let memory = limit(all, "memory_mb", DEFAULT_MEMORY_MB)? * 1024 * 1024;
         if sockets < FEWEST_SOCKETS {
-            return Err(format!("limits.sockets is below {FEWEST_SOCKETS}"));
+            return Err(PlatformError::TooFewSockets(FEWEST_SOCKETS));
         }
-        let aim = site.settings.classes.iter().map(|class| class.latency_objective).min().unwrap_or_default();
-        let seed = all.get("seed").and_then(Value::as_str).ok_or("seed is missing")?;
-        let known = all.get("known").ok_or("known is missing")?;
-        crate::hosts::parse(known).map_err(|e| format!("known: {e}"))?;
+        let seed = all.get("seed").and_then(Value::as_str).ok_or(PlatformError::Missing("seed"))?;
+        let known = all.get("known").ok_or(PlatformError::Missing("known"))?;
+        crate::hosts::parse(known)?;
         Ok(Self {
             name: text("name", "RELAY_NAME")?,
             listen: address(&text("listen", "RELAY_LISTEN")?, "listen")?,
             discovery: address(&text("discovery", "RELAY_DISCOVERY")?, "discovery")?,
-            seed: u64::from_str_radix(seed, 16).map_err(|_| "seed is not hex digits")?,
-            bounds: CoreLimits { max_open: small("Limits", "MaxOpen")?, shards },
-            links: Links {
-                idle: inner("Limits", "ConnIdleUs")?,
-                dial: inner("Limits", "DialTimeoutUs")?,
-                silent: (aim as f64 * SILENT) as Micros,
-                streams: small("Limits", "MaxStreams")?,
-                parts_a_call: site.settings.layout.parts_per_call as usize,
-                sockets,
-            },
+            seed: u64::from_str_radix(seed, 16).map_err(|_| PlatformError::Seed)?,
+            bounds: CoreLimits { max_open: count(&root, "Limits", "MaxOpen")?, shards },
+            links: read_links(&root, &site, sockets)?,
             memory,
             known: known.clone(),
             site,
@@ -179,11 +168,40 @@
     }
 }
 
+fn read_links(root: &Section<'_>, site: &Site, sockets: usize) -> Result<Links, PlatformError> {
+    let objectives = site.settings.classes.iter().map(|class| class.latency_objective);
+    let shortest = objectives.min().unwrap_or_default();
+    Ok(Links {
+        idle: root.sub("Limits")?.int("ConnIdleUs")?,
+        dial: root.sub("Limits")?.int("DialTimeoutUs")?,
+        silent: (shortest as f64 * SILENCE_FRACTION) as Micros,
+        streams: count(root, "Limits", "MaxStreams")?,
+        parts_a_call: site.settings.layout.parts_per_call as usize,
+        sockets,
+    })
+}
+
+/// A positive number of a section of the settings.
+fn count(root: &Section<'_>, section: &'static str, key: &'static str) -> Result<usize, PlatformError> {
+    let value = root.sub(section)?.int(key)?;
+    let value = usize::try_from(value).ok().filter(|&n| n > 0);
+    value.ok_or(PlatformError::Count { section, key })
+}
+
+/// A number of the object `limits`, below 2^32; `default` where there is none.
+fn limit(all: &Value, key: &'static str, default: u64) -> Result<usize, PlatformError> {
+    let value = all.get("limits").and_then(|limits| limits.get(key)).map_or(Some(default), Value::as_u64);
+    let value = value.and_then(|n| u32::try_from(n).ok());
+    value.map(|n| n as usize).ok_or(PlatformError::Limit(key))
+}
+
 fn own_name(all: &Value, variable: impl Fn(&str) -> Option<String>) -> Option<String> {
     all.get("name").and_then(Value::as_str).map(str::to_owned).or_else(|| variable("RELAY_NAME"))
 }
 
-fn file(path: &str) -> Result<Value, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-    serde_json::from_str(&text).map_err(|e| format!("{path}: {e}"))
+fn read_json(path: &str) -> Result<Value, ConfigError> {
+    let file = || path.to_owned();
+    let text = std::fs::read_to_string(path);
+    let text = text.map_err(|source| ConfigError::Unreadable { file: file(), source })?;
+    serde_json::from_str(&text).map_err(|source| ConfigError::NotJson { file: file(), source })
 }
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -1,8 +1,13 @@
-//! Reads the settings object, which the adapter and the gatherer are both given.
+//! The `settings` object, which the server and the simulator adapter are both given. The platform's names for its keys
+//! appear here and nowhere else.
 
+use mallowgauge_router::{
+    Class, DeploymentLimits, Discovery, Idempotency, RetryBudgetSettings, RuleSettings, Settings,
+    ShardLayout, ZoneId,
+};
 use serde_json::Value;
 
-use mallowgauge_router::*;
+use crate::error::SiteError;
 
 /// What the settings say of the site, with the names that go with the router's numbers.
 pub struct Site {
@@ -36,11 +41,11 @@
     ///
     /// # Errors
     /// Any other value than an object.
-    pub fn root(value: &'a Value) -> Result<Self, String> {
+    pub fn root(value: &'a Value) -> Result<Self, SiteError> {
         if value.is_object() {
             Ok(Section { value, path: String::new() })
         } else {
-            Err(" is not an object".to_owned())
+            Err(SiteError::NotAnObject)
         }
     }
 
@@ -48,77 +53,82 @@
     ///
     /// # Errors
     /// Names the key.
-    pub fn sub(&self, key: &str) -> Result<Section<'a>, String> {
+    pub fn sub(&self, key: &str) -> Result<Section<'a>, SiteError> {
         let value = self.value.get(key).filter(|v| v.is_object());
         let path = format!("{}{key}.", self.path);
-        value.map(|value| Section { value, path }).ok_or_else(|| self.bad(key, "an object"))
+        value.map(|value| Section { value, path }).ok_or_else(|| self.error(key, "an object"))
     }
 
-    /// The message for a key that does not hold what it should.
-    pub fn bad(&self, key: &str, what: &str) -> String {
-        let found = if self.value.get(key).is_some() { "is not" } else { "is missing; it should be" };
-        format!(".{}{key} {found} {what}", self.path)
+    /// The error for a key that does not hold what it should.
+    #[must_use]
+    pub fn error(&self, key: &str, expected: &'static str) -> SiteError {
+        let path = format!("{}{key}", self.path);
+        if self.value.get(key).is_some() {
+            SiteError::Unexpected { path, expected }
+        } else {
+            SiteError::Missing { path, expected }
+        }
     }
 
     /// A whole number.
     ///
     /// # Errors
     /// Names the key.
-    pub fn int(&self, key: &str) -> Result<u64, String> {
-        self.value.get(key).and_then(Value::as_u64).ok_or_else(|| self.bad(key, "a whole number"))
+    pub fn int(&self, key: &str) -> Result<u64, SiteError> {
+        self.value.get(key).and_then(Value::as_u64).ok_or_else(|| self.error(key, "a whole number"))
     }
 
     /// A whole number below 2^32.
     ///
     /// # Errors
     /// Names the key.
-    pub fn int32(&self, key: &str) -> Result<u32, String> {
-        self.value.get(key).and_then(small).ok_or_else(|| self.bad(key, "a small whole number"))
+    pub fn int32(&self, key: &str) -> Result<u32, SiteError> {
+        self.value.get(key).and_then(small).ok_or_else(|| self.error(key, "a small whole number"))
     }
 
     /// A number.
     ///
     /// # Errors
     /// Names the key.
-    pub fn number(&self, key: &str) -> Result<f64, String> {
-        self.value.get(key).and_then(Value::as_f64).ok_or_else(|| self.bad(key, "a number"))
+    pub fn number(&self, key: &str) -> Result<f64, SiteError> {
+        self.value.get(key).and_then(Value::as_f64).ok_or_else(|| self.error(key, "a number"))
     }
 
     /// True or false.
     ///
     /// # Errors
     /// Names the key.
-    pub fn flag(&self, key: &str) -> Result<bool, String> {
-        self.value.get(key).and_then(Value::as_bool).ok_or_else(|| self.bad(key, "true or false"))
+    pub fn flag(&self, key: &str) -> Result<bool, SiteError> {
+        self.value.get(key).and_then(Value::as_bool).ok_or_else(|| self.error(key, "true or false"))
     }
 
     /// A text.
     ///
     /// # Errors
     /// Names the key.
-    pub fn text(&self, key: &str) -> Result<&'a str, String> {
-        self.value.get(key).and_then(Value::as_str).ok_or_else(|| self.bad(key, "a text"))
+    pub fn text(&self, key: &str) -> Result<&'a str, SiteError> {
+        self.value.get(key).and_then(Value::as_str).ok_or_else(|| self.error(key, "a text"))
     }
 
     /// A list.
     ///
     /// # Errors
     /// Names the key.
-    pub fn list(&self, key: &str) -> Result<&'a [Value], String> {
+    pub fn list(&self, key: &str) -> Result<&'a [Value], SiteError> {
         self.value
             .get(key)
             .and_then(Value::as_array)
             .map(Vec::as_slice)
-            .ok_or_else(|| self.bad(key, "a list"))
+            .ok_or_else(|| self.error(key, "a list"))
     }
 
     /// Figures of the classes, in the order of the classes.
-    fn per_class(&self, key: &str, classes: usize) -> Result<Vec<f64>, String> {
+    fn per_class(&self, key: &str, classes: usize) -> Result<Vec<f64>, SiteError> {
         let list = self.list(key)?;
         if list.len() != classes {
-            return Err(self.bad(key, "as long as Classes"));
+            return Err(self.error(key, "as long as Classes"));
         }
-        list.iter().map(|v| v.as_f64().ok_or_else(|| self.bad(key, "a list of numbers"))).collect()
+        list.iter().map(|v| v.as_f64().ok_or_else(|| self.error(key, "a list of numbers"))).collect()
     }
 }
 
@@ -126,84 +136,140 @@
     /// Reads the settings object that an instance is given.
     ///
     /// # Errors
-    /// Names the first key that does not hold what it should.
-    pub fn read(env: &Value) -> Result<Self, String> {
+    /// The first key that does not hold what it should.
+    pub fn read(env: &Value) -> Result<Self, SiteError> {
         let env = Section::root(env)?;
         let (family, limits, rules) = (env.sub("FamilyInfo")?, env.sub("Limits")?, env.sub("Safety")?);
-        let list = env.list("Classes")?;
-        let floor = family.per_class("ClassFloor", list.len())?;
-        let need = family.per_class("CompleteFrom", list.len())?;
-        let partial = family.per_class("ClassPartial", list.len())?;
-        let second = family.per_class("FollowUp", list.len())?;
-        let (mut classes, mut names) = (Vec::new(), Vec::new());
-        let listed = env.value.get("Azs").and_then(Value::as_array);
-        let zones: Vec<String> =
-            listed.into_iter().flatten().filter_map(|name| name.as_str().map(str::to_owned)).collect();
-        for (i, value) in list.iter().enumerate() {
-            let class = Section { value, path: format!("Classes[{i}].") };
-            names.push(class.text("Name")?.to_owned());
-            classes.push(Class {
-                latency_objective: class.int("AimUs")?,
-                objective_per_work: class.number("AimStretch").unwrap_or(0.0),
-                deadline: class.int("DeadlineUs")?,
-                late_value: class.number("LateValue")?,
-                idempotency: match class.text("Semantics")? {
-                    "free" => Idempotency::Idempotent,
-                    "guarded" => Idempotency::Keyed(class.int("WindowUs")?),
-                    "single_shot" => Idempotency::NonIdempotent,
-                    _ => return Err(class.bad("Semantics", "one of free, guarded, single_shot")),
-                },
-                minimum_completeness: floor[i],
-                required_completeness: need[i],
-                partial_value: partial[i],
-                second_step_parts: second[i] as u32,
-            });
-        }
-        let budget = match rules.value.get("LookBackUs") {
-            Some(Value::Number(_)) if rules.value.get("ResendRatio").is_some_and(Value::is_number) => {
-                Some(RetryBudgetSettings {
-                    min_retries: rules.number("BudgetFree").unwrap_or(0.0),
-                    retry_ratio: rules.number("ResendRatio")?,
-                    window: rules.int("LookBackUs")?,
-                })
-            }
-            _ => None,
-        };
+        let figures = ClassFigures::read(&env, &family)?;
+        let zones = read_zones(&env);
+        let (names, classes) = figures.classes()?;
+        let retry_budget = read_retry_budget(&rules)?;
         let settings = Settings {
             zone: env.value.get("Az").and_then(Value::as_str).and_then(|name| zone(&zones, name)),
             cross_zone_costs: env
                 .sub("Charges")
-                .is_ok_and(|c| c.number("CrossZone").is_ok_and(|price| price > 0.0)),
+                .is_ok_and(|charges| charges.number("CrossZone").is_ok_and(|price| price > 0.0)),
             routers: env.int32("Instances")?,
             batch_interval: env.int("TickUs")?,
             classes,
-            layout: ShardLayout {
-                ring_positions: family.int32("Places")?,
-                replication_factor: family.int32("Width")?,
-                parts_per_call: family.int32("PartsACall")?,
-                call_work: family.int("OverheadUs")?,
-            },
-            limits: DeploymentLimits {
-                cancellation: limits.flag("Cancel")?,
-                health_checks: limits.flag("Probing")?,
-                hedging: limits.flag("SecondCopies")?,
-                max_attempts: limits.int32("MaxAttempts")?,
-                max_retry_after: if limits.flag("RetryAfter")? { limits.int("MaxRetryAfterUs")? } else { 0 },
-            },
-            rules: RuleSettings {
-                initial_capacity: rules.number("ColdFrom")?,
-                warm_up_time: rules.int("WarmWithinUs")?,
-                overload_multiple: rules.number("TipMultiple")?,
-                overload_window: rules.int("FallUs")?,
-                retry_budget: budget,
-                max_poll_interval: rules.int("AskWithinUs").unwrap_or(0),
-            },
-            discovery: match env.text("MembershipMode")? {
-                "automatic" => Discovery::Push,
-                "subscribe" => Discovery::Poll,
-                _ => return Err(env.bad("MembershipMode", "one of automatic, subscribe")),
-            },
+            layout: read_layout(&family)?,
+            limits: read_limits(&limits)?,
+            rules: read_rules(&rules, retry_budget)?,
+            discovery: read_discovery(&env)?,
         };
         Ok(Site { settings, classes: names, zones })
     }
 }
+
+/// The classes as the settings have them: an object each, and lists with a figure for each of them.
+struct ClassFigures<'a> {
+    objects: &'a [Value],
+    minimum_completeness: Vec<f64>,
+    required_completeness: Vec<f64>,
+    partial_value: Vec<f64>,
+    second_step_parts: Vec<f64>,
+}
+
+impl<'a> ClassFigures<'a> {
+    fn read(env: &Section<'a>, family: &Section<'_>) -> Result<Self, SiteError> {
+        let objects = env.list("Classes")?;
+        let per_class = |key| family.per_class(key, objects.len());
+        Ok(Self {
+            objects,
+            minimum_completeness: per_class("ClassFloor")?,
+            required_completeness: per_class("CompleteFrom")?,
+            partial_value: per_class("ClassPartial")?,
+            second_step_parts: per_class("FollowUp")?,
+        })
+    }
+
+    /// Names and settings of the classes, in order.
+    fn classes(&self) -> Result<(Vec<String>, Vec<Class>), SiteError> {
+        let (mut names, mut classes) = (Vec::new(), Vec::new());
+        for (i, value) in self.objects.iter().enumerate() {
+            let class = Section { value, path: format!("Classes[{i}].") };
+            names.push(class.text("Name")?.to_owned());
+            classes.push(Class {
+                latency_objective: class.int("AimUs")?,
+                objective_per_work: class.number("AimStretch").unwrap_or(0.0),
+                deadline: class.int("DeadlineUs")?,
+                late_value: class.number("LateValue")?,
+                idempotency: read_idempotency(&class)?,
+                minimum_completeness: self.minimum_completeness[i],
+                required_completeness: self.required_completeness[i],
+                partial_value: self.partial_value[i],
+                second_step_parts: self.second_step_parts[i] as u32,
+            });
+        }
+        Ok((names, classes))
+    }
+}
+
+fn read_idempotency(class: &Section<'_>) -> Result<Idempotency, SiteError> {
+    match class.text("Semantics")? {
+        "free" => Ok(Idempotency::Idempotent),
+        "guarded" => Ok(Idempotency::Keyed(class.int("WindowUs")?)),
+        "single_shot" => Ok(Idempotency::NonIdempotent),
+        _ => Err(class.error("Semantics", "one of free, guarded, single_shot")),
+    }
+}
+
+/// Names of the zones; whatever else stands among them is skipped.
+fn read_zones(env: &Section<'_>) -> Vec<String> {
+    let listed = env.value.get("Azs").and_then(Value::as_array);
+    listed.into_iter().flatten().filter_map(|name| name.as_str().map(str::to_owned)).collect()
+}
+
+/// The retry budget, which is set where both its window and its ratio are numbers.
+fn read_retry_budget(rules: &Section<'_>) -> Result<Option<RetryBudgetSettings>, SiteError> {
+    let is_number = |key| rules.value.get(key).is_some_and(Value::is_number);
+    if !is_number("LookBackUs") || !is_number("ResendRatio") {
+        return Ok(None);
+    }
+    Ok(Some(RetryBudgetSettings {
+        min_retries: rules.number("BudgetFree").unwrap_or(0.0),
+        retry_ratio: rules.number("ResendRatio")?,
+        window: rules.int("LookBackUs")?,
+    }))
+}
+
+fn read_layout(family: &Section<'_>) -> Result<ShardLayout, SiteError> {
+    Ok(ShardLayout {
+        ring_positions: family.int32("Places")?,
+        replication_factor: family.int32("Width")?,
+        parts_per_call: family.int32("PartsACall")?,
+        call_work: family.int("OverheadUs")?,
+    })
+}
+
+fn read_limits(limits: &Section<'_>) -> Result<DeploymentLimits, SiteError> {
+    Ok(DeploymentLimits {
+        cancellation: limits.flag("Cancel")?,
+        health_checks: limits.flag("Probing")?,
+        hedging: limits.flag("SecondCopies")?,
+        max_attempts: limits.int32("MaxAttempts")?,
+        max_retry_after: if limits.flag("RetryAfter")? { limits.int("MaxRetryAfterUs")? } else { 0 },
+    })
+}
+
+fn read_rules(
+    rules: &Section<'_>,
+    retry_budget: Option<RetryBudgetSettings>,
+) -> Result<RuleSettings, SiteError> {
+    Ok(RuleSettings {
+        initial_capacity: rules.number("ColdFrom")?,
+        warm_up_time: rules.int("WarmWithinUs")?,
+        overload_multiple: rules.number("TipMultiple")?,
+        overload_window: rules.int("FallUs")?,
+        retry_budget,
+        max_poll_interval: rules.int("AskWithinUs").unwrap_or(0),
+    })
+}
+
+fn read_discovery(env: &Section<'_>) -> Result<Discovery, SiteError> {
+    match env.text("MembershipMode")? {
+        "automatic" => Ok(Discovery::Push),
+        "subscribe" => Ok(Discovery::Poll),
+        _ => Err(env.error("MembershipMode", "one of automatic, subscribe")),
+    }
+}
--- a/crates/settings/tests/bad_input.rs
+++ b/crates/settings/tests/bad_input.rs
@@ -101,7 +101,7 @@
 fn load(platform: &[u8], operator: Option<&[u8]>) -> Result<Config, String> {
     let (platform, operator) = (File::of(platform), operator.map(File::of));
     let variable = |name: &str| (name == "RELAY_CONFIG").then(|| platform.path().to_owned());
-    Config::load(variable, operator.as_ref().map(File::path))
+    Config::load(variable, operator.as_ref().map(File::path)).map_err(|error| error.to_string())
 }
 
 /// What the programs rest on.
@@ -145,7 +145,7 @@
         let mut value = list();
         value["instances"][0]["instanceId"] = json!(name);
         value["instances"][0]["lifecycle"] = json!("odd");
-        let words = hosts::parse(&value).expect_err("no list");
+        let words = hosts::parse(&value).expect_err("no list").to_string();
         assert!(!words.contains(char::is_control) && words.len() <= 510, "{words:.200?}");
     }
 }
@@ -165,7 +165,7 @@
                     prop_assert!(host.phase == EndpointState::Removed || host.addr.is_some());
                 }
             }
-            Err(words) => check_words(&words)?,
+            Err(error) => check_words(&error.to_string())?,
         }
     }
 
@@ -174,7 +174,7 @@
         let value = spoil(platform()["settings"].clone(), &changes);
         match Site::read(&value) {
             Ok(site) => prop_assert_eq!(site.classes.len(), site.settings.classes.len()),
-            Err(words) => check_words(&words)?,
+            Err(error) => check_words(&error.to_string())?,
         }
     }
 
