--- a/crates/edge/src/server/reload.rs
+++ b/crates/edge/src/server/reload.rs
@@ -3,6 +3,8 @@
 use std::net::SocketAddr;
 
 use super::Server;
+use mallowgauge_settings::error::{ConfigError, OneLine};
+
 use crate::front::flight;
 use crate::tls::{Connector, TlsError};
 
@@ -11,7 +13,7 @@
 enum ReloadError {
     /// It cannot be read.
     #[error("{0}")]
-    Configuration(String),
+    Configuration(OneLine<ConfigError>),
     /// What it says of TLS towards backends cannot be used.
     #[error(transparent)]
     BackendTls(#[from] TlsError),
