--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -108,14 +108,14 @@
         seed: u64,
         settings: Settings,
         classes: Vec<String>,
-        bounds: CoreLimits,
+        limits: CoreLimits,
     ) -> Result<Self, SettingsError> {
         Ok(Self {
             class_names: classes,
             classes: settings.classes.iter().map(ClassRules::of).collect(),
             cancellation: settings.limits.cancellation,
             permits_required: false,
-            limits: bounds,
+            limits,
             layout: settings.layout.clone(),
             batch_interval: settings.batch_interval,
             answer_deadline: None,
@@ -200,13 +200,13 @@
     }
 
     /// Whether a part of a client's query may have been executed; `false` if it is not open.
-    pub fn possibly_executed(&self, asker: ResponseHandle) -> bool {
-        self.open.waited_for_by(asker).is_some_and(|open| !open.not_executed())
+    pub fn possibly_executed(&self, handle: ResponseHandle) -> bool {
+        self.open.waited_for_by(handle).is_some_and(|open| !open.not_executed())
     }
 
     /// How many parts of a client's query have a value, and how many it has.
-    pub fn progress(&self, asker: ResponseHandle) -> Option<(usize, usize)> {
-        let open = self.open.waited_for_by(asker)?;
+    pub fn progress(&self, handle: ResponseHandle) -> Option<(usize, usize)> {
+        let open = self.open.waited_for_by(handle)?;
         let parts = if open.plan.is_some() { open.parts.len().max(1) } else { open.request.parts.len() };
         Some((open.values().count(), parts))
     }
@@ -265,8 +265,8 @@
     }
 
     /// The client of a query has disconnected; it is not answered.
-    pub fn client_disconnected(&mut self, asker: ResponseHandle) {
-        let Some(query) = self.open.remove_waiter(asker) else { return };
+    pub fn client_disconnected(&mut self, handle: ResponseHandle) {
+        let Some(query) = self.open.remove_waiter(handle) else { return };
         if self.open.get(query).is_some_and(|open| self.outlives_client(open)) {
             return;
         }
@@ -282,7 +282,7 @@
         }
         let attempted = open.parts.iter().any(|part| self.attempts.was_attempted(part.part));
         let mut handles = open.coalesced_waiters.iter().chain([&open.response_handle]);
-        attempted || handles.any(|handle| self.open.is_waiting(*handle))
+        attempted || handles.any(|waiting| self.open.is_waiting(*waiting))
     }
 
     /// Closes a query without a response, because another instance acts for it: who waited for it.
@@ -352,8 +352,8 @@
     }
 
     /// A health check has ended.
-    pub fn health_check_completed(&mut self, server: BackendId, passed: bool) {
-        self.events.push(Event::HealthCheckCompleted { backend: server, passed });
+    pub fn health_check_completed(&mut self, backend: BackendId, passed: bool) {
+        self.events.push(Event::HealthCheckCompleted { backend, passed });
     }
 
     /// The endpoint list has changed, or could not be had.
--- a/crates/core/src/planned_queries.rs
+++ b/crates/core/src/planned_queries.rs
@@ -12,11 +12,11 @@
 };
 
 use crate::core::{Core, DEADLINE_MARGIN_US};
-use crate::open_queries::{OpenQuery, PartKind};
+use crate::open_queries::{OpenQuery, PartKind, PartState};
 use crate::query::{Failure, PartRequest, PlanRequest, QueryResponse};
 use crate::two_phase::{
     parse_rows, parse_sketch, BlockSetup, Choose, PartLoss, PhaseTimeEstimator, Plan, PlanAction, PlanSetup,
-    Rule, SketchBounds, SketchCache,
+    Row, Rule, Sketch, SketchBounds, SketchCache,
 };
 use crate::value::Value;
 
@@ -168,6 +168,41 @@
     BuildHasherDefault::<DefaultHasher>::default().hash_one(body)
 }
 
+/// What a part brought its plan.
+enum PlanEvent {
+    Scout(Result<Sketch, PartLoss>),
+    Rows(Result<Vec<Row>, PartLoss>),
+    /// The value of the part with which a non-idempotent query had its effect.
+    Effect(Rc<str>),
+}
+
+impl PlanEvent {
+    fn of_value(
+        kind: PartKind,
+        idempotent: bool,
+        shard: ShardId,
+        value: &Value,
+    ) -> Result<Self, MalformedValue> {
+        let Value::Text(text) = value else { return Err(MalformedValue) };
+        match kind {
+            PartKind::Scout => Ok(Self::Scout(Ok(parse_sketch(text).map_err(|_| MalformedValue)?))),
+            PartKind::Query if !idempotent => Ok(Self::Effect(Rc::clone(text))),
+            PartKind::Query => Ok(Self::Rows(Ok(parse_rows(shard, text).map_err(|_| MalformedValue)?))),
+        }
+    }
+
+    fn of_failure(part: &PartState) -> Self {
+        let loss = match part.possibly_executed_attempts {
+            0 => PartLoss::NotExecuted,
+            _ => PartLoss::PossiblyExecuted,
+        };
+        match part.kind {
+            PartKind::Scout => Self::Scout(Err(loss)),
+            PartKind::Query => Self::Rows(Err(loss)),
+        }
+    }
+}
+
 /// The value of a planned query's part is neither a sketch nor a list of rows.
 #[derive(Debug, thiserror::Error)]
 #[error("malformed value of a two-phase query's part")]
@@ -262,35 +297,20 @@
         if part.closed {
             return Ok(());
         }
-        let loss = match part.possibly_executed_attempts {
-            0 => PartLoss::NotExecuted,
-            _ => PartLoss::PossiblyExecuted,
-        };
         let block = part.request_index;
         let shard = open.request.parts[block].shard;
-        let text = match value {
-            Some(Value::Text(text)) => Some(text),
-            Some(Value::Table(_)) => return Err(MalformedValue),
-            None => None,
-        };
         let idempotent = self.classes[open.request.class.0].idempotent;
-        let actions = match (part.kind, text) {
-            (PartKind::Scout, Some(text)) => {
-                let sketch = parse_sketch(text).map_err(|_| MalformedValue)?;
-                if let Some(two_phase) = &mut self.two_phase {
-                    two_phase.sketches.insert(now, predicate_hash(&open.request.body), shard, sketch);
-                }
-                plan.scout_completed(now, block, Ok(sketch))
-            }
-            (PartKind::Scout, None) => plan.scout_completed(now, block, Err(loss)),
-            (PartKind::Query, Some(text)) if !idempotent => {
-                plan.effect_completed(now, block, Rc::clone(text))
-            }
-            (PartKind::Query, Some(text)) => {
-                let rows = parse_rows(shard, text).map_err(|_| MalformedValue)?;
-                plan.fetch_completed(now, block, Ok(rows))
-            }
-            (PartKind::Query, None) => plan.fetch_completed(now, block, Err(loss)),
+        let event = match value {
+            Some(value) => PlanEvent::of_value(part.kind, idempotent, shard, value)?,
+            None => PlanEvent::of_failure(part),
+        };
+        if let (PlanEvent::Scout(Ok(sketch)), Some(two_phase)) = (&event, &mut self.two_phase) {
+            two_phase.sketches.insert(now, predicate_hash(&open.request.body), shard, *sketch);
+        }
+        let actions = match event {
+            PlanEvent::Scout(report) => plan.scout_completed(now, block, report),
+            PlanEvent::Rows(rows) => plan.fetch_completed(now, block, rows),
+            PlanEvent::Effect(value) => plan.effect_completed(now, block, value),
         };
         part.closed = true;
         part.value = value.cloned();
@@ -299,12 +319,12 @@
         Ok(())
     }
 
-    /// When the first plan has to look at the clock.
+    /// When the first plan's time-out is due.
     pub(crate) fn plan_timeout(&self) -> Option<Micros> {
         self.open.plans().filter_map(|(_, plan)| plan.poll_timeout()).min()
     }
 
-    /// Lets each plan look at the clock that has to.
+    /// Handles the time-outs of plans that are due.
     pub(crate) fn handle_plan_timeouts(&mut self, now: Micros) {
         let due = |(query, plan): (QueryId, &Plan)| (plan.poll_timeout()? <= now).then_some(query);
         let due: Vec<QueryId> = self.open.plans().filter_map(due).collect();
--- a/crates/core/src/submission.rs
+++ b/crates/core/src/submission.rs
@@ -19,7 +19,7 @@
     pub fn submit(
         &mut self,
         now: Micros,
-        asker: ResponseHandle,
+        handle: ResponseHandle,
         mut request: QueryRequest,
     ) -> Result<(), QueryResponse> {
         // A query must not hold its place for longer than its class allows, whatever the client says.
@@ -29,12 +29,12 @@
             return Err(Failure::DeadlineExceeded.into());
         }
         if let Some(query) = self.open.find(&request.id) {
-            return self.coalesce(query, asker, &request);
+            return self.coalesce(query, handle, &request);
         }
         let time_to_answer = self.answer_deadline.map_or(Micros::MAX, |by| by.saturating_sub(now));
         request.expires_in = request.expires_in.min(time_to_answer);
         if time_to_answer == 0 || self.is_full(&request) {
-            return self.reject_unopened(now, asker, request);
+            return self.reject_unopened(now, handle, request);
         }
         if let Some(plan) = &request.plan {
             if self.two_phase.is_none() {
@@ -42,7 +42,7 @@
             }
             validate_plan(&plan.spec)?;
         }
-        self.open_query(now, asker, request);
+        self.open_query(now, handle, request);
         Ok(())
     }
 
@@ -51,7 +51,7 @@
     fn coalesce(
         &mut self,
         query: QueryId,
-        asker: ResponseHandle,
+        handle: ResponseHandle,
         request: &QueryRequest,
     ) -> Result<(), QueryResponse> {
         if !self.requires_permits(request.class) {
@@ -65,7 +65,7 @@
         if open.coalesced_waiters.len() >= MAX_COALESCED_WAITERS {
             return Err(self.reject(false));
         }
-        self.open.add_waiter(query, asker);
+        self.open.add_waiter(query, handle);
         Ok(())
     }
 
@@ -78,7 +78,7 @@
     fn reject_unopened(
         &mut self,
         now: Micros,
-        asker: ResponseHandle,
+        handle: ResponseHandle,
         request: QueryRequest,
     ) -> Result<(), QueryResponse> {
         let response = self.reject(true);
@@ -89,14 +89,14 @@
         self.ready.push(Action::ReplicateOutcome(Box::new(CompletedQuery {
             deadline: now.saturating_add(request.expires_in),
             request,
-            response_handles: vec![asker],
+            response_handles: vec![handle],
             response,
             possibly_executed: false,
         })));
         Ok(())
     }
 
-    fn open_query(&mut self, now: Micros, asker: ResponseHandle, request: QueryRequest) {
+    fn open_query(&mut self, now: Micros, handle: ResponseHandle, request: QueryRequest) {
         let query = QueryId(self.take_id());
         let planned = request.plan.is_some();
         self.events.push(Event::QueryArrived(QueryArrival {
@@ -109,7 +109,7 @@
         }));
         let parts = request.parts.len();
         let deadline = now.saturating_add(request.expires_in);
-        self.open.insert(query, OpenQuery::new(asker, request, deadline));
+        self.open.insert(query, OpenQuery::new(handle, request, deadline));
         if planned {
             self.start_plan(now, query);
         } else {
