--- a/crates/core/tests/resource_counts.rs
+++ b/crates/core/tests/resource_counts.rs
@@ -1,91 +1,77 @@
-//! What is kept for queries, parts and hosts comes back to its base once a flood is over, on whatever path each
-//! entry ended: the real core with its router, random histories from seeds, time as an argument.
-//! `CENSUS_SEEDS` sets how many histories of each kind are played (thirty here).
+//! What is kept for queries, parts and backends comes back to its base once a flood of queries is over, on
+//! whatever path each entry ended: the real core with its router, random histories from seeds, time as an
+//! argument. `CENSUS_SEEDS` sets how many histories of each kind are played (thirty here).
+
+mod common;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 use mallowgauge_core::two_phase::{Choose, Rule, Silent, SketchBounds, Spec};
-use mallowgauge_core::*;
+use mallowgauge_core::{
+    Action, AttemptId, AttemptRequest, Core, CoreLimits, PartRequest, PlanRequest, QueryRequest,
+    ResponseHandle, TwoPhaseSettings, Value,
+};
 use mallowgauge_router::{
     BackendId, Class, ClassId, DeploymentLimits, Discovery, Endpoint, EndpointState, EndpointUpdate,
     Idempotency, Micros, Outcome, RetryBudgetSettings, RuleSettings, Settings, ShardId, ShardLayout,
 };
 
-const MS: Micros = 1_000;
-const SECOND: Micros = 1_000_000;
-const TICK: Micros = 5 * MS;
-const CELLS: u32 = 6;
+use common::{BATCH_INTERVAL, MS, SECOND};
+
+const RING_POSITIONS: u32 = 6;
 const DEADLINE: Micros = 4 * SECOND;
 
 /// What is different between the histories.
 #[derive(Clone, Copy, Debug)]
 struct Kind {
-    cancel: bool,
-    copies: bool,
-    /// Attempts with an effect wait for leave, and their answers for a record.
-    guarded: bool,
-    budget: bool,
+    cancellation: bool,
+    hedging: bool,
+    /// Non-idempotent attempts wait for permits, and their responses for a record.
+    permits: bool,
+    retry_budget: bool,
     discovery: Discovery,
 }
 
 fn settings(kind: Kind) -> Settings {
-    let class = |effect, floor| Class {
-        latency_objective: SECOND,
-        objective_per_work: 0.0,
-        deadline: DEADLINE,
-        late_value: if floor < 1.0 { 0.0 } else { 0.1 },
-        idempotency: effect,
-        minimum_completeness: floor,
-        required_completeness: 1.0,
-        partial_value: 0.9,
-        second_step_parts: 0,
-    };
+    let class = common::class;
+    let may_be_partial =
+        Class { late_value: 0.0, minimum_completeness: 0.5, ..class(Idempotency::Idempotent) };
     let budget = RetryBudgetSettings { min_retries: 5.0, retry_ratio: 0.3, window: 5 * SECOND };
+    let common = common::settings(vec![
+        class(Idempotency::Idempotent),
+        may_be_partial,
+        class(Idempotency::NonIdempotent),
+        class(Idempotency::Keyed(SECOND)),
+    ]);
     Settings {
         routers: 3,
-        batch_interval: TICK,
-        classes: vec![
-            class(Idempotency::Idempotent, 1.0),
-            class(Idempotency::Idempotent, 0.5),
-            class(Idempotency::NonIdempotent, 1.0),
-            class(Idempotency::Keyed(SECOND), 1.0),
-        ],
         layout: ShardLayout {
-            ring_positions: CELLS,
+            ring_positions: RING_POSITIONS,
             replication_factor: 2,
             parts_per_call: 4,
             call_work: 6 * MS,
         },
-        limits: DeploymentLimits {
-            cancellation: kind.cancel,
-            health_checks: true,
-            hedging: kind.copies,
-            max_attempts: 3,
-            max_retry_after: SECOND,
-        },
+        limits: DeploymentLimits { cancellation: kind.cancellation, hedging: kind.hedging, ..common.limits },
         rules: RuleSettings {
-            initial_capacity: 0.2,
             warm_up_time: 3 * SECOND,
-            overload_multiple: 3.0,
             overload_window: SECOND,
-            retry_budget: kind.budget.then_some(budget),
-            max_poll_interval: 0,
+            retry_budget: kind.retry_budget.then_some(budget),
+            ..common.rules
         },
         discovery: kind.discovery,
-        zone: None,
-        cross_zone_costs: false,
+        ..common
     }
 }
 
 /// What comes back to the core, and when.
 enum Due {
-    End(AttemptId, Outcome, Option<Value>),
-    Probed(BackendId),
-    List,
-    /// Whether an attempt may be sent is decided elsewhere, and so is when its query's end is on record.
-    Leave(AttemptRequest),
-    Leaves(ResponseHandle),
+    AttemptCompleted(AttemptId, Outcome, Option<Value>),
+    HealthChecked(BackendId),
+    Endpoints,
+    /// The decision on a permit.
+    Permit(AttemptRequest),
+    Disconnect(ResponseHandle),
 }
 
 struct World {
@@ -94,36 +80,47 @@
     now: Micros,
     due: BTreeMap<(Micros, u64), Due>,
     number: u64,
-    /// What discovery holds: each server with its phase and start.
-    servers: BTreeMap<u32, (EndpointState, Option<Micros>)>,
-    /// Who waits for an answer, and who left.
+    /// What discovery lists: each backend with its state and start.
+    backends: BTreeMap<u32, (EndpointState, Option<Micros>)>,
+    /// Clients that wait for a response, and clients that disconnected.
     waiting: BTreeSet<ResponseHandle>,
-    left: BTreeSet<ResponseHandle>,
-    asked: u64,
+    disconnected: BTreeSet<ResponseHandle>,
+    submitted: u64,
     answered: u64,
-    /// Hosts do as they should.
+    /// Backends do as they should.
     calm: bool,
 }
 
 impl World {
     fn new(kind: Kind, seed: u64) -> Self {
         let names = ["search", "report", "hold", "keyed"].map(str::to_owned).to_vec();
-        let bounds = CoreLimits { max_open: 400, shards: CELLS * 2 };
+        let bounds = CoreLimits { max_open: 400, shards: RING_POSITIONS * 2 };
         let mut core = Core::new(seed, settings(kind), names, bounds).expect("sound settings");
         core.enable_two_phase(TwoPhaseSettings {
             rule: Rule::Learned,
             sketches: SketchBounds { entries: 50, age: SECOND },
         });
-        if kind.guarded {
+        if kind.permits {
             core.require_permits();
         }
-        let (due, servers, waiting, left) = Default::default();
+        let (due, backends, waiting, disconnected) = Default::default();
         let rng = fastrand::Rng::with_seed(seed);
-        let (number, asked, answered, calm) = (0, 0, 0, true);
-        let mut world =
-            Self { core, rng, now: 100 * SECOND, due, number, servers, waiting, left, asked, answered, calm };
-        (0..CELLS).for_each(|id| _ = world.servers.insert(id, (EndpointState::Ready, None)));
-        world.list(true);
+        let (number, submitted, answered, calm) = (0, 0, 0, true);
+        let mut world = Self {
+            core,
+            rng,
+            now: 100 * SECOND,
+            due,
+            number,
+            backends,
+            waiting,
+            disconnected,
+            submitted,
+            answered,
+            calm,
+        };
+        (0..RING_POSITIONS).for_each(|id| _ = world.backends.insert(id, (EndpointState::Ready, None)));
+        world.update_endpoints(true);
         world.run(SECOND, 0.0);
         world
     }
@@ -133,58 +130,58 @@
         self.due.insert((self.now + after, self.number), due);
     }
 
-    /// Discovery tells what it holds, whole or in part; what is gone it tells once.
-    fn list(&mut self, whole: bool) {
+    /// Discovery sends a snapshot or a delta; what was removed it names once.
+    fn update_endpoints(&mut self, snapshot: bool) {
         let entry = |(&id, &(phase, started)): (&u32, &(EndpointState, Option<Micros>))| Endpoint {
             backend: BackendId(id),
-            ring_position: id % CELLS,
+            ring_position: id % RING_POSITIONS,
             state: phase,
             started_at: started,
             zone: None,
         };
-        let entries: Vec<Endpoint> = self.servers.iter().map(entry).collect();
-        self.servers.retain(|_, (phase, _)| *phase != EndpointState::Removed);
+        let entries: Vec<Endpoint> = self.backends.iter().map(entry).collect();
+        self.backends.retain(|_, (phase, _)| *phase != EndpointState::Removed);
         let gone = |entry: &Endpoint| entry.state == EndpointState::Removed;
-        self.core.endpoint_update(if whole {
+        self.core.endpoint_update(if snapshot {
             EndpointUpdate::Snapshot(entries.into_iter().filter(|entry| !gone(entry)).collect())
         } else {
             EndpointUpdate::Delta(entries)
         });
     }
 
-    /// Something happens to the hosts.
+    /// Something happens to the backends.
     fn change(&mut self) {
-        let fresh = self.servers.keys().max().map_or(0, |id| id + 1);
-        let ids: Vec<u32> = self.servers.keys().copied().collect();
+        let fresh = self.backends.keys().max().map_or(0, |id| id + 1);
+        let ids: Vec<u32> = self.backends.keys().copied().collect();
         let Some(&id) = ids.get(self.rng.usize(0..ids.len().max(1))) else { return };
         let now = self.now;
         match self.rng.u32(0..6) {
-            0 => _ = self.servers.insert(id, (EndpointState::Draining, None)),
-            1 => _ = self.servers.insert(id, (EndpointState::Removed, None)),
-            2 => _ = self.servers.insert(id, (EndpointState::Ready, Some(now))),
+            0 => _ = self.backends.insert(id, (EndpointState::Draining, None)),
+            1 => _ = self.backends.insert(id, (EndpointState::Removed, None)),
+            2 => _ = self.backends.insert(id, (EndpointState::Ready, Some(now))),
             3 => {
-                // One is replaced by another of its cell.
-                self.servers.insert(id, (EndpointState::Removed, None));
-                self.servers.insert(
-                    fresh + (CELLS + id % CELLS - fresh % CELLS) % CELLS,
+                // One is replaced by another of its ring position.
+                self.backends.insert(id, (EndpointState::Removed, None));
+                self.backends.insert(
+                    fresh + (RING_POSITIONS + id % RING_POSITIONS - fresh % RING_POSITIONS) % RING_POSITIONS,
                     (EndpointState::Ready, Some(now)),
                 );
             }
             4 => return self.core.endpoint_update(EndpointUpdate::Failed),
             _ => {}
         }
-        let whole = self.rng.bool();
-        self.list(whole);
+        let snapshot = self.rng.bool();
+        self.update_endpoints(snapshot);
     }
 
-    fn ask(&mut self) {
-        self.asked += 1;
-        let asker = ResponseHandle::Http(self.asked);
+    fn submit(&mut self) {
+        self.submitted += 1;
+        let handle = ResponseHandle::Http(self.submitted);
         let class = self.rng.usize(0..4);
-        let first = self.rng.u32(0..CELLS * 2);
+        let first = self.rng.u32(0..RING_POSITIONS * 2);
         let count = self.rng.u32(1..=8);
         let parts = (0..count).map(|i| PartRequest {
-            shard: ShardId((first + i) % (CELLS * 2)),
+            shard: ShardId((first + i) % (RING_POSITIONS * 2)),
             weight: 1.0 / f64::from(count),
         });
         let chooses = [Choose::Best(2), Choose::Threshold, Choose::Share(0.6), Choose::All];
@@ -195,23 +192,21 @@
             silent: if self.rng.bool() { Silent::Ask } else { Silent::Skip },
         };
         let planned = self.rng.u32(0..3) == 0;
-        // Some ids come again: asked again, or by chance.
-        let id = if self.rng.u32(0..10) == 0 { self.asked / 2 } else { self.asked };
-        let ask = QueryRequest {
-            id: format!("query-{id}").into(),
+        // Some ids come again: sent again, or by chance.
+        let id = if self.rng.u32(0..10) == 0 { self.submitted / 2 } else { self.submitted };
+        let request = QueryRequest {
             class: ClassId(class),
             expires_in: self.rng.u64(0..DEADLINE * 2),
             retry: self.rng.u32(0..5) == 0,
-            work_hint: None,
-            body: Rc::from(&b"what"[..]),
             parts: parts.collect(),
             plan: planned.then(|| PlanRequest { spec, scout: Rc::from(&b"scout"[..]) }),
+            ..common::request(&format!("query-{id}"))
         };
-        if self.core.submit(self.now, asker, ask).is_ok() {
-            assert!(self.waiting.insert(asker));
+        if self.core.submit(self.now, handle, request).is_ok() {
+            assert!(self.waiting.insert(handle));
             if self.rng.u32(0..3) == 0 {
                 let after = self.rng.u64(0..2 * SECOND);
-                self.put(after, Due::Leaves(asker));
+                self.put(after, Due::Disconnect(handle));
             }
         } else {
             self.answered += 1;
@@ -240,87 +235,92 @@
             _ => (Outcome::Succeeded, soon),
         };
         let value = value.filter(|_| outcome == Outcome::Succeeded);
-        self.put(after, Due::End(send.attempt, outcome, value));
+        self.put(after, Due::AttemptCompleted(send.attempt, outcome, value));
     }
 
-    fn effect(&mut self, effect: Action) {
-        match effect {
+    fn act(&mut self, action: Action) {
+        match action {
             Action::SendBatch(_, sends) => sends.iter().for_each(|send| self.sent(send)),
-            // What is called off may still be answered, late.
+            // What is cancelled may still be answered, late.
             Action::CancelAttempt(..) => {}
-            // Half of them had not begun.
+            // Half of them had not started.
             Action::RevokeUnsent(_, id) => {
                 if self.rng.bool() {
-                    self.put(0, Due::End(id, Outcome::NotSent, None));
+                    self.put(0, Due::AttemptCompleted(id, Outcome::NotSent, None));
                 }
             }
-            Action::Respond(asker, _) => self.reply(asker),
+            Action::Respond(handle, _) => self.reply(handle),
             Action::RequestPermit(_, send) => {
                 let after = self.rng.u64(0..30 * MS);
-                self.put(after, Due::Leave(send));
+                self.put(after, Due::Permit(send));
             }
             Action::ReplicateOutcome(recorded) => {
-                recorded.response_handles.into_iter().for_each(|asker| self.reply(asker))
+                recorded.response_handles.into_iter().for_each(|handle| self.reply(handle))
             }
             Action::WatchEndpoints | Action::FetchEndpoints => {
                 let after = self.rng.u64(MS..300 * MS);
-                self.put(after, Due::List);
+                self.put(after, Due::Endpoints);
             }
-            Action::HealthCheck(server) => self.put(10 * MS, Due::Probed(server)),
+            Action::HealthCheck(backend) => self.put(10 * MS, Due::HealthChecked(backend)),
         }
     }
 
-    fn reply(&mut self, asker: ResponseHandle) {
-        // Of a query with an effect also who left is told; nobody is told twice.
-        assert!(self.waiting.remove(&asker) || self.left.remove(&asker), "{asker:?} is told twice");
+    fn reply(&mut self, handle: ResponseHandle) {
+        // Of a non-idempotent query also clients that disconnected are answered; none is answered twice.
+        assert!(
+            self.waiting.remove(&handle) || self.disconnected.remove(&handle),
+            "{handle:?} is answered twice"
+        );
         self.answered += 1;
     }
 
-    /// Plays so long, with so many queries a turn.
+    /// Plays so long, with so many queries a batch.
     fn run(&mut self, time: Micros, rate: f64) {
         let until = self.now + time;
         while self.now < until {
-            self.now += TICK;
+            self.now += BATCH_INTERVAL;
             while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= self.now) {
                 match entry.remove() {
-                    Due::End(id, outcome, value) => self.core.attempt_completed(self.now, id, outcome, value),
-                    Due::Probed(server) => {
+                    Due::AttemptCompleted(id, outcome, value) => {
+                        self.core.attempt_completed(self.now, id, outcome, value)
+                    }
+                    Due::HealthChecked(backend) => {
                         let passed = self.calm || self.rng.bool();
-                        self.core.health_check_completed(server, passed);
+                        self.core.health_check_completed(backend, passed);
                     }
-                    Due::List => self.list(true),
-                    Due::Leave(send) if !self.core.is_in_flight(send.attempt) => {}
-                    Due::Leave(send) if !self.calm && self.rng.u32(0..5) == 0 => {
+                    Due::Endpoints => self.update_endpoints(true),
+                    Due::Permit(send) if !self.core.is_in_flight(send.attempt) => {}
+                    Due::Permit(send) if !self.calm && self.rng.u32(0..5) == 0 => {
                         self.core.attempt_completed(self.now, send.attempt, Outcome::NotSent, None);
                     }
-                    Due::Leave(send) => self.sent(&send),
-                    Due::Leaves(asker) => {
-                        if self.waiting.remove(&asker) {
-                            self.left.insert(asker);
-                            self.core.client_disconnected(asker);
+                    Due::Permit(send) => self.sent(&send),
+                    Due::Disconnect(handle) => {
+                        if self.waiting.remove(&handle) {
+                            self.disconnected.insert(handle);
+                            self.core.client_disconnected(handle);
                         }
                     }
                 }
             }
             let mut left = rate;
             while self.rng.f64() < left {
-                self.ask();
+                self.submit();
                 left -= 1.0;
             }
             if !self.calm && self.rng.u32(0..60) == 0 {
                 self.change();
             }
-            for effect in self.core.run_batch(self.now) {
-                self.effect(effect);
+            for action in self.core.run_batch(self.now) {
+                self.act(action);
             }
         }
     }
 
-    /// All hosts are sound and listed, and all that the flood left has had its time.
+    /// All backends are healthy and listed, and all that the flood left has had its time.
     fn settle(&mut self) {
         self.calm = true;
-        self.servers = (0..CELLS).map(|id| (id, (EndpointState::Ready, None))).collect();
-        self.list(true);
+        self.backends = (0..RING_POSITIONS).map(|id| (id, (EndpointState::Ready, None))).collect();
+        self.update_endpoints(true);
         self.run(DEADLINE + 6 * SECOND, 0.0);
         // As the watch does each ten seconds at the latest.
         self.core.endpoint_update(EndpointUpdate::Delta(Vec::new()));
@@ -331,24 +331,24 @@
 fn kinds() -> Vec<Kind> {
     let mut kinds = Vec::new();
     for bits in 0..8_u32 {
-        let [cancel, copies, guarded] = [1, 2, 4].map(|bit| bits & bit > 0);
+        let [cancellation, hedging, permits] = [1, 2, 4].map(|bit| bits & bit > 0);
         let discovery = if bits % 3 == 0 { Discovery::Push } else { Discovery::Poll };
-        kinds.push(Kind { cancel, copies, guarded, budget: bits % 2 == 0, discovery });
+        kinds.push(Kind { cancellation, hedging, permits, retry_budget: bits % 2 == 0, discovery });
     }
     kinds
 }
 
 #[test]
-fn all_that_is_kept_comes_back_to_its_base_after_a_flood() {
+fn all_resource_counts_come_back_to_their_base_after_a_flood() {
     let seeds = std::env::var("CENSUS_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(30);
     let mut most: BTreeMap<&str, usize> = BTreeMap::new();
     for kind in kinds() {
         for seed in 0..seeds {
             let mut world = World::new(kind, seed);
-            // The last answers by which overdue parts are told are bounded, and kept.
-            let kept = |mut census: BTreeMap<&'static str, usize>| {
-                assert!(census.remove("router latency samples").is_some_and(|kept| kept <= 33));
-                census
+            // The latency samples by which overdue attempts are recognised are bounded, and kept.
+            let kept = |mut counts: BTreeMap<&'static str, usize>| {
+                assert!(counts.remove("router latency samples").is_some_and(|kept| kept <= 33));
+                counts
             };
             let base = kept(world.core.resource_counts());
             world.calm = false;
@@ -364,7 +364,7 @@
             assert!(world.waiting.is_empty(), "{kind:?} seed {seed}: never answered {:?}", world.waiting);
         }
     }
-    // The flood filled each of them, or the count of it says nothing; what is ready goes out in its turn.
+    // The flood filled each of them, or the count of it says nothing; what is ready goes out at once.
     let empty: Vec<_> = most.iter().filter(|(_, most)| **most == 0).map(|(name, _)| *name).collect();
     assert!(
         empty.iter().all(|name| ["events", "ready"].contains(name)),
