--- a/crates/core/tests/connection_limits.rs
+++ b/crates/core/tests/connection_limits.rs
@@ -1,4 +1,4 @@
-//! Connections to hosts: shares, choice, and what gives way, at the size of a large fleet.
+//! Connections to backends: limits, choice and eviction, also with hundreds of backends.
 
 use std::collections::BTreeMap;
 
@@ -10,83 +10,97 @@
 
 const MB: usize = 1024 * 1024;
 
-fn shares(sockets: usize, megabytes: usize, hosts: usize) -> ConnectionLimits {
+fn limits(descriptors: usize, megabytes: usize, backends: usize) -> ConnectionLimits {
     ConnectionLimits::of(ConnectionResources {
-        descriptors: sockets,
+        descriptors,
         memory: megabytes * MB,
-        backends: hosts,
+        backends,
         bytes_per_client: 80 * 1024,
     })
 }
 
-// Guards against the failure of the first day at full size: 512 descriptors, 179 hosts and 124 connections.
-// What found no connection counted against the hosts, and all of them ended as suspects.
+// Guards against fewer connections than backends (512 descriptors, 179 backends, 124 connections): calls that
+// find no connection fail, and all backends end up ejected.
 #[test]
-fn a_fleet_larger_than_a_quarter_of_the_descriptors_gets_a_connection_a_host() {
-    assert!(shares(512, 64, 179).backends >= 179 + 179 / 5);
-    assert!(shares(672, 56, 200).backends >= 240);
-    // A small fleet leaves the clients what they had.
-    assert_eq!(shares(512, 64, 12).backends, 124);
-    assert_eq!(shares(1024, 192, 23).backends, 252);
+fn more_backends_than_a_quarter_of_the_descriptors_get_a_connection_each() {
+    assert!(limits(512, 64, 179).backends >= 179 + 179 / 5);
+    assert!(limits(672, 56, 200).backends >= 240);
+    // A few backends leave the clients their share.
+    assert_eq!(limits(512, 64, 12).backends, 124);
+    assert_eq!(limits(1024, 192, 23).backends, 252);
+}
+
+/// A connection of the pool that the rules are checked with.
+struct Connection {
+    backend: u32,
+    load: usize,
+    used: u64,
+}
+
+impl Connection {
+    fn view(&self, id: u64) -> ConnectionView {
+        ConnectionView { id, fits: self.load < 4, silent: false, load: self.load, used: self.used }
+    }
 }
 
 proptest! {
     #[test]
-    fn shares_stay_inside_their_means(
-        sockets in 32_usize..5000, megabytes in 8_usize..2000, hosts in 0_usize..5000,
+    fn limits_stay_within_their_resources(
+        descriptors in 32_usize..5000, megabytes in 8_usize..2000, backends in 0_usize..5000,
     ) {
-        let shares = shares(sockets, megabytes, hosts);
-        prop_assert!(shares.backends + shares.clients + 16 <= sockets);
-        prop_assert!(shares.backends >= 1 && shares.clients >= 1);
-        prop_assert!(shares.clients * 80 * 1024 + shares.backend_bytes <= megabytes * MB * 7 / 8);
-        prop_assert!(shares.clients >= ((sockets - 16) / 4).min(megabytes * MB / 2 / 80 / 1024));
+        let limits = limits(descriptors, megabytes, backends);
+        prop_assert!(limits.backends + limits.clients + 16 <= descriptors);
+        prop_assert!(limits.backends >= 1 && limits.clients >= 1);
+        prop_assert!(limits.clients * 80 * 1024 + limits.backend_bytes <= megabytes * MB * 7 / 8);
+        prop_assert!(limits.clients >= ((descriptors - 16) / 4).min(megabytes * MB / 2 / 80 / 1024));
     }
 
-    // A model of a pool beside the rules: calls to random hosts, which rest or stay busy.
+    // A model of a pool that follows the rules: calls to random backends, which become idle or stay busy.
     #[test]
-    fn a_pool_that_follows_the_rules_never_passes_its_share_and_serves_every_host(
-        most in 1_usize..40, hosts in 1_u32..60, steps in prop::collection::vec((0_u32..60, any::<bool>()), 1..400),
+    fn a_pool_that_follows_the_rules_never_exceeds_its_limit_and_serves_every_backend(
+        most in 1_usize..40, backends in 1_u32..60, steps in prop::collection::vec((0_u32..60, any::<bool>()), 1..400),
     ) {
-        let mut links: BTreeMap<u64, (u32, usize, u64)> = BTreeMap::new();
+        let mut connections: BTreeMap<u64, Connection> = BTreeMap::new();
         let mut opened = 0;
-        for (now, (host, done)) in steps.into_iter().enumerate() {
-            let (host, now) = (host % hosts, now as u64);
-            let views: Vec<ConnectionView> = links.iter().filter(|(_, l)| l.0 == host)
-                .map(|(&id, l)| ConnectionView { id, fits: l.1 < 4, silent: false, load: l.1, used: l.2 }).collect();
-            let room = if links.len() < most { ConnectionCapacity::Available } else { ConnectionCapacity::Exhausted };
-            let rests = links.values().any(|l| l.1 == 0);
-            let id = match choose(&views, most, hosts as usize, room) {
+        for (now, (backend, done)) in steps.into_iter().enumerate() {
+            let (backend, now) = (backend % backends, now as u64);
+            let to_backend = connections.iter().filter(|(_, c)| c.backend == backend);
+            let views: Vec<ConnectionView> = to_backend.map(|(&id, c)| c.view(id)).collect();
+            let capacity = if connections.len() < most { ConnectionCapacity::Available } else { ConnectionCapacity::Exhausted };
+            let any_idle = connections.values().any(|c| c.load == 0);
+            let id = match choose(&views, most, backends as usize, capacity) {
                 Choice::Use(id) => Some(id),
                 Choice::Unavailable => None,
                 Choice::Open(instead) => {
-                    let other = connection_to_evict(links.iter().filter(|(_, l)| l.1 == 0).map(|(&id, l)| (id, l.2)));
-                    if room == ConnectionCapacity::Exhausted {
-                        other.into_iter().for_each(|id| _ = links.remove(&id));
+                    let idle = connections.iter().filter(|(_, c)| c.load == 0);
+                    let evicted = connection_to_evict(idle.map(|(&id, c)| (id, c.used)));
+                    if capacity == ConnectionCapacity::Exhausted {
+                        evicted.into_iter().for_each(|id| _ = connections.remove(&id));
                     }
-                    if links.len() < most {
+                    if connections.len() < most {
                         opened += 1;
-                        links.insert(opened, (host, 0, now));
+                        connections.insert(opened, Connection { backend, load: 0, used: now });
                         Some(opened)
                     } else {
                         instead
                     }
                 }
             };
-            prop_assert!(links.len() <= most, "more connections than there is room for");
-            prop_assert!(id.is_some() || !rests, "no connection though one could have given way");
-            prop_assert!(id.is_some() || views.iter().all(|v| !v.fits), "one with room was passed over");
-            if let Some(link) = id.and_then(|id| links.get_mut(&id)) {
-                *link = (host, link.1 + 1, now);
+            prop_assert!(connections.len() <= most, "more connections than the limit");
+            prop_assert!(id.is_some() || !any_idle, "no connection though one could have been evicted");
+            prop_assert!(id.is_some() || views.iter().all(|v| !v.fits), "one with capacity was passed over");
+            if let Some(connection) = id.and_then(|id| connections.get_mut(&id)) {
+                *connection = Connection { backend, load: connection.load + 1, used: now };
             }
             if done {
-                links.values_mut().filter(|l| l.0 == host).for_each(|l| l.1 = 0);
+                connections.values_mut().filter(|c| c.backend == backend).for_each(|c| c.load = 0);
             }
         }
     }
 
-    // However connections fill, what all hold is back within the bound after each step.
+    // However connections fill, what all hold is back within the limit after each step.
     #[test]
-    fn buffers_stay_within_their_bound_together(grows in prop::collection::vec((0_u64..30, 1_usize..66), 1..500)) {
+    fn buffers_stay_within_their_limit_together(grows in prop::collection::vec((0_u64..30, 1_usize..66), 1..500)) {
         let (mut held, bound, mut cut) = (BTreeMap::<u64, usize>::new(), 500, 0);
         for (id, bytes) in grows {
             *held.entry(id).or_default() += bytes;
@@ -97,7 +111,7 @@
             }
             cut = cut.max(before - held.len());
         }
-        prop_assert!(cut <= 4, "{cut} connections gave way where the largest would have done");
+        prop_assert!(cut <= 4, "{cut} connections were closed where the largest would have done");
     }
 }
 
@@ -106,17 +120,17 @@
 }
 
 #[test]
-fn the_emptiest_goes_first_and_of_those_the_one_used_last() {
+fn the_least_loaded_is_chosen_and_of_those_the_one_used_last() {
     let held = [view(1, 2, 9), view(2, 0, 5), view(3, 0, 7)];
     assert_eq!(choose(&held, 100, 10, ConnectionCapacity::Available), Choice::Use(3));
 }
 
 #[test]
-fn busy_ones_are_spread_only_while_there_is_room() {
+fn busy_ones_are_spread_only_while_there_is_capacity() {
     let held = [view(1, 1, 0)];
     assert_eq!(choose(&held, 100, 10, ConnectionCapacity::Available), Choice::Open(Some(1)));
     assert_eq!(choose(&held, 100, 10, ConnectionCapacity::Exhausted), Choice::Use(1));
-    // One a host is all that there is with as many hosts as places.
+    // With as many backends as connections each has one.
     assert_eq!(choose(&held, 100, 90, ConnectionCapacity::Available), Choice::Use(1));
 }
 
@@ -129,7 +143,7 @@
 }
 
 #[test]
-fn what_fits_nowhere_is_not_forced() {
+fn what_fits_on_no_connection_is_not_forced() {
     let full: Vec<ConnectionView> =
         (1..=8).map(|id| ConnectionView { fits: false, ..view(id, 32, 0) }).collect();
     assert_eq!(choose(&full, 100, 10, ConnectionCapacity::Available), Choice::Unavailable);
@@ -137,7 +151,7 @@
 }
 
 #[test]
-fn the_one_that_rested_longest_gives_way() {
+fn the_one_that_was_idle_longest_is_evicted() {
     assert_eq!(connection_to_evict([(4, 30), (2, 10), (9, 10)].into_iter()), Some(2));
     assert_eq!(connection_to_evict(std::iter::empty()), None);
 }
