--- a/crates/router/src/admission.rs
+++ b/crates/router/src/admission.rs
@@ -7,10 +7,10 @@
 //! - at random, with the drop rate of its class. [`Admission`] raises that rate by a fixed step in each control
 //!   interval in which too few of the class's recent queries met their latency objective, and lowers it by
 //!   the same step in every other. Queries that miss only because of outliers do not count
-//!   ([`excluded_from_objective`]);
+//!   (`excluded_from_objective`);
 //! - so many of its parts have no replica that answers in time that it [`cannot_meet_objective`].
 //!
-//! A retry is told when to come back at the earliest by [`retry_after`].
+//! A retry is told when to come back at the earliest by `retry_after`.
 
 use crate::events::{Outcome, QueryArrival};
 use crate::ids::{BackendId, ClassId, Micros};
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -1,8 +1,8 @@
-//! What a router is told and what it asks for: events in, actions out.
+//! What a router is told and what it asks for: events in, actions out. All times are in microseconds.
 
 use crate::ids::{BackendId, ClassId, Micros, PartId, QueryId, ShardId, ZoneId};
 
-/// What the list says of a server.
+/// What the endpoint list says of a backend.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
     /// Takes parts.
@@ -14,31 +14,31 @@
     Removed,
 }
 
-/// One entry of the list of servers.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// The server.
+    /// The backend.
     pub backend: BackendId,
-    /// Its cell, which says what shards it holds.
+    /// Its ring position, which says what shards it holds.
     pub ring_position: u32,
     /// Its state.
     pub state: EndpointState,
-    /// When it last started; `None` for a long time ago.
+    /// When it last started; `None` for long ago.
     pub started_at: Option<Micros>,
     /// Its zone, where that is known.
     pub zone: Option<ZoneId>,
 }
 
-/// News of the list of servers.
+/// An update of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointUpdate {
-    /// The whole list; a server that is missing is gone.
+    /// The whole list; a backend that is missing is removed.
     Snapshot(Vec<Endpoint>),
     /// Changed entries only.
     Delta(Vec<Endpoint>),
     /// The whole list as last seen before this router started; it may be stale.
     CachedSnapshot(Vec<Endpoint>),
-    /// An ask failed or the subscription dropped; the old list holds.
+    /// A poll or a watch failed; the old list holds.
     Failed,
 }
 
@@ -53,10 +53,11 @@
     pub expires_in: Micros,
     /// Expected work of all parts, where known.
     pub work_hint: Option<Micros>,
-    /// Marked as a client's further try; `false` where clients do not mark them.
+    /// Marked as a client's retry; `false` where clients do not mark them.
     pub retry: bool,
     /// Somebody else decides which parts it needs and when it is answered: parts come one by one
-    /// ([`Event::PartArrived`]), a lost one is told ([`Action::PartFailed`]), and its end comes as [`Event::QueryCompleted`].
+    /// ([`Event::PartArrived`]), each that fails is reported ([`Action::PartFailed`]), and its end comes as
+    /// [`Event::QueryCompleted`].
     pub planned: bool,
 }
 
@@ -67,7 +68,7 @@
     pub query: QueryId,
     /// The part.
     pub part: PartId,
-    /// The shard that it asks.
+    /// The shard that it queries.
     pub shard: ShardId,
     /// Its weight; those of a step sum to 1.
     pub weight: f64,
@@ -80,32 +81,32 @@
 pub enum Outcome {
     /// Answered.
     Succeeded,
-    /// The server reported an error; the part may have run.
+    /// The backend reported an error; the part may have run.
     BackendError,
-    /// Turned away unseen; it never ran.
+    /// Rejected by a full backend; the part never ran.
     Rejected,
-    /// No answer in time; it may have run.
+    /// No answer in time; the part may have run.
     TimedOut,
-    /// No connection in time; it never ran.
+    /// No connection in time; the part never ran.
     ConnectFailed,
-    /// The connection dropped; it may have run.
+    /// The connection dropped; the part may have run.
     ConnectionLost,
-    /// Called off; it may have run.
+    /// Cancelled; the part may have run.
     Cancelled,
-    /// Never sent; it never ran.
+    /// Never sent; the part never ran.
     NotSent,
 }
 
 /// One thing that happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the list of servers.
+    /// The endpoint list changed, or could not be had.
     EndpointUpdate(EndpointUpdate),
     /// A query arrived.
     QueryArrived(QueryArrival),
     /// A part arrived.
     PartArrived(PartArrival),
-    /// A wake-up that was asked for is due.
+    /// The wake-up that [`Action::SetTimer`] asked for is due.
     TimerExpired,
     /// Nobody needs this part of a planned query any more.
     PartCancelled(PartId),
@@ -113,10 +114,10 @@
     QueryCompleted {
         /// The query.
         query: QueryId,
-        /// It was answered; otherwise it was refused or failed.
+        /// It was answered; otherwise it was rejected or failed.
         answered: bool,
     },
-    /// The client of a query left.
+    /// The client of a query disconnected.
     ClientDisconnected(QueryId),
     /// An attempt ended.
     AttemptCompleted {
@@ -129,9 +130,9 @@
         /// Time since it was sent.
         took: Micros,
     },
-    /// A probe came back.
+    /// A health check came back.
     HealthCheckCompleted {
-        /// The server probed.
+        /// The backend checked.
         backend: BackendId,
         /// Whether it passed.
         passed: bool,
@@ -141,7 +142,7 @@
 /// One thing to do, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// A part of a planned query can never come in.
+    /// A part of a planned query can never be answered.
     PartFailed {
         /// The part.
         part: PartId,
@@ -152,44 +153,44 @@
         part: PartId,
         /// Where to.
         backend: BackendId,
-        /// Its time-out.
+        /// How long its answer is waited for.
         timeout: Micros,
         /// It must not begin later than this from now, however long it waits for a connection; at most the
         /// time-out.
         begin_within: Micros,
     },
-    /// Call an attempt off.
+    /// Cancel an attempt.
     Cancel {
         /// The part.
         part: PartId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Answer a query from the parts that are in. In a class with a second step, the first answer
+    /// Answer a query with the parts that are in. In a class with a second step, the first answer
     /// brings that step's parts.
     Respond {
         /// The query.
         query: QueryId,
-        /// Whether the answer is whole.
+        /// Whether the answer is complete.
         complete: bool,
     },
-    /// Turn a query away; trying again is harmless.
+    /// Reject a query; the client may safely try again.
     Reject {
         /// The query.
         query: QueryId,
-        /// Advice on when to come back; 0 for none.
+        /// Advice on when to come back, from now; 0 for none.
         retry_after: Micros,
     },
-    /// Give a query up without a promise.
+    /// Fail a query; it may have taken effect.
     Fail {
         /// The query.
         query: QueryId,
     },
-    /// Ask for [`Event::TimerExpired`] after so long.
+    /// Send [`Event::TimerExpired`] after this time.
     SetTimer(Micros),
     /// Watch the endpoint list from now on.
     WatchEndpoints,
-    /// Probe a server.
+    /// Send a backend a health check.
     HealthCheck(BackendId),
     /// Log that a backend is an outlier from now on.
     BackendEjected(BackendId),
@@ -197,17 +198,17 @@
     BackendRecovered(BackendId),
 }
 
-/// What a router makes of one server.
+/// What a router makes of one backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendView {
-    /// The server.
+    /// The backend.
     pub backend: BackendId,
-    /// What the list says of it.
+    /// What the endpoint list says of it.
     pub state: EndpointState,
-    /// Whether it is passed over while others can serve.
+    /// Whether it is an outlier, and gets parts only where no other replica can take them.
     pub ejected: bool,
-    /// Whether it may still be cold.
+    /// Whether it may still be warming up.
     pub warming_up: bool,
-    /// Our parts out on it.
+    /// This router's parts in flight there.
     pub parts_in_flight: u32,
 }
--- a/crates/router/src/ids.rs
+++ b/crates/router/src/ids.rs
@@ -1,6 +1,6 @@
 //! Names of the things that a router deals with, and its unit of time.
 
-/// A length of time or a point of the caller's clock, in microseconds.
+/// A length of time, or an instant of the caller's clock, in microseconds.
 pub type Micros = u64;
 
 /// Names one query. The value is the caller's; it never repeats.
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartId(pub u128);
 
-/// Names one server, a machine that holds replicas of some shards.
+/// Names one backend, a machine that holds replicas of some shards.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendId(pub u32);
 
@@ -19,10 +19,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ShardId(pub u32);
 
-/// Names one zone, a place with its own servers and routers.
+/// Names one zone, a place with its own backends and routers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
-/// Position of a class in [`Settings::classes`].
+/// Position of a class in [`Settings::classes`](crate::Settings::classes).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,9 +1,20 @@
 //! The decisions of a co-ordinator of queries over replicated shards.
 //!
-//! A [`Router`] is told what happened and says what to do. It has no clock, no threads, no I/O and no
-//! global state; the same seed and the same events give the same actions. It keeps the tail of each
-//! class of query inside its aim by refusing whole queries at random while too many miss it, and sends
-//! each part to the replica with the fewest of its own parts out.
+//! A [`Router`] is told what happened ([`Event`]) and says what to do ([`Action`]). It has no clock, no threads,
+//! no I/O and no global state; the same seed and the same events give the same actions.
+//!
+//! | question | module |
+//! | --- | --- |
+//! | Which queries are rejected on arrival? | [`admission`] |
+//! | Which backends hold a shard, and when is the endpoint list watched again? | `endpoints` |
+//! | Which replica is a part sent to? | `replica_selection` |
+//! | What is a backend sent that warms up? | [`slow_start`] |
+//! | Which backends are ejected, and how do they come back? | [`outlier`] |
+//! | When is a part retried or hedged, and when never? | [`retry`], [`overdue`] |
+//! | When does a query end, and how? | [`completion`] |
+//!
+//! `router` dispatches events and timers to the steps that pass facts to these rules and carry out what they
+//! decide.
 //!
 //! ```
 //! use mallowgauge_router::{
--- a/crates/router/src/retry.rs
+++ b/crates/router/src/retry.rs
@@ -2,7 +2,7 @@
 //!
 //! Three questions, each answered in one place: would a repeat be harmless and within the limits
 //! ([`RetryPolicy`])? Is there budget for it ([`RetryBudget`])? Does the query seem to bring its backends down
-//! ([`is_poison_query`])? When an attempt that is in flight calls for another is in [`crate::overdue`].
+//! (`is_poison_query`)? When an attempt that is in flight calls for another is in [`crate::overdue`].
 
 use std::collections::{BTreeSet, VecDeque};
 
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -219,7 +219,7 @@
     }
 
     /// What this router makes of each backend that it knows.
-    pub fn servers(&self) -> impl Iterator<Item = BackendView> + '_ {
+    pub fn backends(&self) -> impl Iterator<Item = BackendView> + '_ {
         self.endpoints.iter().map(|(id, backend)| BackendView {
             backend: *id,
             state: backend.state,
--- a/crates/router/tests/admission.rs
+++ b/crates/router/tests/admission.rs
@@ -136,7 +136,7 @@
         let others = sends(&d.query(1_000 + j, 1, &[0, 4]));
         d.pass(75 * MS);
         others.iter().for_each(|(part, _)| drop(d.served(*part, 0, 75 * MS)));
-        assert!(!d.router.servers().any(|s| s.ejected));
+        assert!(!d.router.backends().any(|s| s.ejected));
         assert_eq!(d.router.drop_rate(ClassId(0)), Some(0.0), "query {j}");
     }
 }
--- a/crates/router/tests/endpoints.rs
+++ b/crates/router/tests/endpoints.rs
@@ -45,13 +45,13 @@
     let (part, server) = sends(&d.query(1, 0, &[0]))[0];
     let gone = |id: BackendId| Endpoint { backend: id, ..entry(0, EndpointState::Removed, None) };
     for fresh in 6..100 {
-        let known: Vec<BackendId> = d.router.servers().map(|s| s.backend).collect();
+        let known: Vec<BackendId> = d.router.backends().map(|s| s.backend).collect();
         let list =
             known.iter().map(|id| gone(*id)).chain([entry(fresh, EndpointState::Ready, None)]).collect();
         d.give(vec![Event::EndpointUpdate(EndpointUpdate::Delta(list))]);
         d.now += 10 * MS;
     }
-    let known = |d: &Driver| d.router.servers().map(|s| s.backend).collect::<Vec<_>>();
+    let known = |d: &Driver| d.router.backends().map(|s| s.backend).collect::<Vec<_>>();
     assert_eq!(known(&d), [server, BackendId(99)], "a part is out on the first");
     d.served(part, 0, SECOND);
     d.pass(3 * SECOND);
--- a/crates/router/tests/outlier.rs
+++ b/crates/router/tests/outlier.rs
@@ -12,7 +12,7 @@
     let (part, sick) = sends(&d.query(1, 0, &[0]))[0];
     assert_eq!(sends(&d.ended(part, 0, Outcome::BackendError, 2 * MS)).len(), 1);
     d.served(part, 1, 50 * MS);
-    let suspect = |d: &Driver| d.router.servers().any(|s| s.backend == sick && s.ejected);
+    let suspect = |d: &Driver| d.router.backends().any(|s| s.backend == sick && s.ejected);
     assert!(suspect(&d));
     for i in 10..20 {
         let sent = sends(&d.query(i, 0, &[0]));
@@ -37,7 +37,7 @@
             d.ended(part, 0, Outcome::BackendError, 2 * MS);
         }
     }
-    assert_eq!(d.router.servers().filter(|s| s.ejected).count(), 2);
+    assert_eq!(d.router.backends().filter(|s| s.ejected).count(), 2);
     d.pass(8 * SECOND);
     assert_eq!(sends(&d.query(50, 0, &[0])).len(), 1);
 }
@@ -82,7 +82,7 @@
             d.served(part, 0, 900 * MS);
         }
         d.pass(4_100 * MS);
-        assert!(!d.router.servers().any(|s| s.ejected), "query {i}");
+        assert!(!d.router.backends().any(|s| s.ejected), "query {i}");
     }
 }
 
@@ -100,7 +100,7 @@
         }
         d.pass(5 * SECOND);
     }
-    let suspects: Vec<_> = d.router.servers().filter(|s| s.ejected).map(|s| s.backend.0).collect();
+    let suspects: Vec<_> = d.router.backends().filter(|s| s.ejected).map(|s| s.backend.0).collect();
     assert_eq!(suspects, [2]);
 }
 
@@ -111,7 +111,7 @@
 fn a_broken_connection_now_and_then_makes_no_suspect() {
     let mut d = Driver::ready(safe());
     d.warm_up(0, 30);
-    let suspects = |d: &Driver| d.router.servers().filter(|s| s.ejected).count();
+    let suspects = |d: &Driver| d.router.backends().filter(|s| s.ejected).count();
     let mut query = 0;
     let mut run = |d: &mut Driver, cut: bool| {
         let sent: Vec<_> = (0..4).flat_map(|_| (query += 1, sends(&d.query(query, 0, &[0]))).1).collect();
--- a/crates/router/tests/retry.rs
+++ b/crates/router/tests/retry.rs
@@ -81,7 +81,7 @@
     // Everyone is as slow for a while ...
     let slow: Vec<_> = (0..10).flat_map(|i| sends(&d.query(10 + i, 0, &[1, 2, 3, 4]))).collect();
     d.pass(400 * MS);
-    assert!(!d.router.servers().any(|s| s.ejected));
+    assert!(!d.router.backends().any(|s| s.ejected));
     // ... then the others answer and go on quickly.
     for (part, to) in slow {
         if to != server {
