--- a/crates/router/tests/admission.rs
+++ b/crates/router/tests/admission.rs
@@ -3,6 +3,8 @@
 mod common;
 
 use common::*;
+use mallowgauge_router::admission::{cannot_meet_objective, Admission, ExpectedPart};
+use mallowgauge_router::random::Random;
 use mallowgauge_router::*;
 
 #[test]
@@ -174,3 +176,103 @@
         assert_eq!(finals(&actions).len(), usize::from(id != 5), "query {id}: {actions:?}");
     }
 }
+
+// ---- the rule by itself ----
+
+const FIRST: ClassId = ClassId(0);
+/// The period in which a drop rate moves one step.
+const CONTROL_INTERVAL: Micros = 20 * MS;
+
+/// Lets control intervals pass, with one query in each that met or missed its objective.
+fn control(admission: &mut Admission, now: &mut Micros, intervals: u32, met_objective: bool) {
+    for _ in 0..intervals {
+        admission.record(FIRST, met_objective);
+        *now += CONTROL_INTERVAL;
+        admission.advance(*now);
+    }
+}
+
+#[test]
+fn the_drop_rate_moves_one_step_in_each_control_interval() {
+    let (mut admission, mut now) = (Admission::new(1), SECOND);
+    admission.advance(now);
+    control(&mut admission, &mut now, 10, false);
+    let rate = admission.drop_rate(FIRST).expect("a class");
+    assert!((rate - 0.03).abs() < 1e-9, "ten steps of 0.003: {rate}");
+    assert!(admission.is_shedding(FIRST));
+    // Late by five intervals: all of them are made up for, with what was counted last.
+    now += 5 * CONTROL_INTERVAL;
+    admission.advance(now);
+    let rate = admission.drop_rate(FIRST).expect("a class");
+    assert!((rate - 0.045).abs() < 1e-9, "{rate}");
+    assert_eq!(admission.drop_rate(ClassId(1)), None);
+}
+
+#[test]
+fn the_drop_rate_stays_below_one_and_falls_to_zero() {
+    let (mut admission, mut now) = (Admission::new(1), SECOND);
+    admission.advance(now);
+    control(&mut admission, &mut now, 1_000, false);
+    assert_eq!(admission.drop_rate(FIRST), Some(0.99));
+    control(&mut admission, &mut now, 1_000, true);
+    assert_eq!(admission.drop_rate(FIRST), Some(0.0));
+}
+
+#[test]
+fn an_objective_that_has_passed_rejects_only_where_late_answers_are_worth_little() {
+    let (mut admission, mut now, mut random) = (Admission::new(1), SECOND, Random::with_seed(1));
+    let valuable = class(Idempotency::Idempotent);
+    let worthless = Class { late_value: 0.0, ..valuable.clone() };
+    assert!(!admission.sheds(FIRST, &valuable, true, &mut random));
+    assert!(admission.sheds(FIRST, &worthless, true, &mut random));
+    assert!(!admission.sheds(FIRST, &worthless, false, &mut random));
+    // While others are rejected it takes the place of one that is worth more.
+    admission.advance(now);
+    control(&mut admission, &mut now, 1, false);
+    assert!(admission.sheds(FIRST, &valuable, true, &mut random));
+}
+
+#[test]
+fn the_draw_rejects_the_fraction_that_the_drop_rate_says() {
+    let (mut admission, mut now, mut random) = (Admission::new(1), SECOND, Random::with_seed(1));
+    admission.advance(now);
+    control(&mut admission, &mut now, 100, false);
+    let class = class(Idempotency::Idempotent);
+    let rejected = (0..10_000).filter(|_| admission.sheds(FIRST, &class, false, &mut random)).count();
+    assert!((2_800..3_200).contains(&rejected), "{rejected} of 10,000 at 0.3");
+}
+
+#[test]
+fn a_retry_has_the_time_that_its_first_attempt_left() {
+    let mut admission = Admission::new(1);
+    let class = class(Idempotency::Idempotent);
+    let mut objective = |retry: bool, expires_in: Micros| {
+        let (query, class_id, work_hint, planned) = (QueryId(1), FIRST, None, false);
+        let arrival = QueryArrival { query, class: class_id, expires_in, work_hint, retry, planned };
+        admission.objective(&class, &arrival)
+    };
+    let first = objective(false, 6 * SECOND);
+    assert_eq!((first.time_left, first.excluded), (2 * SECOND, false));
+    let early = objective(true, 5 * SECOND);
+    assert_eq!((early.time_left, early.excluded), (SECOND, false));
+    let late = objective(true, 3 * SECOND);
+    assert_eq!((late.time_left, late.excluded), (0, true));
+    // A first attempt with little time has the whole objective, but its miss is not counted.
+    let hurried = objective(false, 900 * MS);
+    assert_eq!((hurried.time_left, hurried.excluded), (2 * SECOND, true));
+}
+
+#[test]
+fn a_query_whose_slow_parts_weigh_too_much_cannot_meet_its_objective() {
+    let all = class(Idempotency::Idempotent);
+    let half = Class { minimum_completeness: 0.5, ..all.clone() };
+    let parts = |waits: [Option<f64>; 2]| waits.map(|wait| ExpectedPart { weight: 0.5, wait }).into_iter();
+    let (fast, slow) = (Some(599_000.0), Some(601_000.0)); // Beside 0.3 of two seconds.
+    assert!(!cannot_meet_objective(&all, 2 * SECOND, parts([fast, fast])));
+    assert!(cannot_meet_objective(&all, 2 * SECOND, parts([fast, slow])));
+    assert!(cannot_meet_objective(&all, 2 * SECOND, parts([fast, Some(f64::INFINITY)])));
+    assert!(!cannot_meet_objective(&half, 2 * SECOND, parts([fast, slow])));
+    assert!(cannot_meet_objective(&half, 2 * SECOND, parts([slow, slow])));
+    // A shard without a replica says nothing of the time: the query waits for one.
+    assert!(!cannot_meet_objective(&all, 2 * SECOND, parts([fast, None])));
+}
--- a/crates/router/tests/completion.rs
+++ b/crates/router/tests/completion.rs
@@ -3,6 +3,7 @@
 mod common;
 
 use common::*;
+use mallowgauge_router::completion::{parts_to_send, Answer, Ending, Progress};
 use mallowgauge_router::*;
 
 #[test]
@@ -104,3 +105,76 @@
     ]);
     assert_eq!(d.give(Vec::new()), []);
 }
+
+// ---- the rule by itself ----
+
+/// A class whose answers need half of the weight, and are complete with three quarters.
+fn partial_class() -> Class {
+    let class = class(Idempotency::Idempotent);
+    Class { minimum_completeness: 0.5, required_completeness: 0.75, ..class }
+}
+
+/// A query of four parts of equal weight, of which so many are answered.
+fn progress(step: Step, answered_parts: usize) -> Progress {
+    let answered_weight = answered_parts as f64 / 4.0;
+    Progress { step, planned: false, parts: 4, answered_parts, answered_weight }
+}
+
+#[test]
+fn a_first_step_is_complete_with_the_required_weight_and_a_second_with_all_parts() {
+    let class = partial_class();
+    let complete = |complete: bool| Some(Answer { complete });
+    assert_eq!(progress(Step::First, 2).answer(&class), None);
+    assert_eq!(progress(Step::First, 3).answer(&class), complete(true));
+    for first_complete in [true, false] {
+        let second = Step::Second { first_complete };
+        assert_eq!(progress(second, 3).answer(&class), None);
+        assert_eq!(progress(second, 4).answer(&class), complete(first_complete));
+    }
+    assert_eq!(Progress { planned: true, ..progress(Step::First, 4) }.answer(&class), None);
+    assert_eq!(Progress { parts: 0, ..progress(Step::First, 4) }.answer(&class), None);
+}
+
+#[test]
+fn before_the_objective_a_partial_answer_is_given_if_it_is_worth_more_than_a_late_one() {
+    let at_objective = |answered: usize, late_value: f64, planned: bool| {
+        let class = Class { late_value, ..partial_class() };
+        Progress { planned, ..progress(Step::First, answered) }.at_objective(&class)
+    };
+    // 0.9 x 2/3 of the value.
+    assert_eq!(at_objective(2, 0.5, false), Ending::RespondPartially);
+    assert_eq!(at_objective(2, 0.7, false), Ending::Continue);
+    assert_eq!(at_objective(1, 0.1, false), Ending::Continue, "below the minimum");
+    assert_eq!(at_objective(1, 0.0, false), Ending::GiveUp, "a late answer is worth nothing");
+    assert_eq!(at_objective(2, 0.0, true), Ending::Continue, "who planned it decides");
+}
+
+#[test]
+fn before_the_deadline_a_query_ends_with_what_may_be_answered() {
+    let class = partial_class();
+    let two_steps = Class { second_step_parts: 2, ..partial_class() };
+    let second = Step::Second { first_complete: true };
+    assert_eq!(progress(Step::First, 2).at_deadline(&class), Ending::RespondPartially);
+    assert_eq!(progress(Step::First, 1).at_deadline(&class), Ending::GiveUp);
+    assert_eq!(
+        progress(Step::First, 2).at_deadline(&two_steps),
+        Ending::GiveUp,
+        "no time for its second step"
+    );
+    assert_eq!(progress(second, 2).at_deadline(&two_steps), Ending::RespondPartially);
+    assert!(
+        progress(Step::First, 0).is_hopeless(&class, 0.4)
+            && !progress(Step::First, 0).is_hopeless(&class, 0.5)
+    );
+    assert!(
+        progress(second, 0).is_hopeless(&two_steps, 0.9) && !progress(second, 0).is_hopeless(&two_steps, 1.0)
+    );
+}
+
+#[test]
+fn one_part_more_is_sent_than_a_complete_answer_needs() {
+    let count = |weights: &[f64]| parts_to_send(&partial_class(), weights.iter().copied());
+    assert_eq!(count(&[0.25; 4]), 4);
+    assert_eq!(count(&[0.1; 10]), 9);
+    assert_eq!(count(&[0.8, 0.1, 0.1]), 2);
+}
--- a/crates/router/tests/outlier.rs
+++ b/crates/router/tests/outlier.rs
@@ -3,6 +3,7 @@
 mod common;
 
 use common::*;
+use mallowgauge_router::outlier::{BackendHealth, HealthChange, HealthSignal, OutlierDetector};
 use mallowgauge_router::*;
 
 #[test]
@@ -134,3 +135,74 @@
     (0..3).for_each(|_| run(&mut d, true));
     assert!(suspects(&d) > 0);
 }
+
+// ---- the rule by itself ----
+
+fn detector(health_checks: bool) -> OutlierDetector {
+    let mut s = safe();
+    s.limits.health_checks = health_checks;
+    OutlierDetector::new(&s)
+}
+
+#[test]
+fn one_strong_or_two_weak_failures_eject_and_a_batch_counts_one() {
+    let (detector, mut health) = (detector(true), BackendHealth::default());
+    assert_eq!(detector.record(&mut health, 1, HealthSignal::WeakFailure), None);
+    assert_eq!(detector.record(&mut health, 1, HealthSignal::WeakFailure), None, "of the same batch");
+    assert!(!health.is_ejected());
+    let second = detector.record(&mut health, 2, HealthSignal::WeakFailure);
+    assert_eq!((second, health.is_ejected()), (Some(HealthChange::Ejected), true));
+    let mut health = BackendHealth::default();
+    let strong = detector.record(&mut health, 1, HealthSignal::StrongFailure);
+    assert_eq!((strong, health.avoidance()), (Some(HealthChange::Ejected), 4), "0.6 in grades of an eighth");
+}
+
+#[test]
+fn answers_to_recovery_attempts_bring_a_backend_back_sooner() {
+    let detector = detector(true);
+    let answers_until_recovery = |signal: HealthSignal| {
+        let mut health = BackendHealth::default();
+        (1..=4).for_each(|now| _ = detector.record(&mut health, now, HealthSignal::StrongFailure));
+        (1..100).find(|_| detector.record(&mut health, 5, signal) == Some(HealthChange::Recovered))
+    };
+    assert_eq!(answers_until_recovery(HealthSignal::RecoverySuccess), Some(2));
+    assert_eq!(answers_until_recovery(HealthSignal::Success), Some(14));
+    let mut health = BackendHealth::default();
+    detector.record(&mut health, 7, HealthSignal::StrongFailure);
+    assert!(!health.is_recovery(7) && health.is_recovery(8), "what was sent after the ejection");
+}
+
+#[test]
+fn the_wait_for_a_recovery_attempt_doubles_three_times() {
+    let (detector, mut health) = (detector(true), BackendHealth::default());
+    detector.record(&mut health, 1, HealthSignal::StrongFailure);
+    let mut waits = Vec::new();
+    for _ in 0..5 {
+        waits.push(detector.recovery_wait(&health, 0.0) / SECOND);
+        detector.back_off(&mut health);
+    }
+    assert_eq!(waits, [1, 2, 4, 8, 8], "half of the objective of two seconds, and doubled");
+    // A router that comes by rarely waits for half of that time, up to four seconds.
+    health.reset();
+    assert_eq!(detector.recovery_wait(&health, 3.0 * SECOND as f64), 1_500 * MS);
+    assert_eq!(detector.recovery_wait(&health, 60.0 * SECOND as f64), 4 * SECOND);
+}
+
+#[test]
+fn a_recovery_attempt_needs_a_passed_health_check_where_these_are_allowed() {
+    for health_checks in [true, false] {
+        let (detector, mut health) = (detector(health_checks), BackendHealth::default());
+        detector.record(&mut health, 1, HealthSignal::StrongFailure);
+        assert_eq!(detector.recovery_due(&mut health), health_checks);
+        assert_eq!(health.avoidance() == 0, !health_checks);
+        if health_checks {
+            assert!(detector.health_check_completed(&mut health, false), "failed: the wait begins anew");
+            assert_ne!(health.avoidance(), 0);
+            assert!(!detector.health_check_completed(&mut health, true));
+            assert_eq!(health.avoidance(), 0);
+        }
+        assert!(health.start_recovery_attempt());
+        assert!(!health.start_recovery_attempt(), "one part only");
+        assert_ne!(health.avoidance(), 0);
+    }
+}
--- a/crates/router/tests/retry.rs
+++ b/crates/router/tests/retry.rs
@@ -3,6 +3,8 @@
 mod common;
 
 use common::*;
+use mallowgauge_router::overdue::RecentAnswers;
+use mallowgauge_router::retry::{PartHistory, RetryBudget, RetryPolicy};
 use mallowgauge_router::*;
 
 /// A warmed-up router that may have only one attempt of a part out.
@@ -213,3 +215,88 @@
     let again = d.give(sent.iter().map(away(Outcome::BackendError)).collect());
     assert!((4..=6).contains(&sends(&again).len()), "{}", sends(&again).len());
 }
+
+// ---- the rules by themselves ----
+
+fn history(idempotency: Idempotency, possibly_executed_at: Option<Micros>) -> PartHistory {
+    PartHistory { idempotency, attempts: 1, in_flight: false, possibly_executed_at }
+}
+
+#[test]
+fn only_what_cannot_take_effect_twice_is_repeated() {
+    let policy = RetryPolicy::new(&safe().limits);
+    let keyed = Idempotency::Keyed { dedup_window: SECOND };
+    let cases = [
+        (Idempotency::Idempotent, Some(5), Micros::MAX),
+        (keyed, Some(5), SECOND + 5),
+        (keyed, None, Micros::MAX),
+        (Idempotency::NonIdempotent, Some(5), 0),
+        (Idempotency::NonIdempotent, None, Micros::MAX),
+    ];
+    for (idempotency, possibly_executed_at, repeat_by) in cases {
+        let part = history(idempotency, possibly_executed_at);
+        assert_eq!(policy.repeat_by(&part), repeat_by, "{part:?}");
+        assert!(!policy.may_repeat(repeat_by, &part, false), "{part:?}");
+        assert_eq!(policy.may_repeat(repeat_by.saturating_sub(1), &part, false), repeat_by > 0, "{part:?}");
+    }
+}
+
+#[test]
+fn attempts_are_limited_in_all_and_at_once() {
+    for hedging in [true, false] {
+        let policy = RetryPolicy::new(&DeploymentLimits { hedging, ..safe().limits });
+        let part = history(Idempotency::Idempotent, Some(0));
+        assert!(policy.may_repeat(1, &PartHistory { attempts: 3, ..part }, false));
+        assert!(!policy.may_repeat(1, &PartHistory { attempts: 4, ..part }, false), "four are allowed");
+        let in_flight = PartHistory { in_flight: true, ..part };
+        assert_eq!(policy.may_repeat(1, &in_flight, false), hedging);
+        assert!(policy.may_repeat(1, &in_flight, true), "once the one in flight is cancelled");
+    }
+}
+
+#[test]
+fn the_budget_counts_retries_in_its_window_and_leaves_hedges_half() {
+    let settings = RetryBudgetSettings { min_retries: 2.0, retry_ratio: 0.1, window: SECOND };
+    let mut budget = RetryBudget::new(Some(&settings));
+    budget.record(10);
+    // 2 + 0.1 x 20 = 4 are allowed, 2 of them for hedges; one is used.
+    assert!(budget.allows_retry(20) && budget.allows_hedge(20));
+    budget.record(20);
+    assert!(budget.allows_retry(20) && !budget.allows_hedge(20));
+    assert!(!budget.allows_retry(0), "two are allowed where nothing arrives");
+    budget.advance(SECOND + 11);
+    assert!(budget.allows_retry(0), "the first has left the window");
+}
+
+#[test]
+fn only_the_default_budget_leaves_out_parts_that_were_never_run() {
+    let settings = RetryBudgetSettings { min_retries: 2.0, retry_ratio: 0.1, window: SECOND };
+    for configured in [Some(&settings), None] {
+        let budget = RetryBudget::new(configured);
+        assert!(!budget.applies_to(0, true, false), "a first attempt");
+        assert!(budget.applies_to(1, false, false), "a part that may have run");
+        assert!(budget.applies_to(1, true, true), "while the class sheds load");
+        assert_eq!(budget.applies_to(1, true, false), configured.is_some());
+    }
+}
+
+#[test]
+fn an_attempt_is_overdue_beside_later_answers_only() {
+    let mut answers = RecentAnswers::new(&safe().classes);
+    assert_eq!(
+        answers.overdue_after(),
+        900 * MS,
+        "three times 0.15 of two seconds, before anything is known"
+    );
+    let sent_at = 10 * SECOND;
+    let now = sent_at + SECOND;
+    (0..30).for_each(|_| answers.record(sent_at, 50 * MS));
+    assert!(!answers.is_overdue(now, sent_at, 0), "all others were sent before it");
+    (0..3).for_each(|_| answers.record(sent_at + 60 * MS, 50 * MS));
+    assert!(answers.is_overdue(now, sent_at, 0));
+    assert!(!answers.is_overdue(sent_at + 299 * MS, sent_at, 0), "not yet");
+    // Slow answers move the median, and nothing is overdue where all are slow.
+    (0..33).for_each(|_| answers.record(now, 500 * MS));
+    assert_eq!(answers.overdue_after(), 1_500 * MS);
+    assert!(!answers.is_overdue(now, sent_at, 0));
+}
--- a/crates/router/tests/slow_start.rs
+++ b/crates/router/tests/slow_start.rs
@@ -3,6 +3,8 @@
 mod common;
 
 use common::*;
+use mallowgauge_router::slow_start::{Candidate, Demand, PartWork, RecentWork, SlowStart};
+use mallowgauge_router::traffic::Traffic;
 use mallowgauge_router::*;
 
 #[test]
@@ -66,3 +68,77 @@
     // Its holders are warm by 0.2 to 0.4 in these six seconds.
     assert!((15..30).contains(&refused), "{refused} of 30");
 }
+
+// ---- the rule by itself ----
+
+const STARTED: Option<Micros> = Some(100 * SECOND);
+const NOW: Micros = 102 * SECOND;
+/// Parts of 50 ms, one a call.
+const PART: PartWork = PartWork { part: 50_000.0, call: 0.0, joins_call: false };
+
+fn slow_start(routers: u32) -> SlowStart {
+    SlowStart::new(&Settings { routers, ..safe() })
+}
+
+/// Traffic of a router that runs for ten seconds and has had so many parts in the last five.
+fn traffic(parts: usize) -> Traffic {
+    let mut traffic = Traffic::new(5 * SECOND);
+    traffic.advance(NOW - 10 * SECOND);
+    traffic.record_admitted_parts(NOW - SECOND, parts);
+    traffic.advance(NOW);
+    traffic
+}
+
+fn demand(query: u128, traffic: &Traffic) -> Demand<'_> {
+    Demand { query: QueryId(query), traffic, waiting_parts: 0, ready_backends: 6.0 }
+}
+
+/// How many parts one after the other a backend is sent that started at `started_at`.
+fn admitted_parts(rule: &SlowStart, started_at: Option<Micros>) -> usize {
+    let (traffic, mut recent_work) = (traffic(10), RecentWork::default());
+    let admits = |_: &u128| {
+        let backend = Candidate { started_at, recent_work: &recent_work };
+        let admitted = rule.admits(NOW, backend, PART, demand(1, &traffic), [started_at, None].into_iter());
+        if admitted {
+            recent_work.record(NOW, 2 * SECOND, PART.added());
+        }
+        admitted
+    };
+    (0..1_000).take_while(admits).count()
+}
+
+#[test]
+fn capacity_grows_evenly_over_the_warm_up_time() {
+    let rule = slow_start(2);
+    let fraction = |age: Micros| rule.warm_up_fraction(STARTED, 100 * SECOND + age);
+    assert_eq!((fraction(0), fraction(10 * SECOND), fraction(60 * SECOND)), (0.2, 1.0, 1.0));
+    assert!((fraction(5 * SECOND) - 0.6).abs() < 1e-9);
+    assert_eq!(rule.warm_up_fraction(None, 0), 1.0, "started long ago");
+    assert!(rule.is_warming_up(STARTED, NOW) && !rule.is_warming_up(STARTED, NOW + 8 * SECOND));
+    assert!(!rule.is_warming_up(None, NOW));
+}
+
+#[test]
+fn a_router_sends_its_quota_of_what_a_warming_backend_bears() {
+    // 0.8 x 3 x 0.2 x 2 s = 0.96 s of work for all routers.
+    assert_eq!(admitted_parts(&slow_start(1), STARTED), 19);
+    assert_eq!(admitted_parts(&slow_start(4), STARTED), 4);
+    assert_eq!(admitted_parts(&slow_start(4), None), 1_000, "full capacity has no quota");
+}
+
+#[test]
+fn a_quota_of_less_than_a_part_is_drawn_for_by_query() {
+    let (rule, traffic, nothing) = (slow_start(200), traffic(10), RecentWork::default());
+    let admits = |query: u128, backends: [Option<Micros>; 2]| {
+        let backend = Candidate { started_at: STARTED, recent_work: &nothing };
+        rule.admits(NOW, backend, PART, demand(query, &traffic), backends.into_iter())
+    };
+    // Where all replicas warm up, 0.75 of the 0.36 that they bear by now; 0.68 on average where one is warm.
+    let drawn = |backends| (0..1_000).filter(|&query| admits(query, backends)).count();
+    let (warming, mixed) = (drawn([STARTED, STARTED]), drawn([STARTED, None]));
+    assert!((240..300).contains(&warming), "{warming} of 1,000, not 270");
+    assert!((480..540).contains(&mixed), "{mixed} of 1,000, not 510");
+    for query in 0..100 {
+        assert_eq!(admits(query, [STARTED, STARTED]), admits(query, [STARTED, STARTED]), "query {query}");
+    }
+}
