--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -89,7 +89,7 @@
                 Some("ready") => EndpointState::Ready,
                 Some("draining") => EndpointState::Draining,
                 Some("gone") => EndpointState::Removed,
-                _ => return Err("Register: EndpointState is none of ready, draining, gone".to_owned()),
+                _ => return Err("Register: Phase is none of ready, draining, gone".to_owned()),
             };
             let cell = match (at(3), phase) {
                 (Value::Null, EndpointState::Removed) => 0,
--- a/crates/adapter/tests/adapter.rs
+++ b/crates/adapter/tests/adapter.rs
@@ -80,6 +80,10 @@
     let broken = begin()[1].replace(r#""Places":2"#, r#""Places":0"#);
     let missing = begin()[1].replace(r#""TickUs":5000,"#, "");
     let uneven = begin()[1].replace(r#""ClassFloor":[1]"#, r#""ClassFloor":[1,1]"#);
+    let entry = |fields: &str| format!(r#"["Register",1,[[{fields}]]]"#);
+    let id = format!(r#"["Left",3,"{QUERY}"]"#);
+    let part = format!(r#"["Incoming",3,"{PART}","find",null,null,4000000,null,9,SLAB,1.0,0]"#);
+    let outcome = format!(r#"["Outcome",3,"{PART}",0,"node_a","pass",80000,true,null]"#);
     let cases = [
         (r#"["Ring",3,"#.to_owned(), "not valid JSON"),
         (r#"["Ring",4,"x"]"#.to_owned(), "no instance 4"),
@@ -93,6 +97,21 @@
         (missing, "TickUs is missing"),
         (uneven, "ClassFloor is not as long as Classes"),
         (r#"["Turn",5]"#.to_owned(), "no Commit"),
+        (r#"["Turn",5]"#.to_owned(), "line 5: Turn: the batch before it has no Commit"),
+        (r#"[]"#.to_owned(), "line 5: no message name"),
+        (r#"["PowerOff",4]"#.to_owned(), "line 5: PowerOff: no instance 4"),
+        (r#"["Register",1,7]"#.to_owned(), "line 5: Register: Records is not an array"),
+        (r#"["Register",1,[7]]"#.to_owned(), "line 5: Register: an entry is not an array"),
+        (entry(r#""n",null,null,0,"lost",1,null"#), "Register: Phase is none of ready, draining, gone"),
+        (entry(r#""n",null,null,-1,"ready",1,null"#), "Register: SlotNo is not a small whole number"),
+        (entry(r#""n",null,null,0,"ready",1,"x""#), "Register: LastStartUs is not a whole number"),
+        (entry(r#"7,null,null,0,"ready",1,null"#), "Register: Node is not a text"),
+        (r#"["Sync",3,"Half",1,0]"#.to_owned(), "Sync: Mode Half is unknown"),
+        (id.replace("-", ""), "is not a request id in its canonical form"),
+        (part.replace("SLAB", "0.5"), "Incoming: Slab is not a whole number"),
+        (part.replace(r#""find""#, "1").replace("SLAB", "-1"), "Incoming: Cls is not a text"),
+        (outcome.replace("pass", "odd"), "Outcome: Rc odd is unknown"),
+        (outcome.replace(",0,", ",-1,"), "Outcome: Copy is not a whole number"),
     ];
     for (line, message) in cases {
         let mut lines = begin();
