--- a/crates/adapter/src/message.rs
+++ b/crates/adapter/src/message.rs
@@ -19,8 +19,8 @@
 impl<'a> Message<'a> {
     /// Takes the parsed line.
     pub fn new(value: &'a Value) -> Result<Self, WireError> {
-        let all = value.as_array().ok_or(WireError::NotAnArray)?;
-        let name = all.first().and_then(Value::as_str).ok_or(WireError::NoMessageName)?;
+        let Some(all) = value.as_array() else { return Err(WireError::NotAnArray) };
+        let Some(name) = all.first().and_then(Value::as_str) else { return Err(WireError::NoMessageName) };
         Ok(Self { name, values: &all[1..] })
     }
 
--- a/crates/router/src/router/endings.rs
+++ b/crates/router/src/router/endings.rs
@@ -13,7 +13,9 @@
     }
 
     pub(super) fn answer_if_complete(&mut self, id: QueryId) {
-        let Some(query) = self.queries.get(&id).filter(|query| query.admitted) else { return };
+        let Some(query) = self.queries.get(&id).filter(|query| query.admitted && !query.planned) else {
+            return;
+        };
         if let Some(answer) = self.progress(query).answer(self.class(query.class)) {
             self.respond(id, answer.complete);
         }
