--- a/crates/cluster/src/flow.rs
+++ b/crates/cluster/src/flow.rs
@@ -11,23 +11,23 @@
 
 /// What a message is worth to whoever waits for it, least first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Worth {
+pub enum Priority {
     /// Hearsay: told again by the way, and in whole views.
-    Hearsay,
+    Gossip,
     /// A question: asked again in a moment.
-    Question,
+    Probe,
     /// An answer: somebody waits for it, and draws conclusions where none comes.
-    Answer,
+    Reply,
     /// What is written, promised or told of a query: it is sent again, later.
-    Promise,
+    Takeover,
     /// What opens or ends a link.
-    Bond,
+    Handshake,
 }
 
 /// What waits to be sent on one link.
 #[derive(Debug)]
-pub struct Queue {
-    waiting: VecDeque<(Worth, Vec<u8>)>,
+pub struct OutboundQueue {
+    waiting: VecDeque<(Priority, Vec<u8>)>,
     bytes: usize,
     most: usize,
     /// How much of the first message is on its way already; it can no longer go.
@@ -35,7 +35,7 @@
     dropped: u64,
 }
 
-impl Queue {
+impl OutboundQueue {
     /// One that holds so many bytes at most.
     #[must_use]
     pub fn new(most: usize) -> Self {
@@ -43,7 +43,7 @@
     }
 
     /// Adds a message, and says how many had to go for it, itself included.
-    pub fn push(&mut self, worth: Worth, message: Vec<u8>) -> u64 {
+    pub fn push(&mut self, worth: Priority, message: Vec<u8>) -> u64 {
         self.bytes += message.len();
         self.waiting.push_back((worth, message));
         let mut gone = 0;
@@ -60,13 +60,13 @@
     }
 
     /// What is to be written next, message by message.
-    pub fn pieces(&self) -> impl Iterator<Item = &[u8]> {
+    pub fn unsent(&self) -> impl Iterator<Item = &[u8]> {
         let begun = std::iter::once(self.begun).chain(std::iter::repeat(0));
         self.waiting.iter().zip(begun).map(|((_, message), begun)| &message[begun..])
     }
 
     /// So much of [`Queue::pieces`] was written.
-    pub fn wrote(&mut self, bytes: usize) {
+    pub fn written(&mut self, bytes: usize) {
         self.begun += bytes;
         while self.waiting.front().is_some_and(|(_, message)| self.begun >= message.len()) {
             let length = self.waiting.pop_front().map_or(0, |(_, message)| message.len());
@@ -91,8 +91,8 @@
 /// Notes for one peer that go as one message: all of a turn, and before them those that nobody waits for. A message
 /// of its own for each costs both sides a call and a wake-up, and that is most of what a note costs.
 #[derive(Debug)]
-pub struct Bundle {
-    notes: Vec<u8>,
+pub struct MessageBatch {
+    events: Vec<u8>,
     most: usize,
     /// When it has to go.
     due: Option<Micros>,
@@ -102,36 +102,36 @@
 /// of its own, at 20 holds a second.)
 const LINGER: Micros = 50_000;
 
-impl Bundle {
+impl MessageBatch {
     /// One of so many bytes at most, unless a single note is longer.
     #[must_use]
     pub fn new(most: usize) -> Self {
-        Self { notes: Vec::new(), most, due: None }
+        Self { events: Vec::new(), most, due: None }
     }
 
     /// Adds a note; gives back what has to go before it, where both would be too long.
-    pub fn add(&mut self, now: Micros, note: &[u8], waited_for: bool) -> Option<Vec<u8>> {
-        let full = !self.notes.is_empty() && self.notes.len() + note.len() > self.most;
-        let before = full.then(|| std::mem::take(&mut self.notes));
+    pub fn add(&mut self, now: Micros, event: &[u8], waited_for: bool) -> Option<Vec<u8>> {
+        let full = !self.events.is_empty() && self.events.len() + event.len() > self.most;
+        let before = full.then(|| std::mem::take(&mut self.events));
         if before.is_some() {
             self.due = None;
         }
-        self.notes.extend(note);
+        self.events.extend(event);
         let due = if waited_for { now } else { now + LINGER };
         self.due = Some(self.due.map_or(due, |known| known.min(due)));
         before
     }
 
     /// What has to go now.
-    pub fn take(&mut self, now: Micros) -> Option<Vec<u8>> {
+    pub fn take_due(&mut self, now: Micros) -> Option<Vec<u8>> {
         self.due.filter(|due| *due <= now)?;
         self.due = None;
-        Some(std::mem::take(&mut self.notes))
+        Some(std::mem::take(&mut self.events))
     }
 
     /// When something has to go.
     #[must_use]
-    pub fn due(&self) -> Option<Micros> {
+    pub fn poll_timeout(&self) -> Option<Micros> {
         self.due
     }
 }
@@ -142,7 +142,7 @@
 
 /// How fast a peer's messages are taken: what comes faster waits in its own socket.
 #[derive(Debug)]
-pub struct Intake {
+pub struct InboundRateLimit {
     /// Messages that may come in a second, and how many at once.
     rate: u64,
     /// In millionths of a message; what one message was in truth may have been more than was saved.
@@ -150,7 +150,7 @@
     at: Micros,
 }
 
-impl Intake {
+impl InboundRateLimit {
     /// So many messages a second, and as many at once.
     #[must_use]
     pub fn new(now: Micros, rate: u64) -> Self {
@@ -158,7 +158,7 @@
     }
 
     /// Takes a message, unless it comes too fast.
-    pub fn take(&mut self, now: Micros) -> bool {
+    pub fn admit(&mut self, now: Micros) -> bool {
         let passed = now.saturating_sub(self.at);
         self.at = now;
         let gained = i64::try_from(passed.saturating_mul(self.rate)).unwrap_or(i64::MAX);
@@ -171,13 +171,13 @@
     }
 
     /// A message that was taken held so many more.
-    pub fn owe(&mut self, more: u64) {
+    pub fn charge(&mut self, more: u64) {
         self.saved = self.saved.saturating_sub(in_millionths(more));
     }
 
     /// When there is room for a good many again.
     #[must_use]
-    pub fn again(&self) -> Micros {
+    pub fn retry_at(&self) -> Micros {
         self.at + 20_000
     }
 }
--- a/crates/cluster/src/links.rs
+++ b/crates/cluster/src/links.rs
@@ -5,7 +5,7 @@
 //! Waits between dials double up to a second and are drawn by the seed, so that a fleet that starts at once
 //! does not dial at once.
 
-use crate::members::{Claim, Grade, State};
+use crate::members::{MemberState, MemberUpdate, SuspicionEvidence};
 use crate::{Incarnation, Micros, PeerId};
 
 /// Version of the messages. Another major one is refused; a higher minor one only adds what may be passed by.
@@ -23,70 +23,72 @@
     /// Its name in the list.
     pub name: String,
     /// Version of its list.
-    pub list: u64,
+    pub list_version: u64,
     /// The names of its list in one number.
-    pub digest: u64,
+    pub list_digest: u64,
     /// Its present life.
     pub incarnation: Incarnation,
     /// How often it has refuted in that life.
-    pub round: u32,
+    pub refutation: u32,
     /// It has said that it ends.
     pub leaving: bool,
     /// What it holds of the one that it talks to.
-    pub known: Option<(Incarnation, u32, State)>,
+    pub known: Option<(Incarnation, u32, MemberState)>,
 }
 
 /// Why a hello was not taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum HandshakeError {
     /// Its messages are of another major version.
-    Version(u32),
+    UnsupportedVersion(u32),
     /// Its name is not in the list.
-    Stranger(String),
+    UnknownPeer(String),
     /// It has the name of this process.
-    Namesake,
+    OwnName,
     /// Another one was dialed.
-    Another(String),
+    WrongPeer(String),
     /// Its list is of another version.
-    List(u64),
+    ListVersion(u64),
     /// Its list has the same version and other names.
-    Names,
+    ListNames,
     /// A later process is known under its name.
     Superseded(Incarnation),
 }
 
-impl Refusal {
+impl HandshakeError {
     /// Whether trying soon can help: a process that heard of its earlier life goes above it.
     #[must_use]
-    pub fn passes(&self) -> bool {
-        matches!(self, Refusal::Superseded(_))
+    pub fn is_transient(&self) -> bool {
+        matches!(self, HandshakeError::Superseded(_))
     }
 }
 
-impl std::fmt::Display for Refusal {
+impl std::fmt::Display for HandshakeError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Refusal::Version(major) => write!(f, "its messages are of version {major}, not {MAJOR}"),
-            Refusal::Stranger(name) => write!(f, "{name:.40?} is not in the list of peers"),
-            Refusal::Namesake => write!(f, "it has this gatherer's own name"),
-            Refusal::Another(name) => write!(f, "it calls itself {name:.40?}"),
-            Refusal::List(theirs) => write!(f, "its list of peers is of version {theirs}"),
-            Refusal::Names => write!(f, "its list of peers has the same version and other names"),
-            Refusal::Superseded(held) => write!(f, "a later life of it is known, {held}"),
+            HandshakeError::UnsupportedVersion(major) => {
+                write!(f, "its messages are of version {major}, not {MAJOR}")
+            }
+            HandshakeError::UnknownPeer(name) => write!(f, "{name:.40?} is not in the list of peers"),
+            HandshakeError::OwnName => write!(f, "it has this gatherer's own name"),
+            HandshakeError::WrongPeer(name) => write!(f, "it calls itself {name:.40?}"),
+            HandshakeError::ListVersion(theirs) => write!(f, "its list of peers is of version {theirs}"),
+            HandshakeError::ListNames => write!(f, "its list of peers has the same version and other names"),
+            HandshakeError::Superseded(held) => write!(f, "a later life of it is known, {held}"),
         }
     }
 }
 
 /// The fixed list, as hellos are checked against it.
 #[derive(Clone, Debug)]
-pub struct Register {
+pub struct PeerList {
     names: Vec<String>,
     me: PeerId,
     version: u64,
     digest: u64,
 }
 
-impl Register {
+impl PeerList {
     /// The list, in its order, and this process's place in it.
     #[must_use]
     pub fn new(names: Vec<String>, me: PeerId, version: u64) -> Self {
@@ -114,17 +116,17 @@
 
     /// This side's hello to a member, or to one not known yet.
     #[must_use]
-    pub fn hello(&self, own: &Claim, known: Option<Claim>) -> Hello {
+    pub fn hello(&self, own: &MemberUpdate, known: Option<MemberUpdate>) -> Hello {
         Hello {
             major: MAJOR,
             minor: MINOR,
             name: self.name(self.me).to_owned(),
-            list: self.version,
-            digest: self.digest,
+            list_version: self.version,
+            list_digest: self.digest,
             incarnation: own.incarnation,
-            round: own.round,
-            leaving: own.state == State::Left,
-            known: known.map(|claim| claim.key()),
+            refutation: own.refutation,
+            leaving: own.state == MemberState::Left,
+            known: known.map(|update| update.key()),
         }
     }
 
@@ -132,42 +134,42 @@
     ///
     /// # Errors
     /// Why it is not taken.
-    pub fn judge(&self, hello: &Hello, dialed: Option<PeerId>) -> Result<PeerId, Refusal> {
+    pub fn verify(&self, hello: &Hello, dialed: Option<PeerId>) -> Result<PeerId, HandshakeError> {
         // Nothing else of another major version can be relied on.
         if hello.major != MAJOR {
-            return Err(Refusal::Version(hello.major));
+            return Err(HandshakeError::UnsupportedVersion(hello.major));
         }
         let peer = self.peers().find(|peer| self.name(*peer) == hello.name);
-        let peer = peer.ok_or_else(|| Refusal::Stranger(hello.name.clone()))?;
+        let peer = peer.ok_or_else(|| HandshakeError::UnknownPeer(hello.name.clone()))?;
         if peer == self.me {
-            return Err(Refusal::Namesake);
+            return Err(HandshakeError::OwnName);
         }
         if dialed.is_some_and(|dialed| dialed != peer) {
-            return Err(Refusal::Another(hello.name.clone()));
+            return Err(HandshakeError::WrongPeer(hello.name.clone()));
         }
-        if hello.list != self.version {
-            return Err(Refusal::List(hello.list));
+        if hello.list_version != self.version {
+            return Err(HandshakeError::ListVersion(hello.list_version));
         }
-        if hello.digest != self.digest {
-            return Err(Refusal::Names);
+        if hello.list_digest != self.digest {
+            return Err(HandshakeError::ListNames);
         }
         Ok(peer)
     }
 
     /// What a hello says of its sender, and of this process, as claims.
     #[must_use]
-    pub fn claims(&self, peer: PeerId, hello: &Hello) -> (Claim, Option<Claim>) {
-        let state = if hello.leaving { State::Left } else { State::Alive };
-        let claim = |about, (incarnation, round, state)| Claim {
-            about,
+    pub fn hello_updates(&self, peer: PeerId, hello: &Hello) -> (MemberUpdate, Option<MemberUpdate>) {
+        let state = if hello.leaving { MemberState::Left } else { MemberState::Alive };
+        let update = |member, (incarnation, refutation, state)| MemberUpdate {
+            member,
             incarnation,
-            round,
+            refutation,
             state,
-            by: peer,
-            grade: Grade::Silence,
+            source: peer,
+            evidence: SuspicionEvidence::NoResponse,
         };
-        let own = claim(peer, (hello.incarnation, hello.round, state));
-        (own, hello.known.map(|known| claim(self.me, known)))
+        let own = update(peer, (hello.incarnation, hello.refutation, state));
+        (own, hello.known.map(|known| update(self.me, known)))
     }
 }
 
@@ -175,9 +177,11 @@
 ///
 /// # Errors
 /// A later one is known.
-pub fn latest(hello: &Hello, known: Option<Claim>) -> Result<(), Refusal> {
+pub fn verify_incarnation(hello: &Hello, known: Option<MemberUpdate>) -> Result<(), HandshakeError> {
     match known {
-        Some(known) if known.incarnation > hello.incarnation => Err(Refusal::Superseded(known.incarnation)),
+        Some(known) if known.incarnation > hello.incarnation => {
+            Err(HandshakeError::Superseded(known.incarnation))
+        }
         _ => Ok(()),
     }
 }
@@ -202,22 +206,22 @@
 
 /// When this process dials whom.
 #[derive(Debug)]
-pub struct Dials {
+pub struct DialScheduler {
     /// For each member that this process dials.
     dials: Vec<(PeerId, Dial)>,
     rng: fastrand::Rng,
 }
 
-impl Dials {
+impl DialScheduler {
     /// The members behind `me` in the list are dialed, for the first time spread by the seed.
     #[must_use]
-    pub fn new(now: Micros, register: &Register, seed: u64) -> Self {
+    pub fn new(now: Micros, peer_list: &PeerList, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let spread = SPREAD * register.names.len() as Micros;
-        let me = register.me;
-        let dials = register.peers().filter(|peer| *peer > me);
+        let disseminate = SPREAD * peer_list.names.len() as Micros;
+        let me = peer_list.me;
+        let dials = peer_list.peers().filter(|peer| *peer > me);
         let dials = dials.map(|peer| {
-            let next = now + rng.u64(0..=spread);
+            let next = now + rng.u64(0..=disseminate);
             (peer, Dial { next, wait: FIRST, busy: false })
         });
         let dials = dials.collect();
@@ -235,7 +239,7 @@
     }
 
     /// Those whose time has come; each counts as being dialed from now on.
-    pub fn take(&mut self, now: Micros) -> Vec<PeerId> {
+    pub fn take_due(&mut self, now: Micros) -> Vec<PeerId> {
         let due = self.dials.iter_mut().filter(|(_, dial)| !dial.busy && dial.next <= now);
         due.map(|(peer, dial)| {
             dial.busy = true;
@@ -245,14 +249,14 @@
     }
 
     /// The link is up.
-    pub fn up(&mut self, peer: PeerId) {
+    pub fn connected(&mut self, peer: PeerId) {
         if let Some(dial) = self.of(peer) {
             (dial.busy, dial.wait) = (true, FIRST);
         }
     }
 
     /// The connection ended, or never came up.
-    pub fn ended(&mut self, now: Micros, peer: PeerId) {
+    pub fn disconnected(&mut self, now: Micros, peer: PeerId) {
         let draw = self.rng.f64();
         let Some(dial) = self.of(peer) else { return };
         // Half of the wait at least, so that a fast loop cannot come about, and the rest by the seed.
@@ -262,8 +266,8 @@
     }
 
     /// The other side, or this one, does not take the other for what it says it is.
-    pub fn refused(&mut self, now: Micros, peer: PeerId) {
-        self.ended(now, peer);
+    pub fn rejected(&mut self, now: Micros, peer: PeerId) {
+        self.disconnected(now, peer);
         let draw = self.rng.u64(0..=REFUSED / 2);
         if let Some(dial) = self.of(peer) {
             dial.next = now + REFUSED / 2 + draw;
@@ -271,7 +275,7 @@
     }
 
     /// There is a sign that the member is back: it is dialed at once, if it is not being dialed.
-    pub fn hint(&mut self, now: Micros, peer: PeerId) {
+    pub fn dial_now(&mut self, now: Micros, peer: PeerId) {
         if let Some(dial) = self.of(peer) {
             (dial.next, dial.wait) = (dial.next.min(now), FIRST);
         }
@@ -279,62 +283,62 @@
 
     /// When the next dial is due.
     #[must_use]
-    pub fn due(&self) -> Option<Micros> {
+    pub fn poll_timeout(&self) -> Option<Micros> {
         self.dials.iter().filter(|(_, dial)| !dial.busy).map(|(_, dial)| dial.next).min()
     }
 }
 
 /// What links may hold, from what the process may.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Room {
+pub struct PeerConnectionLimits {
     /// Connections that have not shown who they are.
-    pub strangers: usize,
+    pub unidentified: usize,
     /// Descriptors for all of it: links, strangers, the listener.
-    pub descriptors: usize,
+    pub sockets_needed: usize,
     /// The longest message, in bytes.
-    pub message: usize,
+    pub message_bytes: usize,
     /// Bytes that wait to be sent on one link.
-    pub queue: usize,
+    pub queue_bytes: usize,
     /// Records of queries that are kept for others.
     pub records: usize,
     /// Messages taken from one link in a turn.
-    pub a_turn: usize,
+    pub messages_per_iteration: usize,
     /// Messages taken from one link in a second.
-    pub a_second: u64,
+    pub messages_per_second: u64,
 }
 
 /// Connections that have not shown who they are, beside those that the list allows for.
-const STRANGERS: usize = 8;
+const UNIDENTIFIED: usize = 8;
 
-impl Room {
+impl PeerConnectionLimits {
     /// All links together hold a sixteenth of the memory: each its queue and two of the longest messages. Records of
     /// queries, 2 KB each, hold another.
     ///
     /// # Errors
     /// How many descriptors are wanted where there are too few, or that memory is short.
     pub fn of(peers: usize, sockets: usize, memory: usize) -> Result<Self, String> {
-        let strangers = STRANGERS.min(peers.max(2));
-        let descriptors = peers.saturating_sub(1) + strangers + 1;
-        if descriptors > sockets / 4 {
-            let wanted = descriptors * 4;
+        let unidentified = UNIDENTIFIED.min(peers.max(2));
+        let sockets_needed = peers.saturating_sub(1) + unidentified + 1;
+        if sockets_needed > sockets / 4 {
+            let wanted = sockets_needed * 4;
             return Err(format!(
                 "{peers} peers want limits.sockets of at least {wanted}, a quarter for them"
             ));
         }
-        let a_link = memory / 16 / (peers + strangers);
+        let a_link = memory / 16 / (peers + unidentified);
         // 64 claims of up to 64 bytes have to fit.
         let message = (a_link / 4).min(256 * 1024);
         if message < 8192 {
             return Err(format!("{peers} peers want more of limits.memory_mb"));
         }
         Ok(Self {
-            strangers,
-            descriptors,
-            message,
-            queue: a_link / 2,
+            unidentified,
+            sockets_needed,
+            message_bytes: message,
+            queue_bytes: a_link / 2,
             records: memory / 16 / 2048,
-            a_turn: 256,
-            a_second: 20_000,
+            messages_per_iteration: 256,
+            messages_per_second: 20_000,
         })
     }
 }
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -19,48 +19,48 @@
 
 /// How a member is held to be. Of two states of the same incarnation and round, the later one here counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum State {
+pub enum MemberState {
     /// It was heard, by somebody.
     Alive,
     /// Somebody could not reach it, nor could others for that one.
-    Doubted,
+    Suspect,
     /// It did not refute a doubt. It may still be paused or cut off, and come back.
-    Gone,
+    Dead,
     /// It said that it ends.
     Left,
 }
 
 /// What a doubt rests on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Grade {
+pub enum SuspicionEvidence {
     /// No answer came.
-    Silence,
+    NoResponse,
     /// The link broke, or nobody takes connections at its address.
-    Broken,
+    ConnectionLost,
 }
 
 /// What is said of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Claim {
+pub struct MemberUpdate {
     /// The member.
-    pub about: PeerId,
+    pub member: PeerId,
     /// Which of its lives.
     pub incarnation: Incarnation,
     /// How often it has refuted in that life.
-    pub round: u32,
+    pub refutation: u32,
     /// How it is held to be.
-    pub state: State,
+    pub state: MemberState,
     /// Who came to this by itself, where it is a doubt.
-    pub by: PeerId,
+    pub source: PeerId,
     /// What that doubt rests on.
-    pub grade: Grade,
+    pub evidence: SuspicionEvidence,
 }
 
-impl Claim {
+impl MemberUpdate {
     /// By which claims about one member are ordered; the highest counts.
     #[must_use]
-    pub fn key(&self) -> (Incarnation, u32, State) {
-        (self.incarnation, self.round, self.state)
+    pub fn key(&self) -> (Incarnation, u32, MemberState) {
+        (self.incarnation, self.refutation, self.state)
     }
 }
 
@@ -74,147 +74,147 @@
         /// The sender's view, see [`Members::view`].
         view: u64,
         /// News, as room allows.
-        claims: Vec<Claim>,
+        updates: Vec<MemberUpdate>,
     },
     /// "I am."
     Ack {
         /// The question.
         seq: u64,
         /// News.
-        claims: Vec<Claim>,
+        updates: Vec<MemberUpdate>,
     },
     /// "Ask that one for me."
-    AskFor {
+    PingReq {
         /// The asker's question.
         seq: u64,
         /// Whom to ask.
         target: PeerId,
     },
     /// What asking for another came to.
-    Word {
+    PingReqResult {
         /// The asker's question.
         seq: u64,
         /// Who was asked.
         target: PeerId,
         /// What came of it.
-        word: Reached,
+        result: ProbeResult,
     },
     /// News that does not wait, or a whole view.
-    Tell {
+    Gossip {
         /// The claims.
-        claims: Vec<Claim>,
+        updates: Vec<MemberUpdate>,
     },
 }
 
 /// What asking for another came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reached {
+pub enum ProbeResult {
     /// It answered.
-    Yes,
+    Acked,
     /// It did not answer.
-    No,
+    NoResponse,
     /// There is no link to it; it broke.
-    Broken,
+    ConnectionLost,
 }
 
 /// What is worth a line in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum Event {
     /// A member is held to be in another state, or another life.
-    Held(Claim),
+    MemberChanged(MemberUpdate),
     /// This process was doubted or held to be gone, and has said that it is there.
     Refuted(u32),
     /// A later process lives under this one's name: this one stands aside.
-    Usurped(Incarnation),
+    Superseded(Incarnation),
     /// The later process has gone, and this one is under its name again; or it goes above an earlier life.
-    Renewed(Incarnation),
+    IncarnationRaised(Incarnation),
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum Action {
     /// To be sent, if there is a link.
     Send(PeerId, Message),
     /// The link has answered nothing for long while the member is there: a new one is worth trying.
-    Relink(PeerId),
+    Reconnect(PeerId),
     /// To be logged.
-    Note(Note),
+    Notify(Event),
 }
 
 /// The pace of questions and doubts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace {
+pub struct ProbeTiming {
     /// One question is begun each so often.
-    pub probe: Micros,
+    pub probe_interval: Micros,
     /// An answer is waited for so long, and as long again through others.
-    pub answer: Micros,
+    pub ack_timeout: Micros,
     /// A doubt that nobody shares stands for so long before its member is gone.
-    pub doubt: Micros,
+    pub suspicion_timeout: Micros,
 }
 
-impl Default for Pace {
+impl Default for ProbeTiming {
     fn default() -> Self {
-        Self { probe: 200_000, answer: 100_000, doubt: 1_500_000 }
+        Self { probe_interval: 200_000, ack_timeout: 100_000, suspicion_timeout: 1_500_000 }
     }
 }
 
 /// Others that are asked to ask.
-const HELPERS: usize = 3;
+const PING_REQ_RELAYS: usize = 3;
 /// Claims that go along with a question or an answer.
-const ALONG: usize = 6;
+const PIGGYBACKED_UPDATES: usize = 6;
 /// Claims in one message of a whole view.
-const A_TELL: usize = 64;
+const UPDATES_PER_MESSAGE: usize = 64;
 /// News is told at once to so many, and by the way to the others.
-const FANOUT: usize = 8;
+const GOSSIP_FANOUT: usize = 8;
 /// Where most others came to a doubt over broken links, the doubted one has so long to refute.
-const SETTLE: Micros = 40_000;
+const CONFIRMED_SUSPICION_TIMEOUT: Micros = 40_000;
 /// Timers that are later than this are a sign of trouble of one's own.
-const LATE: Micros = 50_000;
+const LATE_TIMER: Micros = 50_000;
 /// Strain grows up to so much; every wait is so many times longer, and one.
-const MOST_STRAIN: u32 = 8;
+const MAX_LOCAL_HEALTH_MULTIPLIER: u32 = 8;
 /// Questions on a link in a row without an answer, after which a new link is tried.
-const DEAF: u32 = 4;
+const UNANSWERED_PINGS_BEFORE_RECONNECT: u32 = 4;
 /// A whole view goes to one member no more often than this.
-const VIEW_EACH: Micros = 500_000;
+const VIEW_INTERVAL: Micros = 500_000;
 /// Open questions for others, for each member of the list.
-const FAVOURS: usize = 4;
+const RELAYED_PROBES_PER_MEMBER: usize = 4;
 
 /// News kept, for each member of the list; the oldest goes first, and whole views make up for it.
-const NEWS: usize = 4;
+const GOSSIP_QUEUE_PER_MEMBER: usize = 4;
 
 /// How this process stands to its own name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Name {
+enum Identity {
     /// Nobody has taken it as a member yet: it goes above every earlier life that it hears of.
-    Fresh,
+    Unconfirmed,
     /// It has been a member.
-    Held,
+    Confirmed,
     /// A later process is alive under the name.
-    Aside,
+    Superseded,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Entry {
+struct Member {
     /// The highest claim; `None` for who was never heard of.
-    claim: Option<(Incarnation, u32, State)>,
-    linked: bool,
+    update: Option<(Incarnation, u32, MemberState)>,
+    connected: bool,
     /// The last link broke, and none has come up since.
-    broken: bool,
+    connection_lost: bool,
     /// Who doubts it by themselves, in this incarnation and round.
-    doubters: BTreeMap<PeerId, Grade>,
-    doubted: Micros,
+    suspectors: BTreeMap<PeerId, SuspicionEvidence>,
+    suspected_at: Micros,
     /// Questions on the link in a row without an answer.
-    deaf: u32,
+    unanswered_pings: u32,
     /// When it was last sent a whole view, or what is said of it.
-    told: Option<Micros>,
+    last_told: Option<Micros>,
 }
 
-impl Entry {
-    fn state(&self) -> Option<State> {
-        self.claim.map(|(_, _, state)| state)
+impl Member {
+    fn state(&self) -> Option<MemberState> {
+        self.update.map(|(_, _, state)| state)
     }
 
-    fn is(&self, state: State) -> bool {
+    fn is(&self, state: MemberState) -> bool {
         self.state() == Some(state)
     }
 }
@@ -224,64 +224,64 @@
 struct Probe {
     target: PeerId,
     /// It was sent to the target itself, and others have not been asked yet.
-    direct: bool,
-    until: Micros,
-    helpers: BTreeSet<PeerId>,
+    is_direct: bool,
+    deadline: Micros,
+    relays: BTreeSet<PeerId>,
 }
 
 /// A question asked for another.
 #[derive(Clone, Copy, Debug)]
-struct Favour {
-    asker: PeerId,
+struct RelayedProbe {
+    requester: PeerId,
     seq: u64,
     target: PeerId,
-    until: Micros,
+    deadline: Micros,
 }
 
 /// A process's view of the fleet.
 #[derive(Debug)]
-pub struct Members {
+pub struct Membership {
     me: PeerId,
     incarnation: Incarnation,
-    round: u32,
-    name: Name,
+    refutation: u32,
+    name: Identity,
     leaving: bool,
-    pace: Pace,
-    entries: Vec<Entry>,
-    turn: Vec<PeerId>,
+    pace: ProbeTiming,
+    members: Vec<Member>,
+    probe_order: Vec<PeerId>,
     next_probe: Micros,
     seq: u64,
     probes: BTreeMap<u64, Probe>,
-    favours: BTreeMap<u64, Favour>,
+    relayed_probes: BTreeMap<u64, RelayedProbe>,
     /// News, with how often it is still to be told by the way.
-    news: VecDeque<(Claim, u32)>,
-    strain: u32,
+    gossip_queue: VecDeque<(MemberUpdate, u32)>,
+    local_health_multiplier: u32,
     rng: fastrand::Rng,
-    orders: Vec<Order>,
+    actions: Vec<Action>,
 }
 
-impl Members {
+impl Membership {
     /// The view of a process that has just started: it knows nobody.
     #[must_use]
-    pub fn new(now: Micros, me: PeerId, peers: usize, nonce: u64, pace: Pace, seed: u64) -> Self {
+    pub fn new(now: Micros, me: PeerId, peers: usize, nonce: u64, pace: ProbeTiming, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed ^ nonce);
         Self {
             me,
             incarnation: Incarnation { number: 1, nonce },
-            round: 0,
-            name: Name::Fresh,
+            refutation: 0,
+            name: Identity::Unconfirmed,
             leaving: false,
             pace,
-            entries: vec![Entry::default(); peers],
-            turn: Vec::new(),
-            next_probe: now + rng.u64(0..=pace.probe),
+            members: vec![Member::default(); peers],
+            probe_order: Vec::new(),
+            next_probe: now + rng.u64(0..=pace.probe_interval),
             seq: rng.u64(0..1 << 32),
             probes: BTreeMap::new(),
-            favours: BTreeMap::new(),
-            news: VecDeque::new(),
-            strain: 0,
+            relayed_probes: BTreeMap::new(),
+            gossip_queue: VecDeque::new(),
+            local_health_multiplier: 0,
             rng,
-            orders: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
@@ -293,491 +293,532 @@
 
     /// How a member is held to be; `None` for who was never heard of.
     #[must_use]
-    pub fn state(&self, peer: PeerId) -> Option<State> {
+    pub fn state(&self, peer: PeerId) -> Option<MemberState> {
         if peer == self.me {
-            return Some(if self.leaving { State::Left } else { State::Alive });
+            return Some(if self.leaving { MemberState::Left } else { MemberState::Alive });
         }
-        self.entries.get(usize::from(peer.0)).and_then(Entry::state)
+        self.members.get(usize::from(peer.0)).and_then(Member::state)
     }
 
     /// How far this process takes troubles for its own: 0 when all is well.
     #[must_use]
-    pub fn strain(&self) -> u32 {
-        self.strain
+    pub fn local_health_multiplier(&self) -> u32 {
+        self.local_health_multiplier
     }
 
     /// A later process is alive under this one's name.
     #[must_use]
-    pub fn aside(&self) -> bool {
-        self.name == Name::Aside
+    pub fn is_superseded(&self) -> bool {
+        self.name == Identity::Superseded
     }
 
     /// What this process says of itself.
     #[must_use]
-    pub fn own(&self) -> Claim {
-        let state = if self.leaving { State::Left } else { State::Alive };
-        let (incarnation, round) = (self.incarnation, self.round);
-        Claim { about: self.me, incarnation, round, state, by: self.me, grade: Grade::Silence }
+    pub fn own_update(&self) -> MemberUpdate {
+        let state = if self.leaving { MemberState::Left } else { MemberState::Alive };
+        let (incarnation, refutation) = (self.incarnation, self.refutation);
+        MemberUpdate {
+            member: self.me,
+            incarnation,
+            refutation,
+            state,
+            source: self.me,
+            evidence: SuspicionEvidence::NoResponse,
+        }
     }
 
     /// What counts of a member.
     #[must_use]
-    pub fn claim(&self, peer: PeerId) -> Option<Claim> {
+    pub fn member_update(&self, peer: PeerId) -> Option<MemberUpdate> {
         if peer == self.me {
-            return Some(self.own());
+            return Some(self.own_update());
         }
-        let entry = self.entries.get(usize::from(peer.0))?;
-        let (incarnation, round, state) = entry.claim?;
-        let doubt = entry.doubters.iter().next_back();
-        let (by, grade) = doubt.map_or((self.me, Grade::Silence), |(&by, &grade)| (by, grade));
-        Some(Claim { about: peer, incarnation, round, state, by, grade })
+        let member = self.members.get(usize::from(peer.0))?;
+        let (incarnation, refutation, state) = member.update?;
+        let doubt = member.suspectors.iter().next_back();
+        let (source, evidence) =
+            doubt.map_or((self.me, SuspicionEvidence::NoResponse), |(&source, &evidence)| (source, evidence));
+        Some(MemberUpdate { member: peer, incarnation, refutation, state, source, evidence })
     }
 
     /// The whole view in one number, the same in all who hold the same.
     #[must_use]
-    pub fn view(&self) -> u64 {
-        self.peers().filter_map(|peer| self.claim(peer)).fold(0, |sum, claim| {
+    pub fn view_digest(&self) -> u64 {
+        self.peers().filter_map(|peer| self.member_update(peer)).fold(0, |sum, update| {
             let words = [
-                u64::from(claim.about.0),
-                claim.incarnation.number,
-                claim.incarnation.nonce,
-                u64::from(claim.round),
-                claim.state as u64,
+                u64::from(update.member.0),
+                update.incarnation.number,
+                update.incarnation.nonce,
+                u64::from(update.refutation),
+                update.state as u64,
             ];
             // FNV-1a over words; the sum of it does not depend on the order.
-            let hash = words.iter().fold(0xcbf2_9ce4_8422_2325_u64, |hash, word| {
-                (hash ^ word).wrapping_mul(0x0100_0000_01b3).rotate_left(29)
+            let hash = words.iter().fold(0xcbf2_9ce4_8422_2325_u64, |hash, result| {
+                (hash ^ result).wrapping_mul(0x0100_0000_01b3).rotate_left(29)
             });
             sum.wrapping_add(hash)
         })
     }
 
     fn peers(&self) -> impl Iterator<Item = PeerId> {
-        (0..self.entries.len()).filter_map(|at| u16::try_from(at).ok()).map(PeerId)
+        (0..self.members.len()).filter_map(|at| u16::try_from(at).ok()).map(PeerId)
     }
 
-    fn entry(&mut self, peer: PeerId) -> Option<&mut Entry> {
+    fn member(&mut self, peer: PeerId) -> Option<&mut Member> {
         (peer != self.me).then_some(())?;
-        self.entries.get_mut(usize::from(peer.0))
+        self.members.get_mut(usize::from(peer.0))
     }
 
-    fn patience(&self) -> Micros {
-        self.pace.answer * Micros::from(1 + self.strain)
+    fn ack_timeout(&self) -> Micros {
+        self.pace.ack_timeout * Micros::from(1 + self.local_health_multiplier)
     }
 
     fn send(&mut self, to: PeerId, message: Message) {
-        self.orders.push(Order::Send(to, message));
+        self.actions.push(Action::Send(to, message));
     }
 
     /// What has to be done since the last call.
-    pub fn orders(&mut self) -> Vec<Order> {
-        std::mem::take(&mut self.orders)
+    pub fn take_actions(&mut self) -> Vec<Action> {
+        std::mem::take(&mut self.actions)
     }
 
     /// A link is up. Its hello has been heard, so the member is there.
-    pub fn linked(&mut self, now: Micros, hello: Claim) {
-        if self.name == Name::Fresh {
-            self.name = Name::Held;
+    pub fn peer_connected(&mut self, now: Micros, hello: MemberUpdate) {
+        if self.name == Identity::Unconfirmed {
+            self.name = Identity::Confirmed;
         }
         let me = self.me;
-        if let Some(entry) = self.entry(hello.about) {
-            (entry.linked, entry.broken, entry.deaf) = (true, false, 0);
+        if let Some(member) = self.member(hello.member) {
+            (member.connected, member.connection_lost, member.unanswered_pings) = (true, false, 0);
             // A doubt of one's own that rested on the broken link is over; others' begin to count anew.
-            entry.doubters.remove(&me);
-            entry.doubted = now;
+            member.suspectors.remove(&me);
+            member.suspected_at = now;
         }
-        self.learn(now, hello);
-        self.answer_doubt(now, hello.about);
-        if self.round > 0 {
+        self.apply_update(now, hello);
+        self.tell_suspect(now, hello.member);
+        if self.refutation > 0 {
             // What this side refuted after its hello was written.
-            let claims = vec![self.own()];
-            self.send(hello.about, Message::Tell { claims });
+            let updates = vec![self.own_update()];
+            self.send(hello.member, Message::Gossip { updates });
         }
     }
 
     /// A link ended, or could not be had: a sign, and a reason to ask others at once. `broken` where it was
     /// more than this side's own closing.
-    pub fn unlinked(&mut self, now: Micros, peer: PeerId, broken: bool) {
-        let Some(entry) = self.entry(peer) else { return };
-        let news = entry.linked || !entry.broken;
-        entry.linked = false;
-        entry.broken |= broken;
-        let asked = matches!(entry.state(), Some(State::Alive | State::Doubted));
+    pub fn peer_disconnected(&mut self, now: Micros, peer: PeerId, broken: bool) {
+        let Some(member) = self.member(peer) else { return };
+        let gossip_queue = member.connected || !member.connection_lost;
+        member.connected = false;
+        member.connection_lost |= broken;
+        let asked = matches!(member.state(), Some(MemberState::Alive | MemberState::Suspect));
         // Whoever waits for a word about it can have it now.
-        let over: Vec<u64> = self.favours.iter().filter(|(_, f)| f.target == peer).map(|(&s, _)| s).collect();
+        let over: Vec<u64> =
+            self.relayed_probes.iter().filter(|(_, f)| f.target == peer).map(|(&s, _)| s).collect();
         for seq in over {
-            self.repay(seq, Reached::Broken);
+            self.reply_to_requester(seq, ProbeResult::ConnectionLost);
         }
-        if asked && broken && news {
+        if asked && broken && gossip_queue {
             self.probes.retain(|_, probe| probe.target != peer);
             self.probe(now, peer);
-            self.confirm(now, peer);
+            self.confirm_suspicion(now, peer);
         }
     }
 
     /// A member said something on its link, in the life that its hello named.
-    pub fn heard(&mut self, now: Micros, from: PeerId, message: Message) {
-        if self.entry(from).is_none() {
+    pub fn handle_message(&mut self, now: Micros, from: PeerId, message: Message) {
+        if self.member(from).is_none() {
             return;
         }
         match message {
-            Message::Ping { seq, view, claims } => {
-                self.learn_all(now, &claims);
-                let claims = self.along();
-                self.send(from, Message::Ack { seq, claims });
-                if view != self.view() {
-                    self.tell_view(now, from);
+            Message::Ping { seq, view, updates } => {
+                self.apply_updates(now, &updates);
+                let updates = self.piggyback_updates();
+                self.send(from, Message::Ack { seq, updates });
+                if view != self.view_digest() {
+                    self.send_view(now, from);
                 }
             }
-            Message::Ack { seq, claims } => {
-                self.learn_all(now, &claims);
+            Message::Ack { seq, updates } => {
+                self.apply_updates(now, &updates);
                 if self.probes.get(&seq).is_some_and(|probe| probe.target == from) {
-                    self.reached(seq);
-                } else if self.favours.get(&seq).is_some_and(|favour| favour.target == from) {
-                    self.repay(seq, Reached::Yes);
+                    self.probe_acked(seq);
+                } else if self.relayed_probes.get(&seq).is_some_and(|favour| favour.target == from) {
+                    self.reply_to_requester(seq, ProbeResult::Acked);
                 }
-                if let Some(entry) = self.entry(from) {
-                    entry.deaf = 0;
+                if let Some(member) = self.member(from) {
+                    member.unanswered_pings = 0;
                 }
             }
-            Message::AskFor { seq, target } => self.ask_for(now, from, seq, target),
-            Message::Word { seq, target, word } => {
+            Message::PingReq { seq, target } => self.handle_ping_req(now, from, seq, target),
+            Message::PingReqResult { seq, target, result } => {
                 let known = self.probes.get_mut(&seq).filter(|probe| probe.target == target);
                 let Some(probe) = known else { return };
-                if word == Reached::Yes {
-                    return self.reached(seq);
+                if result == ProbeResult::Acked {
+                    return self.probe_acked(seq);
                 }
-                if probe.helpers.remove(&from) && probe.helpers.is_empty() && !probe.direct {
+                if probe.relays.remove(&from) && probe.relays.is_empty() && !probe.is_direct {
                     // Nobody is left who could still reach it.
-                    self.unreached(now, seq);
+                    self.probe_failed(now, seq);
                 }
             }
-            Message::Tell { claims } => {
-                let outdated =
-                    |c: &Claim| c.about == self.me && c.state > State::Alive && c.key() < self.own().key();
-                let outdated = claims.iter().any(outdated);
-                self.learn_all(now, &claims);
+            Message::Gossip { updates } => {
+                let outdated = |c: &MemberUpdate| {
+                    c.member == self.me && c.state > MemberState::Alive && c.key() < self.own_update().key()
+                };
+                let outdated = updates.iter().any(outdated);
+                self.apply_updates(now, &updates);
                 if outdated {
                     // The refutation has not come that far.
-                    let claims = vec![self.own()];
-                    self.send(from, Message::Tell { claims });
+                    let updates = vec![self.own_update()];
+                    self.send(from, Message::Gossip { updates });
                 }
             }
         }
-        self.answer_doubt(now, from);
+        self.tell_suspect(now, from);
     }
 
     /// One that is doubted here is heard: it has to know, so that it can refute.
-    fn answer_doubt(&mut self, now: Micros, peer: PeerId) {
-        let pause = self.pace.answer;
-        let Some(entry) = self.entry(peer) else { return };
-        let doubted = matches!(entry.state(), Some(State::Doubted | State::Gone));
-        if !doubted || !entry.linked || entry.told.is_some_and(|at| now.saturating_sub(at) < pause) {
+    fn tell_suspect(&mut self, now: Micros, peer: PeerId) {
+        let pause = self.pace.ack_timeout;
+        let Some(member) = self.member(peer) else { return };
+        let suspected_at = matches!(member.state(), Some(MemberState::Suspect | MemberState::Dead));
+        if !suspected_at
+            || !member.connected
+            || member.last_told.is_some_and(|at| now.saturating_sub(at) < pause)
+        {
             return;
         }
-        entry.told = Some(now);
-        let claims = self.claim(peer).into_iter().collect();
-        self.send(peer, Message::Tell { claims });
+        member.last_told = Some(now);
+        let updates = self.member_update(peer).into_iter().collect();
+        self.send(peer, Message::Gossip { updates });
     }
 
-    fn tell_view(&mut self, now: Micros, to: PeerId) {
-        let Some(entry) = self.entry(to) else { return };
-        if entry.told.is_some_and(|at| now.saturating_sub(at) < VIEW_EACH) {
+    fn send_view(&mut self, now: Micros, to: PeerId) {
+        let Some(member) = self.member(to) else { return };
+        if member.last_told.is_some_and(|at| now.saturating_sub(at) < VIEW_INTERVAL) {
             return;
         }
-        entry.told = Some(now);
-        let claims: Vec<Claim> = self.peers().filter_map(|peer| self.claim(peer)).collect();
-        for some in claims.chunks(A_TELL) {
-            self.send(to, Message::Tell { claims: some.to_vec() });
+        member.last_told = Some(now);
+        let updates: Vec<MemberUpdate> = self.peers().filter_map(|peer| self.member_update(peer)).collect();
+        for some in updates.chunks(UPDATES_PER_MESSAGE) {
+            self.send(to, Message::Gossip { updates: some.to_vec() });
         }
     }
 
-    fn ask_for(&mut self, now: Micros, asker: PeerId, seq: u64, target: PeerId) {
-        let (room, until) = (self.favours.len() < FAVOURS * self.entries.len(), now + self.patience());
-        let Some(entry) = self.entry(target) else { return };
-        let word = match entry {
-            Entry { linked: true, .. } if room => {
+    fn handle_ping_req(&mut self, now: Micros, requester: PeerId, seq: u64, target: PeerId) {
+        let (room, deadline) = (
+            self.relayed_probes.len() < RELAYED_PROBES_PER_MEMBER * self.members.len(),
+            now + self.ack_timeout(),
+        );
+        let Some(member) = self.member(target) else { return };
+        let result = match member {
+            Member { connected: true, .. } if room => {
                 self.seq += 1;
-                let (own, view) = (self.seq, self.view());
-                self.favours.insert(own, Favour { asker, seq, target, until });
-                let claims = self.along();
-                return self.send(target, Message::Ping { seq: own, view, claims });
+                let (own, view) = (self.seq, self.view_digest());
+                self.relayed_probes.insert(own, RelayedProbe { requester, seq, target, deadline });
+                let updates = self.piggyback_updates();
+                return self.send(target, Message::Ping { seq: own, view, updates });
             }
-            Entry { broken: true, .. } => Reached::Broken,
-            _ => Reached::No,
+            Member { connection_lost: true, .. } => ProbeResult::ConnectionLost,
+            _ => ProbeResult::NoResponse,
         };
-        self.send(asker, Message::Word { seq, target, word });
+        self.send(requester, Message::PingReqResult { seq, target, result });
     }
 
-    fn repay(&mut self, seq: u64, word: Reached) {
-        let Some(Favour { asker, seq, target, .. }) = self.favours.remove(&seq) else { return };
-        self.send(asker, Message::Word { seq, target, word });
+    fn reply_to_requester(&mut self, seq: u64, result: ProbeResult) {
+        let Some(RelayedProbe { requester, seq, target, .. }) = self.relayed_probes.remove(&seq) else {
+            return;
+        };
+        self.send(requester, Message::PingReqResult { seq, target, result });
     }
 
     /// A question was answered.
-    fn reached(&mut self, seq: u64) {
+    fn probe_acked(&mut self, seq: u64) {
         if self.probes.remove(&seq).is_some() {
-            self.strain = self.strain.saturating_sub(1);
+            self.local_health_multiplier = self.local_health_multiplier.saturating_sub(1);
         }
     }
 
     /// Begins a question to a member, through others where there is no link.
     fn probe(&mut self, now: Micros, target: PeerId) {
         self.seq += 1;
-        let (seq, until) = (self.seq, now + self.patience());
-        let linked = self.entry(target).is_some_and(|entry| entry.linked);
-        self.probes.insert(seq, Probe { target, direct: linked, until, helpers: BTreeSet::new() });
-        if linked {
-            let (view, claims) = (self.view(), self.along());
-            self.send(target, Message::Ping { seq, view, claims });
+        let (seq, deadline) = (self.seq, now + self.ack_timeout());
+        let connected = self.member(target).is_some_and(|member| member.connected);
+        self.probes.insert(seq, Probe { target, is_direct: connected, deadline, relays: BTreeSet::new() });
+        if connected {
+            let (view, updates) = (self.view_digest(), self.piggyback_updates());
+            self.send(target, Message::Ping { seq, view, updates });
         } else {
-            self.ask_others(now, seq);
+            self.send_ping_reqs(now, seq);
         }
     }
 
-    fn ask_others(&mut self, now: Micros, seq: u64) {
+    fn send_ping_reqs(&mut self, now: Micros, seq: u64) {
         let Some(target) = self.probes.get(&seq).map(|probe| probe.target) else { return };
         let able = |peer: &PeerId| {
-            let entry = &self.entries[usize::from(peer.0)];
-            *peer != target && entry.linked && entry.is(State::Alive)
+            let member = &self.members[usize::from(peer.0)];
+            *peer != target && member.connected && member.is(MemberState::Alive)
         };
-        let mut helpers: Vec<PeerId> = self.peers().filter(able).collect();
-        self.rng.shuffle(&mut helpers);
-        helpers.truncate(HELPERS);
-        for &helper in &helpers {
-            self.send(helper, Message::AskFor { seq, target });
+        let mut relays: Vec<PeerId> = self.peers().filter(able).collect();
+        self.rng.shuffle(&mut relays);
+        relays.truncate(PING_REQ_RELAYS);
+        for &helper in &relays {
+            self.send(helper, Message::PingReq { seq, target });
         }
-        let until = now + 2 * self.patience();
+        let deadline = now + 2 * self.ack_timeout();
         let Some(probe) = self.probes.get_mut(&seq) else { return };
-        (probe.direct, probe.until) = (false, until);
-        probe.helpers = helpers.into_iter().collect();
-        if probe.helpers.is_empty() {
-            self.unreached(now, seq);
+        (probe.is_direct, probe.deadline) = (false, deadline);
+        probe.relays = relays.into_iter().collect();
+        if probe.relays.is_empty() {
+            self.probe_failed(now, seq);
         }
     }
 
     /// Neither this process nor others for it have reached the member.
-    fn unreached(&mut self, now: Micros, seq: u64) {
+    fn probe_failed(&mut self, now: Micros, seq: u64) {
         let Some(probe) = self.probes.remove(&seq) else { return };
-        if !probe.helpers.is_empty() {
+        if !probe.relays.is_empty() {
             // Helpers owed a word, be it a "no": that they did not give it may be this process's own trouble.
-            self.strain = (self.strain + 1).min(MOST_STRAIN);
+            self.local_health_multiplier =
+                (self.local_health_multiplier + 1).min(MAX_LOCAL_HEALTH_MULTIPLIER);
         }
-        self.doubt(now, probe.target);
+        self.suspect(now, probe.target);
     }
 
-    fn doubt(&mut self, now: Micros, peer: PeerId) {
-        let by = self.me;
-        let Some(entry) = self.entry(peer) else { return };
-        let grade = if entry.broken { Grade::Broken } else { Grade::Silence };
-        let Some((incarnation, round, state)) = entry.claim else { return };
-        if state > State::Doubted || entry.doubters.get(&by).is_some_and(|&held| held >= grade) {
+    fn suspect(&mut self, now: Micros, peer: PeerId) {
+        let source = self.me;
+        let Some(member) = self.member(peer) else { return };
+        let evidence = if member.connection_lost {
+            SuspicionEvidence::ConnectionLost
+        } else {
+            SuspicionEvidence::NoResponse
+        };
+        let Some((incarnation, refutation, state)) = member.update else { return };
+        if state > MemberState::Suspect
+            || member.suspectors.get(&source).is_some_and(|&held| held >= evidence)
+        {
             return;
         }
-        let claim = Claim { about: peer, incarnation, round, state: State::Doubted, by, grade };
-        self.learn(now, claim);
+        let update = MemberUpdate {
+            member: peer,
+            incarnation,
+            refutation,
+            state: MemberState::Suspect,
+            source,
+            evidence,
+        };
+        self.apply_update(now, update);
     }
 
     /// Adds one's own broken link to a doubt that others have raised.
-    fn confirm(&mut self, now: Micros, peer: PeerId) {
-        let confirms = |entry: &mut Entry| entry.broken && !entry.linked && entry.is(State::Doubted);
-        if self.entry(peer).is_some_and(confirms) {
-            self.doubt(now, peer);
+    fn confirm_suspicion(&mut self, now: Micros, peer: PeerId) {
+        let confirms = |member: &mut Member| {
+            member.connection_lost && !member.connected && member.is(MemberState::Suspect)
+        };
+        if self.member(peer).is_some_and(confirms) {
+            self.suspect(now, peer);
         }
     }
 
-    fn learn_all(&mut self, now: Micros, claims: &[Claim]) {
-        claims.iter().for_each(|claim| self.learn(now, *claim));
+    fn apply_updates(&mut self, now: Micros, updates: &[MemberUpdate]) {
+        updates.iter().for_each(|update| self.apply_update(now, *update));
     }
 
     /// Takes a claim in, where it is higher than what is known, or says more of a doubt.
-    pub fn learn(&mut self, now: Micros, claim: Claim) {
-        if claim.about == self.me {
-            return self.told_of_itself(now, claim);
+    pub fn apply_update(&mut self, now: Micros, update: MemberUpdate) {
+        if update.member == self.me {
+            return self.apply_update_about_self(now, update);
         }
-        let Some(entry) = self.entries.get_mut(usize::from(claim.about.0)) else { return };
-        let was = entry.claim;
-        if was.is_some_and(|was| was > claim.key()) {
+        let Some(member) = self.members.get_mut(usize::from(update.member.0)) else { return };
+        let was = member.update;
+        if was.is_some_and(|was| was > update.key()) {
             return;
         }
-        let is_doubt = claim.state == State::Doubted;
-        let same = was == Some(claim.key());
+        let is_doubt = update.state == MemberState::Suspect;
+        let same = was == Some(update.key());
         if same && !is_doubt {
             return;
         }
         if !same {
-            entry.claim = Some(claim.key());
-            entry.doubters.clear();
-            entry.doubted = now;
+            member.update = Some(update.key());
+            member.suspectors.clear();
+            member.suspected_at = now;
         }
         if is_doubt {
-            let held = entry.doubters.get(&claim.by).copied();
-            if held.is_some_and(|held| held >= claim.grade) {
+            let held = member.suspectors.get(&update.source).copied();
+            if held.is_some_and(|held| held >= update.evidence) {
                 return;
             }
-            entry.doubters.insert(claim.by, claim.grade);
+            member.suspectors.insert(update.source, update.evidence);
         }
-        let linked = entry.linked;
+        let connected = member.connected;
         if !same {
-            self.orders.push(Order::Note(Note::Held(claim)));
+            self.actions.push(Action::Notify(Event::MemberChanged(update)));
         }
-        self.spread(claim);
-        if linked && matches!(claim.state, State::Doubted | State::Gone) {
+        self.disseminate(update);
+        if connected && matches!(update.state, MemberState::Suspect | MemberState::Dead) {
             // The one that it is about hears it from whoever still reaches it.
-            self.send(claim.about, Message::Tell { claims: vec![claim] });
+            self.send(update.member, Message::Gossip { updates: vec![update] });
         }
-        self.confirm(now, claim.about);
+        self.confirm_suspicion(now, update.member);
     }
 
     /// Somebody says something of this process.
-    fn told_of_itself(&mut self, now: Micros, claim: Claim) {
-        if claim.incarnation == self.incarnation {
-            let wrong = claim.key() > self.own().key();
-            if wrong && claim.state != State::Left {
-                self.round = claim.round.saturating_add(1);
-                self.strain = (self.strain + 1).min(MOST_STRAIN);
-                self.orders.push(Order::Note(Note::Refuted(self.round)));
-                self.spread(self.own());
+    fn apply_update_about_self(&mut self, now: Micros, update: MemberUpdate) {
+        if update.incarnation == self.incarnation {
+            let wrong = update.key() > self.own_update().key();
+            if wrong && update.state != MemberState::Left {
+                self.refutation = update.refutation.saturating_add(1);
+                self.local_health_multiplier =
+                    (self.local_health_multiplier + 1).min(MAX_LOCAL_HEALTH_MULTIPLIER);
+                self.actions.push(Action::Notify(Event::Refuted(self.refutation)));
+                self.disseminate(self.own_update());
             }
             return;
         }
         // Before it is a member the number always grows, whichever nonce is the higher one: a later life can be
         // told by its number alone.
-        let earlier = self.name == Name::Fresh && claim.incarnation.number >= self.incarnation.number;
-        if claim.incarnation < self.incarnation && !earlier {
+        let earlier =
+            self.name == Identity::Unconfirmed && update.incarnation.number >= self.incarnation.number;
+        if update.incarnation < self.incarnation && !earlier {
             return;
         }
         // Another process has this name, in a life that counts as later than this one.
-        let over = matches!(claim.state, State::Gone | State::Left);
-        if self.name == Name::Fresh || over {
-            self.incarnation.number = claim.incarnation.number.saturating_add(1);
-            self.round = 0;
-            if self.name == Name::Aside {
-                self.name = Name::Held;
+        let over = matches!(update.state, MemberState::Dead | MemberState::Left);
+        if self.name == Identity::Unconfirmed || over {
+            self.incarnation.number = update.incarnation.number.saturating_add(1);
+            self.refutation = 0;
+            if self.name == Identity::Superseded {
+                self.name = Identity::Confirmed;
             }
-            self.orders.push(Order::Note(Note::Renewed(self.incarnation)));
-            if self.name == Name::Held {
-                self.spread(self.own());
+            self.actions.push(Action::Notify(Event::IncarnationRaised(self.incarnation)));
+            if self.name == Identity::Confirmed {
+                self.disseminate(self.own_update());
             }
-        } else if self.name == Name::Held {
-            self.name = Name::Aside;
+        } else if self.name == Identity::Confirmed {
+            self.name = Identity::Superseded;
             self.probes.clear();
-            self.favours.clear();
-            self.next_probe = now + self.pace.probe;
-            self.orders.push(Order::Note(Note::Usurped(claim.incarnation)));
+            self.relayed_probes.clear();
+            self.next_probe = now + self.pace.probe_interval;
+            self.actions.push(Action::Notify(Event::Superseded(update.incarnation)));
         }
     }
 
     /// Tells news at once to some and keeps it to be told by the way.
-    fn spread(&mut self, claim: Claim) {
-        if self.name == Name::Aside {
+    fn disseminate(&mut self, update: MemberUpdate) {
+        if self.name == Identity::Superseded {
             return;
         }
-        let mut to: Vec<PeerId> = self.peers().filter(|peer| *peer != claim.about).collect();
-        to.retain(|peer| self.entries[usize::from(peer.0)].linked);
+        let mut to: Vec<PeerId> = self.peers().filter(|peer| *peer != update.member).collect();
+        to.retain(|peer| self.members[usize::from(peer.0)].connected);
         // Retold as often as is needed for all to hear it with few losses: three times the logarithm.
-        let times = 3 * (usize::BITS - self.entries.len().leading_zeros());
-        if to.len() > FANOUT {
+        let times = 3 * (usize::BITS - self.members.len().leading_zeros());
+        if to.len() > GOSSIP_FANOUT {
             self.rng.shuffle(&mut to);
-            to.truncate(FANOUT);
+            to.truncate(GOSSIP_FANOUT);
         }
         // Who is told at once of a doubt that came by hearsay has mostly heard it too: only first-hand news
         // goes to all at once.
-        let own = claim.about == self.me || (claim.by == self.me && claim.state >= State::Doubted);
+        let own =
+            update.member == self.me || (update.source == self.me && update.state >= MemberState::Suspect);
         if own {
             for peer in to {
-                self.send(peer, Message::Tell { claims: vec![claim] });
+                self.send(peer, Message::Gossip { updates: vec![update] });
             }
         }
         // What is lower than this is no news any more; of a doubt each member's own is kept.
-        self.news.retain(|(known, _)| {
-            known.about != claim.about || (known.key() == claim.key() && known.by != claim.by)
+        self.gossip_queue.retain(|(known, _)| {
+            known.member != update.member || (known.key() == update.key() && known.source != update.source)
         });
-        if self.news.len() >= NEWS * self.entries.len() {
-            self.news.pop_front();
+        if self.gossip_queue.len() >= GOSSIP_QUEUE_PER_MEMBER * self.members.len() {
+            self.gossip_queue.pop_front();
         }
-        self.news.push_back((claim, times));
+        self.gossip_queue.push_back((update, times));
     }
 
     /// The news that goes along with a message.
-    fn along(&mut self) -> Vec<Claim> {
-        let mut claims = Vec::new();
-        for _ in 0..ALONG.min(self.news.len()) {
-            let Some((claim, times)) = self.news.pop_front() else { break };
-            claims.push(claim);
+    fn piggyback_updates(&mut self) -> Vec<MemberUpdate> {
+        let mut updates = Vec::new();
+        for _ in 0..PIGGYBACKED_UPDATES.min(self.gossip_queue.len()) {
+            let Some((update, times)) = self.gossip_queue.pop_front() else { break };
+            updates.push(update);
             if times > 1 {
-                self.news.push_back((claim, times - 1));
+                self.gossip_queue.push_back((update, times - 1));
             }
         }
-        claims
+        updates
     }
 
     /// When a doubt becomes a loss: later under strain, sooner the more came to it by themselves, and soon
     /// where links broke at most of those who are there.
-    fn gone_at(&self, entry: &Entry) -> Option<Micros> {
-        if !entry.is(State::Doubted) {
+    fn suspicion_deadline(&self, member: &Member) -> Option<Micros> {
+        if !member.is(MemberState::Suspect) {
             return None;
         }
-        let able = 1 + self.entries.iter().filter(|e| e.is(State::Alive)).count();
-        let broken = entry.doubters.values().filter(|&&grade| grade == Grade::Broken).count();
-        let patient = Micros::from(1 + self.strain);
+        let able = 1 + self.members.iter().filter(|e| e.is(MemberState::Alive)).count();
+        let broken = member
+            .suspectors
+            .values()
+            .filter(|&&evidence| evidence == SuspicionEvidence::ConnectionLost)
+            .count();
+        let patient = Micros::from(1 + self.local_health_multiplier);
         if 2 * broken > able {
-            return Some(entry.doubted + SETTLE * patient);
+            return Some(member.suspected_at + CONFIRMED_SUSPICION_TIMEOUT * patient);
         }
-        let longest = self.pace.doubt * patient;
+        let longest = self.pace.suspicion_timeout * patient;
         let shortest = longest / 3;
-        let others = entry.doubters.len().saturating_sub(1).min(2);
+        let others = member.suspectors.len().saturating_sub(1).min(2);
         // Lifeguard's curve, log(c + 1) / log(k + 1) for k = 2, in thousandths.
         let share = [0, 631, 1000][others];
-        Some(entry.doubted + longest - (longest - shortest) * share / 1000)
+        Some(member.suspected_at + longest - (longest - shortest) * share / 1000)
     }
 
     /// When something is to be done without a message.
     #[must_use]
-    pub fn due(&self) -> Option<Micros> {
-        let probes = self.probes.values().map(|probe| probe.until);
-        let favours = self.favours.values().map(|favour| favour.until);
-        let losses = self.entries.iter().filter_map(|entry| self.gone_at(entry));
-        let next = (!self.leaving && self.name != Name::Aside).then_some(self.next_probe);
-        probes.chain(favours).chain(losses).chain(next).min()
+    pub fn poll_timeout(&self) -> Option<Micros> {
+        let probes = self.probes.values().map(|probe| probe.deadline);
+        let relayed_probes = self.relayed_probes.values().map(|favour| favour.deadline);
+        let losses = self.members.iter().filter_map(|member| self.suspicion_deadline(member));
+        let next = (!self.leaving && self.name != Identity::Superseded).then_some(self.next_probe);
+        probes.chain(relayed_probes).chain(losses).chain(next).min()
     }
 
     /// Does all whose time has come.
-    pub fn tick(&mut self, now: Micros) {
-        let Some(due) = self.due().filter(|&due| due <= now) else { return };
+    pub fn handle_timeout(&mut self, now: Micros) {
+        let Some(due) = self.poll_timeout().filter(|&due| due <= now) else { return };
         let late = now - due;
-        if late > LATE {
-            return self.forgive(now, late);
+        if late > LATE_TIMER {
+            return self.handle_late_timers(now, late);
         }
-        let over = |until: Micros| until <= now;
-        let favours: Vec<u64> =
-            self.favours.iter().filter(|(_, f)| over(f.until)).map(|(&seq, _)| seq).collect();
-        for seq in favours {
-            self.repay(seq, Reached::No);
+        let over = |deadline: Micros| deadline <= now;
+        let relayed_probes: Vec<u64> =
+            self.relayed_probes.iter().filter(|(_, f)| over(f.deadline)).map(|(&seq, _)| seq).collect();
+        for seq in relayed_probes {
+            self.reply_to_requester(seq, ProbeResult::NoResponse);
         }
         let late: Vec<(u64, bool, PeerId)> = self
             .probes
             .iter()
-            .filter(|(_, p)| over(p.until))
-            .map(|(&seq, p)| (seq, p.direct, p.target))
+            .filter(|(_, p)| over(p.deadline))
+            .map(|(&seq, p)| (seq, p.is_direct, p.target))
             .collect();
-        for (seq, direct, target) in late {
-            if direct {
-                self.unanswered(target);
-                self.ask_others(now, seq);
+        for (seq, is_direct, target) in late {
+            if is_direct {
+                self.ping_unanswered(target);
+                self.send_ping_reqs(now, seq);
             } else {
-                self.unreached(now, seq);
+                self.probe_failed(now, seq);
             }
         }
         for peer in self.peers() {
-            let gone = self.gone_at(&self.entries[usize::from(peer.0)]).is_some_and(over);
-            if let (true, Some(claim)) = (gone, self.claim(peer)) {
-                self.learn(now, Claim { state: State::Gone, by: self.me, ..claim });
+            let gone = self.suspicion_deadline(&self.members[usize::from(peer.0)]).is_some_and(over);
+            if let (true, Some(update)) = (gone, self.member_update(peer)) {
+                self.apply_update(now, MemberUpdate { state: MemberState::Dead, source: self.me, ..update });
             }
         }
         if self.next_probe <= now {
-            self.next_probe = now + self.pace.probe;
-            if let Some(target) = self.next_target() {
+            self.next_probe = now + self.pace.probe_interval;
+            if let Some(target) = self.next_probe_target() {
                 self.probe(now, target);
             }
         }
@@ -785,40 +826,41 @@
 
     /// This process was not at its timers in time. What it did not hear meanwhile says nothing of others: open
     /// questions begin anew, doubts stand as much longer, and strain grows.
-    fn forgive(&mut self, now: Micros, late: Micros) {
-        self.strain = (self.strain + 1).min(MOST_STRAIN);
-        let until = now + self.patience();
-        self.probes.values_mut().for_each(|probe| probe.until = until);
-        self.favours.values_mut().for_each(|favour| favour.until = until);
-        for entry in &mut self.entries {
-            if entry.is(State::Doubted) {
-                entry.doubted += late;
+    fn handle_late_timers(&mut self, now: Micros, late: Micros) {
+        self.local_health_multiplier = (self.local_health_multiplier + 1).min(MAX_LOCAL_HEALTH_MULTIPLIER);
+        let deadline = now + self.ack_timeout();
+        self.probes.values_mut().for_each(|probe| probe.deadline = deadline);
+        self.relayed_probes.values_mut().for_each(|favour| favour.deadline = deadline);
+        for member in &mut self.members {
+            if member.is(MemberState::Suspect) {
+                member.suspected_at += late;
             }
         }
-        self.next_probe = now + self.pace.probe;
+        self.next_probe = now + self.pace.probe_interval;
     }
 
-    fn unanswered(&mut self, peer: PeerId) {
-        let Some(entry) = self.entry(peer) else { return };
-        entry.deaf += 1;
-        if entry.deaf % DEAF == 0 {
-            self.orders.push(Order::Relink(peer));
+    fn ping_unanswered(&mut self, peer: PeerId) {
+        let Some(member) = self.member(peer) else { return };
+        member.unanswered_pings += 1;
+        if member.unanswered_pings % UNANSWERED_PINGS_BEFORE_RECONNECT == 0 {
+            self.actions.push(Action::Reconnect(peer));
         }
     }
 
     /// The next one in turn: everybody once, in a new order each time, as far as there is a way to it.
-    fn next_target(&mut self) -> Option<PeerId> {
-        for _ in 0..=self.entries.len() {
-            if self.turn.is_empty() {
-                self.turn = self.peers().filter(|peer| *peer != self.me).collect();
+    fn next_probe_target(&mut self) -> Option<PeerId> {
+        for _ in 0..=self.members.len() {
+            if self.probe_order.is_empty() {
+                self.probe_order = self.peers().filter(|peer| *peer != self.me).collect();
                 let rng = &mut self.rng;
-                rng.shuffle(&mut self.turn);
+                rng.shuffle(&mut self.probe_order);
             }
-            let peer = self.turn.pop()?;
-            let entry = &self.entries[usize::from(peer.0)];
+            let peer = self.probe_order.pop()?;
+            let member = &self.members[usize::from(peer.0)];
             let asked = self.probes.values().any(|probe| probe.target == peer);
-            let able = entry.linked || matches!(entry.state(), Some(State::Alive | State::Doubted));
-            if able && !asked && !entry.is(State::Left) {
+            let able =
+                member.connected || matches!(member.state(), Some(MemberState::Alive | MemberState::Suspect));
+            if able && !asked && !member.is(MemberState::Left) {
                 return Some(peer);
             }
         }
@@ -826,14 +868,14 @@
     }
 
     /// This process ends: all who are linked hear it at once.
-    pub fn leave(&mut self) {
+    pub fn announce_leave(&mut self) {
         if !self.leaving {
             self.leaving = true;
-            let own = self.own();
-            let linked: Vec<PeerId> =
-                self.peers().filter(|peer| self.entries[usize::from(peer.0)].linked).collect();
-            for peer in linked {
-                self.send(peer, Message::Tell { claims: vec![own] });
+            let own = self.own_update();
+            let connected: Vec<PeerId> =
+                self.peers().filter(|peer| self.members[usize::from(peer.0)].connected).collect();
+            for peer in connected {
+                self.send(peer, Message::Gossip { updates: vec![own] });
             }
             self.probes.clear();
         }
--- a/crates/cluster/tests/members.rs
+++ b/crates/cluster/tests/members.rs
@@ -2,15 +2,19 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use mallowgauge_cluster::flow::{Bundle, Intake, Queue, Worth};
-use mallowgauge_cluster::links::{latest, Dials, Refusal, Register, Room};
-use mallowgauge_cluster::members::{Claim, Grade, Members, Message, Note, Order, Pace, State};
+use mallowgauge_cluster::flow::{InboundRateLimit, MessageBatch, OutboundQueue, Priority};
+use mallowgauge_cluster::links::{
+    verify_incarnation, DialScheduler, HandshakeError, PeerConnectionLimits, PeerList,
+};
+use mallowgauge_cluster::members::{
+    Action, Event, MemberState, MemberUpdate, Membership, Message, ProbeTiming, SuspicionEvidence,
+};
 use mallowgauge_cluster::{Incarnation, PeerId};
 use proptest::prelude::*;
 
 /// The message that is written next.
-fn next(queue: &Queue) -> Option<Vec<u8>> {
-    queue.pieces().next().map(<[u8]>::to_vec)
+fn next(queue: &OutboundQueue) -> Option<Vec<u8>> {
+    queue.unsent().next().map(<[u8]>::to_vec)
 }
 
 const MS: u64 = 1000;
@@ -19,14 +23,14 @@
 /// A fleet whose links are up from the start; what is sent takes 1 ms.
 struct Fleet {
     now: u64,
-    members: Vec<Members>,
+    members: Vec<Membership>,
     /// (at, number, from, to, message); a message to a process that is not there breaks the link.
     wire: BTreeMap<(u64, u64), (usize, usize, Message)>,
     sent: u64,
     cut: BTreeSet<(usize, usize)>,
     dead: BTreeSet<usize>,
     paused: BTreeSet<usize>,
-    notes: Vec<(u64, usize, Note)>,
+    events: Vec<(u64, usize, Event)>,
 }
 
 fn peer(at: usize) -> PeerId {
@@ -35,39 +39,39 @@
 
 impl Fleet {
     fn new(count: usize) -> Self {
-        let new = |at: usize| Members::new(0, peer(at), count, at as u64 + 1, Pace::default(), 7);
+        let new = |at: usize| Membership::new(0, peer(at), count, at as u64 + 1, ProbeTiming::default(), 7);
         let members = (0..count).map(new).collect();
         let (cut, dead, paused) = Default::default();
         let mut fleet =
-            Self { now: 0, members, wire: BTreeMap::new(), sent: 0, cut, dead, paused, notes: Vec::new() };
+            Self { now: 0, members, wire: BTreeMap::new(), sent: 0, cut, dead, paused, events: Vec::new() };
         for (a, b) in (0..count).flat_map(|a| (0..count).map(move |b| (a, b))).filter(|(a, b)| a != b) {
             fleet.link(a, b);
         }
         fleet.run(3000);
-        fleet.notes.clear();
+        fleet.events.clear();
         fleet
     }
 
     fn link(&mut self, a: usize, b: usize) {
-        let hello = self.members[b].own();
-        if let Some(known) = self.members[b].claim(peer(a)) {
-            self.members[a].learn(self.now, known);
+        let hello = self.members[b].own_update();
+        if let Some(known) = self.members[b].member_update(peer(a)) {
+            self.members[a].apply_update(self.now, known);
         }
-        self.members[a].linked(self.now, hello);
+        self.members[a].peer_connected(self.now, hello);
     }
 
     fn carry(&mut self, from: usize) {
-        for order in self.members[from].orders() {
-            match order {
-                Order::Send(to, message) => {
+        for action in self.members[from].take_actions() {
+            match action {
+                Action::Send(to, message) => {
                     self.sent += 1;
                     let to = usize::from(to.0);
                     if !self.cut.contains(&(from, to)) {
                         self.wire.insert((self.now + DELAY, self.sent), (from, to, message));
                     }
                 }
-                Order::Note(note) => self.notes.push((self.now, from, note)),
-                Order::Relink(_) => {}
+                Action::Notify(event) => self.events.push((self.now, from, event)),
+                Action::Reconnect(_) => {}
             }
         }
     }
@@ -78,7 +82,8 @@
         loop {
             (0..self.members.len()).for_each(|at| self.carry(at));
             let awake = |at: &usize| !self.dead.contains(at) && !self.paused.contains(at);
-            let due = (0..self.members.len()).filter(awake).filter_map(|at| self.members[at].due()).min();
+            let due =
+                (0..self.members.len()).filter(awake).filter_map(|at| self.members[at].poll_timeout()).min();
             let arrives = self.wire.keys().next().map(|(at, _)| *at);
             let next = due.into_iter().chain(arrives).min().unwrap_or(end).max(self.now);
             if next >= end {
@@ -86,8 +91,8 @@
                 return;
             }
             self.now = next;
-            if let Some(entry) = self.wire.first_entry().filter(|entry| entry.key().0 <= next) {
-                let (from, to, message) = entry.remove();
+            if let Some(member) = self.wire.first_entry().filter(|member| member.key().0 <= next) {
+                let (from, to, message) = member.remove();
                 if self.dead.contains(&to) {
                     continue;
                 }
@@ -97,12 +102,12 @@
                     self.wire.insert((next + 20 * MS, self.sent), (from, to, message));
                     continue;
                 }
-                self.members[to].heard(next, peer(from), message);
+                self.members[to].handle_message(next, peer(from), message);
                 continue;
             }
             for at in (0..self.members.len()).filter(|at| !self.dead.contains(at)) {
                 if !self.paused.contains(&at) {
-                    self.members[at].tick(next);
+                    self.members[at].handle_timeout(next);
                 }
             }
         }
@@ -112,7 +117,7 @@
         self.dead.insert(dead);
         self.wire.retain(|_, (_, to, _)| *to != dead);
         for at in (0..self.members.len()).filter(|at| *at != dead) {
-            self.members[at].unlinked(self.now, peer(dead), true);
+            self.members[at].peer_disconnected(self.now, peer(dead), true);
         }
     }
 
@@ -120,17 +125,17 @@
     fn view(&self, at: usize) -> String {
         let state = |other: usize| match self.members[at].state(peer(other)) {
             None => '?',
-            Some(State::Alive) => 'a',
-            Some(State::Doubted) => 'd',
-            Some(State::Gone) => 'g',
-            Some(State::Left) => 'l',
+            Some(MemberState::Alive) => 'a',
+            Some(MemberState::Suspect) => 'd',
+            Some(MemberState::Dead) => 'g',
+            Some(MemberState::Left) => 'l',
         };
         (0..self.members.len()).map(state).collect()
     }
 
-    fn ever(&self, of: usize, state: State) -> usize {
-        let is = |note: &Note| matches!(note, Note::Held(c) if c.about == peer(of) && c.state == state);
-        self.notes.iter().filter(|(_, _, note)| is(note)).count()
+    fn ever(&self, of: usize, state: MemberState) -> usize {
+        let is = |event: &Event| matches!(event, Event::MemberChanged(c) if c.member == peer(of) && c.state == state);
+        self.events.iter().filter(|(_, _, event)| is(event)).count()
     }
 }
 
@@ -139,11 +144,11 @@
     let mut fleet = Fleet::new(9);
     let before = fleet.sent;
     fleet.run(60_000);
-    assert_eq!(fleet.notes, []);
+    assert_eq!(fleet.events, []);
     // A question and an answer for each member and interval, and nothing else.
     let each = (fleet.sent - before) as f64 / 9.0 / 60.0;
     assert!((9.0..=10.5).contains(&each), "{each} messages a second");
-    let views: BTreeSet<u64> = fleet.members.iter().map(Members::view).collect();
+    let views: BTreeSet<u64> = fleet.members.iter().map(Membership::view_digest).collect();
     assert_eq!(views.len(), 1);
 }
 
@@ -164,12 +169,12 @@
     let mut fleet = Fleet::new(5);
     fleet.paused.insert(2);
     fleet.run(5000);
-    let first = |state: State| {
-        let is = |note: &Note| matches!(note, Note::Held(c) if c.about == peer(2) && c.state == state);
-        fleet.notes.iter().find(|(_, _, note)| is(note)).expect("such a note").0
+    let first = |state: MemberState| {
+        let is = |event: &Event| matches!(event, Event::MemberChanged(c) if c.member == peer(2) && c.state == state);
+        fleet.events.iter().find(|(_, _, event)| is(event)).expect("such a note").0
     };
-    let (doubted, gone) = (first(State::Doubted), first(State::Gone));
-    assert!(gone - doubted >= 450 * MS, "a doubt that only silence speaks for stands for a while");
+    let (suspected_at, gone) = (first(MemberState::Suspect), first(MemberState::Dead));
+    assert!(gone - suspected_at >= 450 * MS, "a doubt that only silence speaks for stands for a while");
     for at in [0, 1, 3, 4] {
         assert_eq!(fleet.view(at), "aagaa");
     }
@@ -180,16 +185,16 @@
     let mut fleet = Fleet::new(5);
     fleet.paused.insert(2);
     fleet.run(5000);
-    assert_eq!(fleet.ever(2, State::Gone), 4);
+    assert_eq!(fleet.ever(2, MemberState::Dead), 4);
     fleet.paused.clear();
     fleet.run(500);
     for at in 0..5 {
         assert_eq!(fleet.view(at), "aaaaa", "seen by {at}");
     }
-    assert!(fleet.notes.iter().any(|(_, at, note)| *at == 2 && matches!(note, Note::Refuted(_))));
+    assert!(fleet.events.iter().any(|(_, at, event)| *at == 2 && matches!(event, Event::Refuted(_))));
     // It was late itself, and held nobody else for it.
     for other in [0, 1, 3, 4] {
-        assert_eq!(fleet.ever(other, State::Doubted), 0);
+        assert_eq!(fleet.ever(other, MemberState::Suspect), 0);
     }
 }
 
@@ -199,7 +204,7 @@
         let mut fleet = Fleet::new(3);
         fleet.cut.extend(cut);
         fleet.run(20_000);
-        assert_eq!((fleet.ever(0, State::Doubted), fleet.ever(1, State::Doubted)), (0, 0));
+        assert_eq!((fleet.ever(0, MemberState::Suspect), fleet.ever(1, MemberState::Suspect)), (0, 0));
         assert_eq!((fleet.view(0), fleet.view(1)), ("aaa".to_owned(), "aaa".to_owned()));
     }
 }
@@ -208,14 +213,14 @@
 fn a_link_that_flaps_alone_raises_no_doubt() {
     let mut fleet = Fleet::new(4);
     for _ in 0..50 {
-        fleet.members[0].unlinked(fleet.now, peer(1), true);
-        fleet.members[1].unlinked(fleet.now, peer(0), true);
+        fleet.members[0].peer_disconnected(fleet.now, peer(1), true);
+        fleet.members[1].peer_disconnected(fleet.now, peer(0), true);
         fleet.run(200);
         fleet.link(0, 1);
         fleet.link(1, 0);
         fleet.run(200);
     }
-    assert_eq!(fleet.notes, []);
+    assert_eq!(fleet.events, []);
 }
 
 #[test]
@@ -236,7 +241,7 @@
 #[test]
 fn who_says_that_it_ends_is_not_probed_and_not_doubted() {
     let mut fleet = Fleet::new(3);
-    fleet.members[1].leave();
+    fleet.members[1].announce_leave();
     fleet.run(10);
     fleet.kill(1);
     fleet.run(10_000);
@@ -246,7 +251,7 @@
 /// A process that starts anew under the name of `at`, which its peers knew.
 fn reborn(fleet: &mut Fleet, at: usize, nonce: u64) -> Incarnation {
     let count = fleet.members.len();
-    fleet.members[at] = Members::new(fleet.now, peer(at), count, nonce, Pace::default(), 7);
+    fleet.members[at] = Membership::new(fleet.now, peer(at), count, nonce, ProbeTiming::default(), 7);
     fleet.dead.remove(&at);
     let others = (0..count).filter(|other| *other != at && !fleet.dead.contains(other));
     for other in others.collect::<Vec<_>>() {
@@ -267,20 +272,20 @@
     fleet.run(500);
     for at in 0..3 {
         assert_eq!(fleet.view(at), "aaa");
-        assert_eq!(fleet.members[at].claim(peer(1)).map(|c| c.incarnation), Some(life));
+        assert_eq!(fleet.members[at].member_update(peer(1)).map(|c| c.incarnation), Some(life));
     }
     // A claim of the old life that comes late changes nothing.
     let old = Incarnation { number: 1, nonce: 2 };
-    let late = Claim {
-        about: peer(1),
+    let late = MemberUpdate {
+        member: peer(1),
         incarnation: old,
-        round: 9,
-        state: State::Gone,
-        by: peer(2),
-        grade: Grade::Broken,
+        refutation: 9,
+        state: MemberState::Dead,
+        source: peer(2),
+        evidence: SuspicionEvidence::ConnectionLost,
     };
     let now = fleet.now;
-    fleet.members[0].learn(now, late);
+    fleet.members[0].apply_update(now, late);
     assert_eq!(fleet.view(0), "aaa");
 }
 
@@ -288,16 +293,16 @@
 fn of_two_processes_with_one_name_the_later_one_has_it_and_the_other_stands_aside() {
     let mut fleet = Fleet::new(3);
     let later = Incarnation { number: 2, nonce: 77 };
-    let mut claim = fleet.members[1].own();
-    (claim.incarnation, claim.by) = (later, peer(0));
+    let mut update = fleet.members[1].own_update();
+    (update.incarnation, update.source) = (later, peer(0));
     let now = fleet.now;
-    fleet.members[1].learn(now, claim);
-    assert!(fleet.members[1].aside());
+    fleet.members[1].apply_update(now, update);
+    assert!(fleet.members[1].is_superseded());
     assert_eq!(fleet.members[1].incarnation().number, 1, "it does not climb over a living one");
     // Once the later one is known to have gone, it has its name again.
-    claim.state = State::Gone;
-    fleet.members[1].learn(now, claim);
-    assert!(!fleet.members[1].aside());
+    update.state = MemberState::Dead;
+    fleet.members[1].apply_update(now, update);
+    assert!(!fleet.members[1].is_superseded());
     assert_eq!(fleet.members[1].incarnation().number, 3);
 }
 
@@ -305,24 +310,24 @@
 fn a_clock_set_back_makes_nobody_doubted() {
     let mut fleet = Fleet::new(3);
     for at in 0..3 {
-        fleet.members[at].tick(0);
-        fleet.members[at].heard(1, peer((at + 1) % 3), Message::Tell { claims: Vec::new() });
-        fleet.members[at].unlinked(2, peer((at + 1) % 3), false);
+        fleet.members[at].handle_timeout(0);
+        fleet.members[at].handle_message(1, peer((at + 1) % 3), Message::Gossip { updates: Vec::new() });
+        fleet.members[at].peer_disconnected(2, peer((at + 1) % 3), false);
         fleet.link(at, (at + 1) % 3);
     }
     fleet.run(10_000);
-    assert_eq!(fleet.notes, []);
+    assert_eq!(fleet.events, []);
 }
 
 #[test]
 fn what_comes_of_nobody_is_passed_by() {
-    let mut members = Members::new(0, peer(0), 3, 1, Pace::default(), 7);
-    let claims = vec![Claim { about: peer(900), ..members.own() }];
-    members.heard(1, peer(900), Message::Tell { claims: claims.clone() });
-    members.heard(1, peer(1), Message::Tell { claims });
-    members.heard(1, peer(1), Message::Ack { seq: 5, claims: Vec::new() });
-    members.heard(1, peer(1), Message::AskFor { seq: 5, target: peer(900) });
-    let sent = members.orders();
+    let mut members = Membership::new(0, peer(0), 3, 1, ProbeTiming::default(), 7);
+    let updates = vec![MemberUpdate { member: peer(900), ..members.own_update() }];
+    members.handle_message(1, peer(900), Message::Gossip { updates: updates.clone() });
+    members.handle_message(1, peer(1), Message::Gossip { updates });
+    members.handle_message(1, peer(1), Message::Ack { seq: 5, updates: Vec::new() });
+    members.handle_message(1, peer(1), Message::PingReq { seq: 5, target: peer(900) });
+    let sent = members.take_actions();
     assert_eq!(sent, []);
 }
 
@@ -330,100 +335,106 @@
 fn questions_for_others_are_bounded() {
     let mut fleet = Fleet::new(3);
     for seq in 0..1000 {
-        fleet.members[0].heard(fleet.now, peer(1), Message::AskFor { seq, target: peer(2) });
+        fleet.members[0].handle_message(fleet.now, peer(1), Message::PingReq { seq, target: peer(2) });
     }
-    let orders = fleet.members[0].orders();
-    let asked = |o: &&Order| matches!(o, Order::Send(to, Message::Ping { .. }) if *to == peer(2));
-    assert_eq!(orders.iter().filter(asked).count(), 12);
-    let told = |o: &&Order| matches!(o, Order::Send(to, Message::Word { .. }) if *to == peer(1));
-    assert_eq!(orders.iter().filter(told).count(), 988, "who is not asked for is told so");
+    let actions = fleet.members[0].take_actions();
+    let asked = |o: &&Action| matches!(o, Action::Send(to, Message::Ping { .. }) if *to == peer(2));
+    assert_eq!(actions.iter().filter(asked).count(), 12);
+    let last_told =
+        |o: &&Action| matches!(o, Action::Send(to, Message::PingReqResult { .. }) if *to == peer(1));
+    assert_eq!(actions.iter().filter(last_told).count(), 988, "who is not asked for is told so");
 }
 
 /// A process that is linked to two others, 1 and 2.
-fn of_three() -> (Members, [Claim; 2]) {
-    let mut members = Members::new(0, peer(0), 3, 1, Pace::default(), 7);
-    let hello = |at: usize| Members::new(0, peer(at), 3, 5, Pace::default(), 7).own();
+fn of_three() -> (Membership, [MemberUpdate; 2]) {
+    let mut members = Membership::new(0, peer(0), 3, 1, ProbeTiming::default(), 7);
+    let hello = |at: usize| Membership::new(0, peer(at), 3, 5, ProbeTiming::default(), 7).own_update();
     let hellos = [hello(1), hello(2)];
-    hellos.iter().for_each(|hello| members.linked(0, *hello));
-    members.orders();
+    hellos.iter().for_each(|hello| members.peer_connected(0, *hello));
+    members.take_actions();
     (members, hellos)
 }
 
-fn doubt(of: Claim, by: usize, grade: Grade) -> Claim {
-    Claim { state: State::Doubted, by: peer(by), grade, ..of }
+fn doubt(of: MemberUpdate, source: usize, evidence: SuspicionEvidence) -> MemberUpdate {
+    MemberUpdate { state: MemberState::Suspect, source: peer(source), evidence, ..of }
 }
 
 #[test]
 fn who_was_late_itself_holds_no_doubt_against_others_for_that_time() {
     let (mut members, [one, _]) = of_three();
-    members.learn(10, doubt(one, 2, Grade::Silence));
+    members.apply_update(10, doubt(one, 2, SuspicionEvidence::NoResponse));
     // It was halted for a minute; nobody could tell it anything.
-    members.tick(60_000 * MS);
-    assert_eq!(members.state(peer(1)), Some(State::Doubted));
-    assert_eq!(members.strain(), 1);
-    let due = members.due().expect("something");
+    members.handle_timeout(60_000 * MS);
+    assert_eq!(members.state(peer(1)), Some(MemberState::Suspect));
+    assert_eq!(members.local_health_multiplier(), 1);
+    let due = members.poll_timeout().expect("something");
     assert!(due > 60_000 * MS, "its waits begin anew");
 }
 
 #[test]
 fn who_is_linked_again_is_told_of_the_doubt_and_not_lost_by_it() {
     let (mut members, [one, _]) = of_three();
-    members.unlinked(10, peer(1), true);
-    members.learn(20, doubt(one, 2, Grade::Broken));
-    members.orders();
-    members.linked(30 * MS, one);
-    let told = |o: &Order| {
-        matches!(o, Order::Send(to, Message::Tell { claims })
-        if *to == peer(1) && claims.iter().any(|c| c.about == peer(1) && c.state == State::Doubted))
+    members.peer_disconnected(10, peer(1), true);
+    members.apply_update(20, doubt(one, 2, SuspicionEvidence::ConnectionLost));
+    members.take_actions();
+    members.peer_connected(30 * MS, one);
+    let last_told = |o: &Action| {
+        matches!(o, Action::Send(to, Message::Gossip { updates })
+        if *to == peer(1) && updates.iter().any(|c| c.member == peer(1) && c.state == MemberState::Suspect))
     };
-    assert!(members.orders().iter().any(told));
+    assert!(members.take_actions().iter().any(last_told));
     // Both had seen its links break: without the new one it would be gone by now.
-    members.tick(60 * MS);
-    assert_eq!(members.state(peer(1)), Some(State::Doubted));
+    members.handle_timeout(60 * MS);
+    assert_eq!(members.state(peer(1)), Some(MemberState::Suspect));
 }
 
 #[test]
 fn who_has_left_is_asked_nothing() {
     let (mut members, [one, _]) = of_three();
-    members.learn(10, Claim { state: State::Left, ..one });
+    members.apply_update(10, MemberUpdate { state: MemberState::Left, ..one });
     let mut now = 0;
     for _ in 0..50 {
-        now = members.due().expect("a question").max(now);
-        members.tick(now);
-        let asked = |o: &Order| matches!(o, Order::Send(to, Message::Ping { .. }) if *to == peer(1));
-        assert!(!members.orders().iter().any(asked));
+        now = members.poll_timeout().expect("a question").max(now);
+        members.handle_timeout(now);
+        let asked = |o: &Action| matches!(o, Action::Send(to, Message::Ping { .. }) if *to == peer(1));
+        assert!(!members.take_actions().iter().any(asked));
     }
 }
 
-fn claims() -> impl Strategy<Value = Vec<Claim>> {
-    let state = prop_oneof![Just(State::Alive), Just(State::Doubted), Just(State::Gone), Just(State::Left)];
-    let grade = prop_oneof![Just(Grade::Silence), Just(Grade::Broken)];
-    let claim = (1_u16..4, 1_u64..3, 0_u64..2, 0_u32..3, state, 1_u16..4, grade).prop_map(
-        |(about, number, nonce, round, state, by, grade)| Claim {
-            about: PeerId(about),
+fn updates() -> impl Strategy<Value = Vec<MemberUpdate>> {
+    let state = prop_oneof![
+        Just(MemberState::Alive),
+        Just(MemberState::Suspect),
+        Just(MemberState::Dead),
+        Just(MemberState::Left)
+    ];
+    let evidence = prop_oneof![Just(SuspicionEvidence::NoResponse), Just(SuspicionEvidence::ConnectionLost)];
+    let update = (1_u16..4, 1_u64..3, 0_u64..2, 0_u32..3, state, 1_u16..4, evidence).prop_map(
+        |(member, number, nonce, refutation, state, source, evidence)| MemberUpdate {
+            member: PeerId(member),
             incarnation: Incarnation { number, nonce },
-            round,
+            refutation,
             state,
-            by: PeerId(by),
-            grade,
+            source: PeerId(source),
+            evidence,
         },
     );
-    prop::collection::vec(claim, 0..24)
+    prop::collection::vec(update, 0..24)
 }
 
 proptest! {
     // Whoever has heard the same claims holds the same view, whatever their order and however often.
     #[test]
-    fn the_same_claims_in_any_order_give_the_same_view(all in claims(), seed in any::<u64>()) {
+    fn the_same_claims_in_any_order_give_the_same_view(all in updates(), seed in any::<u64>()) {
         let mut shuffled = [all.clone(), all.clone()].concat();
         fastrand::Rng::with_seed(seed).shuffle(&mut shuffled);
-        let new = || Members::new(0, PeerId(0), 4, 1, Pace::default(), 7);
+        let new = || Membership::new(0, PeerId(0), 4, 1, ProbeTiming::default(), 7);
         let (mut a, mut b) = (new(), new());
-        all.iter().for_each(|claim| a.learn(5, *claim));
-        shuffled.iter().for_each(|claim| b.learn(5, *claim));
-        prop_assert_eq!(a.view(), b.view());
+        all.iter().for_each(|update| a.apply_update(5, *update));
+        shuffled.iter().for_each(|update| b.apply_update(5, *update));
+        prop_assert_eq!(a.view_digest(), b.view_digest());
         for at in 1..4 {
-            prop_assert_eq!(a.claim(PeerId(at)), b.claim(PeerId(at)));
+            prop_assert_eq!(a.member_update(PeerId(at)), b.member_update(PeerId(at)));
         }
     }
 
@@ -432,8 +443,8 @@
     fn a_queue_is_bounded_and_the_least_worth_goes_first(
         steps in prop::collection::vec((0_u8..4, 1_usize..40, 0_usize..30), 1..200)
     ) {
-        let worths = [Worth::Hearsay, Worth::Question, Worth::Answer, Worth::Bond];
-        let mut queue = Queue::new(100);
+        let worths = [Priority::Gossip, Priority::Probe, Priority::Reply, Priority::Handshake];
+        let mut queue = OutboundQueue::new(100);
         let (mut pushed, mut out, mut dropped) = (Vec::new(), Vec::new(), 0);
         for (number, (worth, length, written)) in steps.into_iter().enumerate() {
             let message: Vec<u8> = std::iter::once(length as u8)
@@ -445,11 +456,11 @@
             let next = next(&queue).unwrap_or_default();
             let written = written.min(next.len());
             out.extend_from_slice(&next[..written]);
-            queue.wrote(written);
+            queue.written(written);
         }
         while let Some(next) = next(&queue) {
             out.extend_from_slice(&next);
-            queue.wrote(next.len());
+            queue.written(next.len());
         }
         prop_assert_eq!(dropped, queue.dropped());
         // What came out are whole messages, in the order in which they were put in.
@@ -468,120 +479,123 @@
 
 #[test]
 fn an_answer_outlives_hearsay_and_questions() {
-    let mut queue = Queue::new(10);
-    for (worth, byte) in [(Worth::Answer, 1), (Worth::Hearsay, 2), (Worth::Question, 3)] {
+    let mut queue = OutboundQueue::new(10);
+    for (worth, byte) in [(Priority::Reply, 1), (Priority::Gossip, 2), (Priority::Probe, 3)] {
         assert_eq!(queue.push(worth, vec![byte; 3]), 0);
     }
-    assert_eq!(queue.push(Worth::Bond, vec![4; 3]), 1);
-    assert_eq!(queue.push(Worth::Hearsay, vec![5; 3]), 1, "the newcomer itself, where it is worth least");
+    assert_eq!(queue.push(Priority::Handshake, vec![4; 3]), 1);
+    assert_eq!(queue.push(Priority::Gossip, vec![5; 3]), 1, "the newcomer itself, where it is worth least");
     let mut left = Vec::new();
     while let Some(next) = next(&queue) {
         left.push(next[0]);
-        queue.wrote(next.len());
+        queue.written(next.len());
     }
     assert_eq!(left, [1, 3, 4]);
 }
 
 #[test]
 fn a_flood_is_taken_at_its_rate() {
-    let mut intake = Intake::new(0, 100);
-    let taken = (0..1_000_000_u64).filter(|at| intake.take(*at)).count();
+    let mut intake = InboundRateLimit::new(0, 100);
+    let taken = (0..1_000_000_u64).filter(|at| intake.admit(*at)).count();
     assert_eq!(taken, 199, "a hundred at once, and a hundred in the second that passed");
 }
 
-fn register(names: &[&str], me: u16, version: u64) -> Register {
-    Register::new(names.iter().map(|name| (*name).to_owned()).collect(), PeerId(me), version)
+fn peer_list(names: &[&str], me: u16, version: u64) -> PeerList {
+    PeerList::new(names.iter().map(|name| (*name).to_owned()).collect(), PeerId(me), version)
 }
 
 #[test]
 fn a_hello_has_to_fit_the_list() {
-    let here = register(&["a", "b", "c"], 0, 3);
-    let members = Members::new(0, PeerId(1), 3, 9, Pace::default(), 7);
-    let hello = |register: &Register| register.hello(&members.own(), None);
-    let sound = hello(&register(&["a", "b", "c"], 1, 3));
-    assert_eq!(here.judge(&sound, None), Ok(PeerId(1)));
-    assert_eq!(here.judge(&sound, Some(PeerId(1))), Ok(PeerId(1)));
-    let refused = |hello, dialed| here.judge(&hello, dialed).expect_err("a refusal").to_string();
-    assert_eq!(refused(sound.clone(), Some(PeerId(2))), "it calls itself \"b\"");
-    assert_eq!(refused(hello(&register(&["a", "x"], 1, 3)), None), "\"x\" is not in the list of peers");
-    assert_eq!(refused(hello(&register(&["a", "b"], 0, 3)), None), "it has this gatherer's own name");
-    assert_eq!(refused(hello(&register(&["a", "b", "c"], 1, 4)), None), "its list of peers is of version 4");
+    let here = peer_list(&["a", "b", "c"], 0, 3);
+    let members = Membership::new(0, PeerId(1), 3, 9, ProbeTiming::default(), 7);
+    let hello = |peer_list: &PeerList| peer_list.hello(&members.own_update(), None);
+    let sound = hello(&peer_list(&["a", "b", "c"], 1, 3));
+    assert_eq!(here.verify(&sound, None), Ok(PeerId(1)));
+    assert_eq!(here.verify(&sound, Some(PeerId(1))), Ok(PeerId(1)));
+    let rejected = |hello, dialed| here.verify(&hello, dialed).expect_err("a refusal").to_string();
+    assert_eq!(rejected(sound.clone(), Some(PeerId(2))), "it calls itself \"b\"");
+    assert_eq!(rejected(hello(&peer_list(&["a", "x"], 1, 3)), None), "\"x\" is not in the list of peers");
+    assert_eq!(rejected(hello(&peer_list(&["a", "b"], 0, 3)), None), "it has this gatherer's own name");
+    assert_eq!(
+        rejected(hello(&peer_list(&["a", "b", "c"], 1, 4)), None),
+        "its list of peers is of version 4"
+    );
     let same = "its list of peers has the same version and other names";
-    assert_eq!(refused(hello(&register(&["a", "b", "d"], 1, 3)), None), same);
-    assert_eq!(refused(hello(&register(&["b", "a", "c"], 0, 3)), None), same);
+    assert_eq!(rejected(hello(&peer_list(&["a", "b", "d"], 1, 3)), None), same);
+    assert_eq!(rejected(hello(&peer_list(&["b", "a", "c"], 0, 3)), None), same);
     let mut other = sound.clone();
     other.major = 2;
-    assert_eq!(refused(other, None), "its messages are of version 2, not 1");
-    let known = Claim { incarnation: Incarnation { number: 2, nonce: 0 }, ..members.own() };
-    assert_eq!(latest(&sound, Some(members.own())), Ok(()));
-    assert_eq!(latest(&sound, Some(known)), Err(Refusal::Superseded(known.incarnation)));
+    assert_eq!(rejected(other, None), "its messages are of version 2, not 1");
+    let known = MemberUpdate { incarnation: Incarnation { number: 2, nonce: 0 }, ..members.own_update() };
+    assert_eq!(verify_incarnation(&sound, Some(members.own_update())), Ok(()));
+    assert_eq!(verify_incarnation(&sound, Some(known)), Err(HandshakeError::Superseded(known.incarnation)));
 }
 
 #[test]
 fn dials_are_spread_and_back_off_within_bounds() {
     let names: Vec<String> = (0..300).map(|at| format!("n{at}")).collect();
-    let list = Register::new(names, PeerId(0), 1);
-    let mut dials = Dials::new(0, &list, 5);
+    let list = PeerList::new(names, PeerId(0), 1);
+    let mut dials = DialScheduler::new(0, &list, 5);
     assert!(dials.dials(PeerId(1)) && !dials.dials(PeerId(0)));
     // A fleet that starts at once: 299 first dials over 3 s, no step in them.
     let mut most = 0;
     for at in 0..300_u64 {
-        most = most.max(dials.take(at * 10 * MS).len());
+        most = most.max(dials.take_due(at * 10 * MS).len());
     }
     assert!(most <= 8, "{most} dials within 10 ms");
     let mut now = 3_000 * MS;
     let mut waits = Vec::new();
     for _ in 0..12 {
-        dials.ended(now, PeerId(1));
-        let due = dials.due().expect("a dial");
+        dials.disconnected(now, PeerId(1));
+        let due = dials.poll_timeout().expect("a dial");
         waits.push((due - now) / MS);
         now = due;
-        assert_eq!(dials.take(now), [PeerId(1)]);
+        assert_eq!(dials.take_due(now), [PeerId(1)]);
     }
     assert!((5..=10).contains(&waits[0]), "{waits:?}");
     assert!(waits[8..].iter().all(|wait| (500..=1000).contains(wait)), "{waits:?}");
-    dials.ended(now, PeerId(1));
-    dials.hint(now, PeerId(1));
-    assert_eq!(dials.take(now), [PeerId(1)], "a sign of life is followed at once");
+    dials.disconnected(now, PeerId(1));
+    dials.dial_now(now, PeerId(1));
+    assert_eq!(dials.take_due(now), [PeerId(1)], "a sign of life is followed at once");
 }
 
 #[test]
 fn what_links_may_hold_fits_the_process() {
     for peers in [3, 9, 64, 256] {
-        let room = Room::of(peers, 2048, 192 << 20).expect("room");
-        let all = (peers + room.strangers) * (room.queue + 2 * room.message);
+        let room = PeerConnectionLimits::of(peers, 2048, 192 << 20).expect("room");
+        let all = (peers + room.unidentified) * (room.queue_bytes + 2 * room.message_bytes);
         assert!(all <= (192 << 20) / 16, "{peers}: {all}");
-        assert!(room.descriptors <= 2048 / 4);
+        assert!(room.sockets_needed <= 2048 / 4);
     }
-    let few = Room::of(9, 40, 192 << 20).expect_err("too few");
+    let few = PeerConnectionLimits::of(9, 40, 192 << 20).expect_err("too few");
     assert_eq!(few, "9 peers want limits.sockets of at least 68, a quarter for them");
-    let little = Room::of(300, 4096, 32 << 20).expect_err("too little");
+    let little = PeerConnectionLimits::of(300, 4096, 32 << 20).expect_err("too little");
     assert_eq!(little, "300 peers want more of limits.memory_mb");
 }
 
 #[test]
 fn notes_of_a_turn_go_together_and_take_along_what_nobody_waits_for() {
-    let mut bundle = Bundle::new(8);
+    let mut bundle = MessageBatch::new(8);
     assert_eq!(bundle.add(0, b"ab", false), None);
-    assert_eq!((bundle.take(0), bundle.due()), (None, Some(50_000)), "nobody waits for it yet");
+    assert_eq!((bundle.take_due(0), bundle.poll_timeout()), (None, Some(50_000)), "nobody waits for it yet");
     assert_eq!(bundle.add(10, b"cd", true), None);
     assert_eq!(bundle.add(10, b"ef", true), None);
-    assert_eq!(bundle.take(10), Some(b"abcdef".to_vec()));
-    assert_eq!((bundle.take(99_999), bundle.due()), (None, None));
+    assert_eq!(bundle.take_due(10), Some(b"abcdef".to_vec()));
+    assert_eq!((bundle.take_due(99_999), bundle.poll_timeout()), (None, None));
     // What does not fit goes first, in its order; one that is longer than all goes alone.
     assert_eq!(bundle.add(20, b"123456", false), None);
     assert_eq!(bundle.add(20, b"789", false), Some(b"123456".to_vec()));
     assert_eq!(bundle.add(20, b"0123456789", true), Some(b"789".to_vec()));
-    assert_eq!(bundle.take(20), Some(b"0123456789".to_vec()));
+    assert_eq!(bundle.take_due(20), Some(b"0123456789".to_vec()));
     assert_eq!(bundle.add(30, b"z", false), None);
-    assert_eq!((bundle.take(50_029), bundle.take(50_030)), (None, Some(b"z".to_vec())));
+    assert_eq!((bundle.take_due(50_029), bundle.take_due(50_030)), (None, Some(b"z".to_vec())));
 }
 
 #[test]
 fn a_message_counts_for_as_many_as_are_in_it() {
-    let mut intake = Intake::new(0, 100);
-    assert!(intake.take(0));
-    intake.owe(249);
-    assert!(!intake.take(1_000_000), "150 are owed, and 100 were gained");
-    assert!(intake.take(1_600_000));
+    let mut intake = InboundRateLimit::new(0, 100);
+    assert!(intake.admit(0));
+    intake.charge(249);
+    assert!(!intake.admit(1_000_000), "150 are owed, and 100 were gained");
+    assert!(intake.admit(1_600_000));
 }
--- a/crates/edge/src/peers/mod.rs
+++ b/crates/edge/src/peers/mod.rs
@@ -11,9 +11,13 @@
 use std::io::IoSlice;
 use std::net::{IpAddr, SocketAddr, TcpStream};
 
-use mallowgauge_cluster::flow::{Bundle, Intake, Queue};
-use mallowgauge_cluster::links::{latest, Dials, Hello, Refusal, Register, Room};
-use mallowgauge_cluster::members::{Claim, Members, Note, Order, State};
+use mallowgauge_cluster::flow::{InboundRateLimit, MessageBatch, OutboundQueue};
+use mallowgauge_cluster::links::{
+    verify_incarnation, DialScheduler, HandshakeError, Hello, PeerConnectionLimits, PeerList,
+};
+use mallowgauge_cluster::members::{
+    Action as MembershipAction, Event, MemberState, MemberUpdate, Membership,
+};
 use mallowgauge_cluster::register::AcceptorLimits;
 use mallowgauge_cluster::takeover::{
     Action as TakeoverAction, Message as TakeoverMessage, TakeoverConfig, TakeoverManager,
@@ -64,9 +68,9 @@
     dialed: Option<PeerId>,
     input: Vec<u8>,
     /// Notes that go together.
-    bundle: Bundle,
-    queue: Queue,
-    intake: Intake,
+    bundle: MessageBatch,
+    queue: OutboundQueue,
+    intake: InboundRateLimit,
     /// When the present phase began.
     since: Micros,
     /// Since when a message that has begun is not whole.
@@ -78,7 +82,7 @@
 }
 
 impl Link {
-    fn due(&self) -> Option<Micros> {
+    fn poll_timeout(&self) -> Option<Micros> {
         let phase = match self.phase {
             Phase::Dialing | Phase::Greeting => Some(self.since + GREETING),
             Phase::Up(_) => None,
@@ -86,19 +90,19 @@
         };
         let half = self.half.map(|at| at + HALF);
         let stuck = self.stuck.map(|at| at + STALL);
-        [phase, half, stuck, self.again, self.bundle.due()].into_iter().flatten().min()
+        [phase, half, stuck, self.again, self.bundle.poll_timeout()].into_iter().flatten().min()
     }
 
     /// Writes what the socket takes.
     fn flush(&mut self, now: Micros) -> Result<(), String> {
         loop {
-            let pieces: Vec<IoSlice> = self.queue.pieces().take(PIECES).map(IoSlice::new).collect();
+            let pieces: Vec<IoSlice> = self.queue.unsent().take(PIECES).map(IoSlice::new).collect();
             if pieces.is_empty() {
                 break;
             }
             let length: usize = pieces.iter().map(|piece| piece.len()).sum();
             let done = self.stream.write_vectored(&pieces).map_err(|e| e.to_string())?;
-            self.queue.wrote(done);
+            self.queue.written(done);
             if done > 0 {
                 self.stuck = None;
             }
@@ -124,15 +128,15 @@
 
 /// The links of this process and its view of the fleet.
 pub struct Peers {
-    register: Register,
+    register: PeerList,
     addresses: Vec<SocketAddr>,
-    members: Members,
+    members: Membership,
     /// What is done for ids, where queries are taken over.
     takeover: Option<TakeoverManager>,
     /// What the manager wants of the rest of the program.
     takeover_actions: Vec<TakeoverAction>,
-    dials: Dials,
-    room: Room,
+    dials: DialScheduler,
+    room: PeerConnectionLimits,
     listener: Option<Listener>,
     links: BTreeMap<u64, Link>,
     /// The link to each member.
@@ -166,13 +170,13 @@
     pub fn start(
         now: Micros,
         handle: &Handle,
-        (fleet, room): (&Fleet, Room),
+        (fleet, room): (&Fleet, PeerConnectionLimits),
         life: u64,
         seed: u64,
     ) -> Result<Self, String> {
         let me = PeerId(u16::try_from(fleet.me).map_err(|e| e.to_string())?);
         let names = fleet.peers.iter().map(|peer| peer.name.clone()).collect();
-        let register = Register::new(names, me, fleet.version);
+        let register = PeerList::new(names, me, fleet.version);
         let token = Token { kind: token::PEER_LISTENER, id: 0 };
         let listener = Listener::bind(handle, fleet.listen, token);
         let listener = listener.map_err(|e| format!("{}: {e}", fleet.listen))?;
@@ -185,8 +189,8 @@
             life >> 32
         );
         let mut peers = Self {
-            members: Members::new(now, me, fleet.peers.len(), life, fleet.pace, seed),
-            dials: Dials::new(now, &register, seed ^ life),
+            members: Membership::new(now, me, fleet.peers.len(), life, fleet.pace, seed),
+            dials: DialScheduler::new(now, &register, seed ^ life),
             takeover: fleet.handover.map(|life| {
                 let limits = AcceptorLimits {
                     records: room.records,
@@ -233,16 +237,16 @@
             self.resting = None;
             self.take_all(now, handle);
         }
-        let late = self.links.iter().filter(|(_, link)| link.due().is_some_and(|due| due <= now));
+        let late = self.links.iter().filter(|(_, link)| link.poll_timeout().is_some_and(|due| due <= now));
         for id in late.map(|(&id, _)| id).collect::<Vec<_>>() {
             self.unsaid.insert(id);
             // What came while this process was late is read before anybody is blamed for it.
             self.work(now, id);
             self.late(now, id);
         }
-        self.members.tick(now);
+        self.members.handle_timeout(now);
         self.takeover.iter_mut().for_each(|manager| manager.handle_timeout(now));
-        for peer in self.dials.take(now) {
+        for peer in self.dials.take_due(now) {
             self.dial(now, handle, peer);
         }
         self.settle(now);
@@ -262,7 +266,7 @@
 
     /// This process ends: all hear it, and nobody is linked any more.
     pub fn announce_leave(&mut self, now: Micros) {
-        self.members.leave();
+        self.members.announce_leave();
         self.settle(now);
     }
 
@@ -270,7 +274,7 @@
     /// tell each other both in one message.
     #[must_use]
     pub fn largest_record(&self) -> usize {
-        self.room.message / 2 - A_RECORDS_REST
+        self.room.message_bytes / 2 - A_RECORDS_REST
     }
 
     /// What the manager wants of the rest of the program since the last call.
@@ -293,7 +297,7 @@
     fn settle(&mut self, now: Micros) {
         // Sending can end a link, and that can be worth a message: each round ends one link at the least.
         loop {
-            let orders = self.members.orders();
+            let orders = self.members.take_actions();
             let takeover_actions =
                 self.takeover.as_mut().map(TakeoverManager::take_actions).unwrap_or_default();
             if orders.is_empty() && takeover_actions.is_empty() {
@@ -316,7 +320,7 @@
     pub fn flush(&mut self, now: Micros) {
         for id in std::mem::take(&mut self.unsaid) {
             let Some(link) = self.links.get_mut(&id) else { continue };
-            if let Some(notes) = link.bundle.take(now) {
+            if let Some(notes) = link.bundle.take_due(now) {
                 self.say(id, &Said::Notes(notes));
             }
             let Some(link) = self.links.get_mut(&id) else { continue };
@@ -329,9 +333,9 @@
         // The end of a link can be worth a message to others: that one goes in the next turn, which is at once.
         self.settle(now);
         let again = (!self.unsaid.is_empty()).then_some(now);
-        let links = self.links.values().filter_map(Link::due);
+        let links = self.links.values().filter_map(Link::poll_timeout);
         let manager = self.takeover.as_ref().and_then(TakeoverManager::poll_timeout);
-        let rest = [self.members.due(), self.dials.due(), self.resting, manager, again];
+        let rest = [self.members.poll_timeout(), self.dials.poll_timeout(), self.resting, manager, again];
         self.next_timeout = links.chain(rest.into_iter().flatten()).min();
     }
 
@@ -348,30 +352,30 @@
         self.of.get(usize::from(peer.0)).copied().flatten()
     }
 
-    fn order(&mut self, now: Micros, order: Order) {
+    fn order(&mut self, now: Micros, order: MembershipAction) {
         match order {
-            Order::Send(to, message) => {
+            MembershipAction::Send(to, message) => {
                 let id = self.link(to);
                 id.into_iter().for_each(|id| self.say(id, &Said::Message(message.clone())));
             }
-            Order::Relink(peer) => {
+            MembershipAction::Reconnect(peer) => {
                 if let Some(id) = self.link(peer) {
                     self.end(now, id, End::Broken("it answers nothing".to_owned()));
                 }
             }
-            Order::Note(note) => self.note(now, note),
+            MembershipAction::Notify(note) => self.note(now, note),
         }
     }
 
-    fn note(&mut self, now: Micros, note: Note) {
+    fn note(&mut self, now: Micros, note: Event) {
         match note {
-            Note::Held(Claim { about, incarnation, state, by, .. }) => {
+            Event::MemberChanged(MemberUpdate { member: about, incarnation, state, source: by, .. }) => {
                 let (name, by) = (self.register.name(about), self.register.name(by));
                 let state = match state {
-                    State::Alive => "alive",
-                    State::Doubted => "doubted",
-                    State::Gone => "gone",
-                    State::Left => "left",
+                    MemberState::Alive => "alive",
+                    MemberState::Suspect => "doubted",
+                    MemberState::Dead => "gone",
+                    MemberState::Left => "left",
                 };
                 tracing::info!("peer {name} is {state}, life {incarnation}, says {by}");
                 // What an earlier life still sends counts for nothing.
@@ -386,13 +390,13 @@
                     .iter_mut()
                     .for_each(|manager| manager.peer_availability_changed(now, about, away));
                 if state == "alive" {
-                    self.dials.hint(now, about);
+                    self.dials.dial_now(now, about);
                 }
             }
-            Note::Refuted(round) => {
+            Event::Refuted(round) => {
                 tracing::warn!("this gatherer was doubted and says that it is there, for time {round}");
             }
-            Note::Usurped(held) => {
+            Event::Superseded(held) => {
                 let name = self.register.name(self.register.me());
                 tracing::error!("another gatherer is {name}, life {held}; this one stands aside");
                 // Nobody takes this process for a member now, and it takes part in nothing.
@@ -403,7 +407,7 @@
                     self.part(now, id, "it stands aside");
                 }
             }
-            Note::Renewed(incarnation) => {
+            Event::IncarnationRaised(incarnation) => {
                 tracing::info!("an earlier life of this gatherer was known; it goes on as {incarnation}");
                 self.takeover.iter_mut().for_each(|manager| manager.incarnation_changed(now, incarnation));
             }
@@ -414,10 +418,13 @@
         let id = self.next;
         self.next += 1;
         stream.hold_back(IN_SOCKET);
-        let (queue, intake) = (Queue::new(self.room.queue), Intake::new(now, self.room.a_second));
+        let (queue, intake) = (
+            OutboundQueue::new(self.room.queue_bytes),
+            InboundRateLimit::new(now, self.room.messages_per_second),
+        );
         let (input, half, stuck, again) = (Vec::new(), None, None, None);
         let life = Incarnation::default();
-        let bundle = Bundle::new(BUNDLE.min(self.room.message - wire::AROUND));
+        let bundle = MessageBatch::new(BUNDLE.min(self.room.message_bytes - wire::AROUND));
         let link = Link {
             stream,
             phase,
@@ -445,7 +452,7 @@
                 self.work(now, id);
             }
             Err(e) => {
-                self.dials.ended(now, peer);
+                self.dials.disconnected(now, peer);
                 self.tell_once(peer, format!("no connection here: {e}"));
             }
         }
@@ -478,7 +485,7 @@
         let strangers = self.links.iter().filter(|(_, link)| !matches!(link.phase, Phase::Up(_)));
         let taken = strangers.filter(|(_, link)| link.dialed.is_none());
         let oldest = taken.clone().min_by_key(|(_, link)| link.since).map(|(&id, _)| id);
-        if taken.count() >= self.room.strangers {
+        if taken.count() >= self.room.unidentified {
             oldest.into_iter().for_each(|id| drop(self.links.remove(&id)));
         }
         match Stream::accepted(handle, socket, Token { kind: token::PEER, id: self.next }) {
@@ -511,9 +518,9 @@
 
     /// Takes the messages that have come, as many as a turn and their rate allow.
     fn read(&mut self, now: Micros, id: u64) {
-        let mut turns = self.room.a_turn;
+        let mut turns = self.room.messages_per_iteration;
         loop {
-            let most = self.room.message;
+            let most = self.room.message_bytes;
             let Some(link) = self.links.get_mut(&id) else { return };
             if link.again.is_some_and(|at| at > now) {
                 return;
@@ -529,8 +536,8 @@
                             link.again = Some(now);
                             break None;
                         }
-                        if !link.intake.take(now) {
-                            link.again = Some(link.intake.again());
+                        if !link.intake.admit(now) {
+                            link.again = Some(link.intake.retry_at());
                             break None;
                         }
                         turns -= 1;
@@ -577,11 +584,11 @@
                 let words: String = words.chars().filter(|c| !c.is_control()).take(100).collect();
                 self.end(now, id, End::Refused(format!("it says: {words}"), true));
             }
-            (Phase::Up(peer), Said::Message(message)) => self.members.heard(now, peer, message),
+            (Phase::Up(peer), Said::Message(message)) => self.members.handle_message(now, peer, message),
             (Phase::Up(peer), Said::Notes(notes)) => {
                 let notes = wire::notes(&notes);
                 if let Some(link) = self.links.get_mut(&id) {
-                    link.intake.owe(notes.len().saturating_sub(1) as u64);
+                    link.intake.charge(notes.len().saturating_sub(1) as u64);
                 }
                 if let Some(manager) = &mut self.takeover {
                     notes.into_iter().for_each(|note| manager.handle_message(now, peer, note));
@@ -597,56 +604,63 @@
 
     fn greet(&mut self, id: u64) {
         let to = self.links.get(&id).and_then(|link| link.dialed);
-        let known = to.and_then(|peer| self.members.claim(peer));
-        let hello = self.register.hello(&self.members.own(), known);
+        let known = to.and_then(|peer| self.members.member_update(peer));
+        let hello = self.register.hello(&self.members.own_update(), known);
         self.say(id, &Said::Hello(hello));
     }
 
     fn hello(&mut self, now: Micros, id: u64, hello: &Hello) {
         let Some(dialed) = self.links.get(&id).map(|link| link.dialed) else { return };
-        let peer = match self.register.judge(hello, dialed) {
+        let peer = match self.register.verify(hello, dialed) {
             Ok(peer) => peer,
             Err(refusal) => return self.refuse(now, id, hello, &refusal),
         };
-        let (own, known) = self.register.claims(peer, hello);
+        let (own, known) = self.register.hello_updates(peer, hello);
         // What it knows of an earlier life of this process comes first: this side's hello has to go above it.
-        known.into_iter().for_each(|claim| self.members.learn(now, claim));
-        let held = self.members.claim(peer);
+        known.into_iter().for_each(|claim| self.members.apply_update(now, claim));
+        let held = self.members.member_update(peer);
         if dialed.is_none() {
-            let hello = self.register.hello(&self.members.own(), held);
+            let hello = self.register.hello(&self.members.own_update(), held);
             self.say(id, &Said::Hello(hello));
         }
-        if self.members.aside() {
+        if self.members.is_superseded() {
             return self.part(now, id, "it stands aside");
         }
-        if let Err(refusal) = latest(hello, held) {
+        if let Err(refusal) = verify_incarnation(hello, held) {
             return self.refuse(now, id, hello, &refusal);
         }
         let Some(link) = self.links.get_mut(&id) else { return };
         (link.phase, link.since, link.life) = (Phase::Up(peer), now, hello.incarnation);
         let before = self.of[usize::from(peer.0)].replace(id);
         before.into_iter().for_each(|before| self.end(now, before, End::Replaced));
-        self.dials.up(peer);
+        self.dials.connected(peer);
         self.said.remove(self.register.name(peer));
         tracing::info!("peer {} is linked, life {}", self.register.name(peer), hello.incarnation);
-        self.members.linked(now, own);
+        self.members.peer_connected(now, own);
         let life = self.members.incarnation();
         self.takeover.iter_mut().for_each(|manager| manager.peer_connected(now, peer, own.incarnation, life));
     }
 
     /// Says why, and lets the other side read it.
-    fn refuse(&mut self, now: Micros, id: u64, hello: &Hello, refusal: &Refusal) {
+    fn refuse(&mut self, now: Micros, id: u64, hello: &Hello, refusal: &HandshakeError) {
         let name: String = hello.name.chars().filter(|c| !c.is_control()).take(40).collect();
         self.tell_of(&name, refusal.to_string());
         let dialed = self.links.get(&id).and_then(|link| link.dialed);
-        if dialed.is_none() && matches!(refusal, Refusal::Version(_) | Refusal::List(_) | Refusal::Names) {
+        if dialed.is_none()
+            && matches!(
+                refusal,
+                HandshakeError::UnsupportedVersion(_)
+                    | HandshakeError::ListVersion(_)
+                    | HandshakeError::ListNames
+            )
+        {
             // The other side judges for itself, and its operator reads of it there, too.
-            let hello = self.register.hello(&self.members.own(), None);
+            let hello = self.register.hello(&self.members.own_update(), None);
             self.say(id, &Said::Hello(hello));
         }
         self.part(now, id, &refusal.to_string());
-        if let (Some(peer), false) = (dialed, refusal.passes()) {
-            self.dials.refused(now, peer);
+        if let (Some(peer), false) = (dialed, refusal.is_transient()) {
+            self.dials.rejected(now, peer);
         }
     }
 
@@ -661,7 +675,7 @@
     fn say(&mut self, id: u64, said: &Said) {
         let Some(link) = self.links.get_mut(&id) else { return };
         let message = wire::write(said);
-        if message.len() > wire::HEAD + self.room.message {
+        if message.len() > wire::HEAD + self.room.message_bytes {
             // The other side would end the link over it, and again over the next one.
             return tracing::error!("peers: a message of {} bytes is not sent", message.len());
         }
@@ -704,9 +718,9 @@
             return Some(peer);
         }
         *held = None;
-        self.dials.ended(now, peer);
-        self.members.unlinked(now, peer, broken);
-        if self.members.claim(peer).is_some_and(|claim| claim.state == State::Left) {
+        self.dials.disconnected(now, peer);
+        self.members.peer_disconnected(now, peer, broken);
+        if self.members.member_update(peer).is_some_and(|claim| claim.state == MemberState::Left) {
             self.takeover.iter_mut().for_each(|manager| manager.peer_availability_changed(now, peer, true));
         }
         Some(peer)
@@ -736,7 +750,7 @@
                     // What was heard of an earlier life has been gone above by now: no reason to wait long.
                     self.tell_once(peer, why);
                 } else {
-                    self.dials.refused(now, peer);
+                    self.dials.rejected(now, peer);
                     tracing::info!("link to peer {} ended: {why}", self.register.name(peer));
                 }
             }
--- a/crates/edge/src/peers/wire.rs
+++ b/crates/edge/src/peers/wire.rs
@@ -1,9 +1,9 @@
 //! Messages between gatherers as bytes: a length of four bytes, most significant first, then a protobuf
 //! envelope. Unknown fields and unknown kinds pass by; only another major version is refused.
 
-use mallowgauge_cluster::flow::Worth;
+use mallowgauge_cluster::flow::Priority;
 use mallowgauge_cluster::links::Hello;
-use mallowgauge_cluster::members::{Claim, Grade, Message, Reached, State};
+use mallowgauge_cluster::members::{MemberState, MemberUpdate, Message, ProbeResult, SuspicionEvidence};
 use mallowgauge_cluster::takeover::Message as TakeoverMessage;
 use mallowgauge_cluster::{Incarnation, PeerId};
 use prost::Message as _;
@@ -114,9 +114,10 @@
     grade: u32,
 }
 
-const STATES: [State; 4] = [State::Alive, State::Doubted, State::Gone, State::Left];
-const GRADES: [Grade; 2] = [Grade::Silence, Grade::Broken];
-const WORDS: [Reached; 3] = [Reached::No, Reached::Yes, Reached::Broken];
+const STATES: [MemberState; 4] =
+    [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left];
+const GRADES: [SuspicionEvidence; 2] = [SuspicionEvidence::NoResponse, SuspicionEvidence::ConnectionLost];
+const WORDS: [ProbeResult; 3] = [ProbeResult::NoResponse, ProbeResult::Acked, ProbeResult::ConnectionLost];
 
 fn number<T: PartialEq>(all: &[T], one: &T) -> u32 {
     all.iter().position(|known| known == one).map_or(0, |at| at as u32)
@@ -126,39 +127,39 @@
     u16::try_from(number).ok().map(PeerId)
 }
 
-impl From<&Claim> for ClaimWire {
-    fn from(claim: &Claim) -> Self {
+impl From<&MemberUpdate> for ClaimWire {
+    fn from(claim: &MemberUpdate) -> Self {
         Self {
-            about: claim.about.0.into(),
+            about: claim.member.0.into(),
             number: claim.incarnation.number,
             nonce: claim.incarnation.nonce,
-            round: claim.round,
+            round: claim.refutation,
             state: number(&STATES, &claim.state),
-            by: claim.by.0.into(),
-            grade: number(&GRADES, &claim.grade),
+            by: claim.source.0.into(),
+            grade: number(&GRADES, &claim.evidence),
         }
     }
 }
 
 impl ClaimWire {
     /// `None` for a state that this version does not know: what it means cannot be guessed.
-    fn read(&self) -> Option<Claim> {
-        Some(Claim {
-            about: peer(self.about)?,
+    fn read(&self) -> Option<MemberUpdate> {
+        Some(MemberUpdate {
+            member: peer(self.about)?,
             incarnation: Incarnation { number: self.number, nonce: self.nonce },
-            round: self.round,
+            refutation: self.round,
             state: *STATES.get(self.state as usize)?,
-            by: peer(self.by)?,
-            grade: *GRADES.get(self.grade as usize)?,
+            source: peer(self.by)?,
+            evidence: *GRADES.get(self.grade as usize)?,
         })
     }
 }
 
-fn claims(wire: &[ClaimWire]) -> Vec<Claim> {
+fn claims(wire: &[ClaimWire]) -> Vec<MemberUpdate> {
     wire.iter().filter_map(ClaimWire::read).collect()
 }
 
-fn question(seq: u64, view: u64, claims: &[Claim]) -> Question {
+fn question(seq: u64, view: u64, claims: &[MemberUpdate]) -> Question {
     Question { seq, view, claims: claims.iter().map(ClaimWire::from).collect() }
 }
 
@@ -168,13 +169,15 @@
     let kind = match said {
         Said::Hello(hello) => Some(Kind::Hello(hello_wire(hello))),
         Said::Goodbye(words) => Some(Kind::Goodbye(words.clone())),
-        Said::Message(Message::Ping { seq, view, claims }) => Some(Kind::Ping(question(*seq, *view, claims))),
-        Said::Message(Message::Ack { seq, claims }) => Some(Kind::Ack(question(*seq, 0, claims))),
-        Said::Message(Message::Tell { claims }) => Some(Kind::Tell(question(0, 0, claims))),
-        Said::Message(Message::AskFor { seq, target }) => {
+        Said::Message(Message::Ping { seq, view, updates }) => {
+            Some(Kind::Ping(question(*seq, *view, updates)))
+        }
+        Said::Message(Message::Ack { seq, updates }) => Some(Kind::Ack(question(*seq, 0, updates))),
+        Said::Message(Message::Gossip { updates }) => Some(Kind::Tell(question(0, 0, updates))),
+        Said::Message(Message::PingReq { seq, target }) => {
             Some(Kind::AskFor(ForAnother { seq: *seq, target: target.0.into(), word: 0 }))
         }
-        Said::Message(Message::Word { seq, target, word }) => {
+        Said::Message(Message::PingReqResult { seq, target, result: word }) => {
             let word = number(&WORDS, word);
             Some(Kind::Word(ForAnother { seq: *seq, target: target.0.into(), word }))
         }
@@ -189,21 +192,21 @@
 }
 
 fn hello_wire(hello: &Hello) -> HelloWire {
-    let claim = |(incarnation, round, state): (Incarnation, u32, State)| ClaimWire {
+    let claim = |(incarnation, round, state): (Incarnation, u32, MemberState)| ClaimWire {
         number: incarnation.number,
         nonce: incarnation.nonce,
         round,
         state: number(&STATES, &state),
         ..ClaimWire::default()
     };
-    let state = if hello.leaving { State::Left } else { State::Alive };
+    let state = if hello.leaving { MemberState::Left } else { MemberState::Alive };
     HelloWire {
         major: hello.major,
         minor: hello.minor,
         name: hello.name.clone(),
-        list: hello.list,
-        digest: hello.digest,
-        own: Some(claim((hello.incarnation, hello.round, state))),
+        list: hello.list_version,
+        digest: hello.list_digest,
+        own: Some(claim((hello.incarnation, hello.refutation, state))),
         known: hello.known.map(claim),
     }
 }
@@ -214,11 +217,11 @@
         major: wire.major,
         minor: wire.minor,
         name: wire.name,
-        list: wire.list,
-        digest: wire.digest,
+        list_version: wire.list,
+        list_digest: wire.digest,
         incarnation: own.map(|own| own.incarnation).unwrap_or_default(),
-        round: own.map_or(0, |own| own.round),
-        leaving: own.is_some_and(|own| own.state == State::Left),
+        refutation: own.map_or(0, |own| own.refutation),
+        leaving: own.is_some_and(|own| own.state == MemberState::Left),
         known: wire.known.as_ref().and_then(ClaimWire::read).map(|claim| claim.key()),
     }
 }
@@ -239,20 +242,22 @@
         Some(Kind::Hello(hello)) => Said::Hello(hello_read(hello)),
         Some(Kind::Goodbye(words)) => Said::Goodbye(words),
         Some(Kind::Ping(Question { seq, view, claims: said })) => {
-            Said::Message(Message::Ping { seq, view, claims: claims(&said) })
+            Said::Message(Message::Ping { seq, view, updates: claims(&said) })
         }
         Some(Kind::Ack(Question { seq, claims: said, .. })) => {
-            Said::Message(Message::Ack { seq, claims: claims(&said) })
+            Said::Message(Message::Ack { seq, updates: claims(&said) })
         }
         Some(Kind::Tell(Question { claims: said, .. })) => {
-            Said::Message(Message::Tell { claims: claims(&said) })
+            Said::Message(Message::Gossip { updates: claims(&said) })
         }
         Some(Kind::AskFor(ForAnother { seq, target, .. })) => {
-            peer(target).map_or(Said::Unknown, |target| Said::Message(Message::AskFor { seq, target }))
+            peer(target).map_or(Said::Unknown, |target| Said::Message(Message::PingReq { seq, target }))
         }
         Some(Kind::Word(ForAnother { seq, target, word })) => {
             match (peer(target), WORDS.get(word as usize)) {
-                (Some(target), Some(&word)) => Said::Message(Message::Word { seq, target, word }),
+                (Some(target), Some(&word)) => {
+                    Said::Message(Message::PingReqResult { seq, target, result: word })
+                }
                 _ => Said::Unknown,
             }
         }
@@ -284,12 +289,12 @@
 
 /// What a message is worth to whoever waits for it.
 #[must_use]
-pub fn worth(said: &Said) -> Worth {
+pub fn worth(said: &Said) -> Priority {
     match said {
-        Said::Hello(_) | Said::Goodbye(_) => Worth::Bond,
-        Said::Notes(_) => Worth::Promise,
-        Said::Message(Message::Ack { .. } | Message::Word { .. }) => Worth::Answer,
-        Said::Message(Message::Ping { .. } | Message::AskFor { .. }) => Worth::Question,
-        Said::Message(Message::Tell { .. }) | Said::Unknown => Worth::Hearsay,
+        Said::Hello(_) | Said::Goodbye(_) => Priority::Handshake,
+        Said::Notes(_) => Priority::Takeover,
+        Said::Message(Message::Ack { .. } | Message::PingReqResult { .. }) => Priority::Reply,
+        Said::Message(Message::Ping { .. } | Message::PingReq { .. }) => Priority::Probe,
+        Said::Message(Message::Gossip { .. }) | Said::Unknown => Priority::Gossip,
     }
 }
--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -41,7 +41,7 @@
         // Links to other gatherers come first: they have a bounded part of both.
         let (peers, of_memory) = config.fleet.as_ref().map_or((0, 0), |(fleet, room)| {
             let part = if fleet.handover.is_some() { 8 } else { 16 };
-            (room.descriptors, config.memory / part)
+            (room.sockets_needed, config.memory / part)
         });
         let (sockets, flight) = (config.links.sockets - peers, &config.flight);
         let all = config.memory - of_memory;
--- a/crates/edge/tests/bad_input.rs
+++ b/crates/edge/tests/bad_input.rs
@@ -5,7 +5,9 @@
 
 use bytes::Bytes;
 use mallowgauge_cluster::links::Hello;
-use mallowgauge_cluster::members::{Claim, Grade, Message as Between, Reached, State};
+use mallowgauge_cluster::members::{
+    MemberState, MemberUpdate, Message as Between, ProbeResult, SuspicionEvidence,
+};
 use mallowgauge_cluster::{Incarnation, PeerId};
 use mallowgauge_edge::front::http1::{self, Bad, Body, Head, Response};
 use mallowgauge_edge::front::query;
@@ -418,15 +420,15 @@
     assert!(words.len() <= 200 && !words.contains(char::is_control), "{}", words.len());
 }
 
-fn claim() -> impl Strategy<Value = Claim> {
+fn claim() -> impl Strategy<Value = MemberUpdate> {
     (any::<u16>(), any::<u64>(), any::<u64>(), any::<u32>(), 0..4_usize, any::<u16>(), any::<bool>())
-        .prop_map(|(about, number, nonce, round, state, by, broken)| Claim {
-            about: PeerId(about),
+        .prop_map(|(about, number, nonce, round, state, by, broken)| MemberUpdate {
+            member: PeerId(about),
             incarnation: Incarnation { number, nonce },
-            round,
-            state: [State::Alive, State::Doubted, State::Gone, State::Left][state],
-            by: PeerId(by),
-            grade: if broken { Grade::Broken } else { Grade::Silence },
+            refutation: round,
+            state: [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left][state],
+            source: PeerId(by),
+            evidence: if broken { SuspicionEvidence::ConnectionLost } else { SuspicionEvidence::NoResponse },
         })
 }
 
@@ -435,25 +437,26 @@
     prop_oneof![
         filler(300).prop_map(PeerSaid::Goodbye),
         (any::<u64>(), any::<u64>(), claims())
-            .prop_map(|(seq, view, claims)| PeerSaid::Message(Between::Ping { seq, view, claims })),
-        (any::<u64>(), claims()).prop_map(|(seq, claims)| PeerSaid::Message(Between::Ack { seq, claims })),
-        claims().prop_map(|claims| PeerSaid::Message(Between::Tell { claims })),
+            .prop_map(|(seq, view, claims)| PeerSaid::Message(Between::Ping { seq, view, updates: claims })),
+        (any::<u64>(), claims())
+            .prop_map(|(seq, claims)| PeerSaid::Message(Between::Ack { seq, updates: claims })),
+        claims().prop_map(|claims| PeerSaid::Message(Between::Gossip { updates: claims })),
         (any::<u64>(), any::<u16>())
-            .prop_map(|(seq, target)| PeerSaid::Message(Between::AskFor { seq, target: PeerId(target) })),
-        (any::<u64>(), any::<u16>()).prop_map(|(seq, target)| PeerSaid::Message(Between::Word {
+            .prop_map(|(seq, target)| PeerSaid::Message(Between::PingReq { seq, target: PeerId(target) })),
+        (any::<u64>(), any::<u16>()).prop_map(|(seq, target)| PeerSaid::Message(Between::PingReqResult {
             seq,
             target: PeerId(target),
-            word: Reached::Broken
+            result: ProbeResult::ConnectionLost
         })),
         prop::collection::vec(any::<u8>(), 0..80).prop_map(PeerSaid::Notes),
         (any::<u32>(), any::<u64>(), filler(70)).prop_map(|(major, list, name)| PeerSaid::Hello(Hello {
             major,
             minor: 1,
             name,
-            list,
-            digest: 9,
+            list_version: list,
+            list_digest: 9,
             incarnation: Incarnation { number: 3, nonce: 4 },
-            round: 5,
+            refutation: 5,
             leaving: major % 2 == 0,
             known: None,
         })),
--- a/crates/edge/tests/peer_wire_format.rs
+++ b/crates/edge/tests/peer_wire_format.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write as _;
 
 use mallowgauge_cluster::links::Hello;
-use mallowgauge_cluster::members::{Claim, Grade, Message, Reached, State};
+use mallowgauge_cluster::members::{MemberState, MemberUpdate, Message, ProbeResult, SuspicionEvidence};
 use mallowgauge_cluster::register::{AttemptRef, Ballot, Proposal, ProposerRequest};
 use mallowgauge_cluster::takeover::Message as TakeoverMessage;
 use mallowgauge_cluster::{Incarnation, PeerId};
@@ -34,17 +34,24 @@
     Incarnation { number, nonce: 0x0123_4567_89ab_cdef }
 }
 
-fn claim(state: State, grade: Grade) -> Claim {
-    Claim { about: PeerId(300), incarnation: incarnation(2), round: 5, state, by: PeerId(7), grade }
+fn claim(state: MemberState, grade: SuspicionEvidence) -> MemberUpdate {
+    MemberUpdate {
+        member: PeerId(300),
+        incarnation: incarnation(2),
+        refutation: 5,
+        state,
+        source: PeerId(7),
+        evidence: grade,
+    }
 }
 
-fn claims() -> Vec<Claim> {
+fn claims() -> Vec<MemberUpdate> {
     vec![
-        claim(State::Alive, Grade::Silence),
-        claim(State::Doubted, Grade::Silence),
-        claim(State::Doubted, Grade::Broken),
-        claim(State::Gone, Grade::Broken),
-        claim(State::Left, Grade::Silence),
+        claim(MemberState::Alive, SuspicionEvidence::NoResponse),
+        claim(MemberState::Suspect, SuspicionEvidence::NoResponse),
+        claim(MemberState::Suspect, SuspicionEvidence::ConnectionLost),
+        claim(MemberState::Dead, SuspicionEvidence::ConnectionLost),
+        claim(MemberState::Left, SuspicionEvidence::NoResponse),
     ]
 }
 
@@ -53,10 +60,10 @@
         major: 1,
         minor: 2,
         name: "eu-1".to_owned(),
-        list: 9,
-        digest: 0xfedc_ba98_7654_3210,
+        list_version: 9,
+        list_digest: 0xfedc_ba98_7654_3210,
         incarnation: incarnation(4),
-        round: 6,
+        refutation: 6,
         leaving: false,
         known: None,
     }
@@ -68,9 +75,9 @@
         &Said::Hello(hello()),
         "000000260a24080110021a0465752d312009291032547698badcfe320d100419efcdab89674523012006",
     );
-    let known = Some((incarnation(3), 1, State::Doubted));
+    let known = Some((incarnation(3), 1, MemberState::Suspect));
     pin(&Said::Hello(Hello { leaving: true, known, ..hello() }), "000000390a37080110021a0465752d312009291032547698badcfe320f100419efcdab8967452301200628033a0f100319efcdab896745230120012801");
-    let known = Some((incarnation(3), 1, State::Gone));
+    let known = Some((incarnation(3), 1, MemberState::Dead));
     pin(&Said::Hello(Hello { known, ..hello() }), "000000370a35080110021a0465752d312009291032547698badcfe320d100419efcdab896745230120063a0f100319efcdab896745230120012802");
 }
 
@@ -83,14 +90,23 @@
 fn each_message_of_membership_has_these_bytes() {
     let (seq, target) = (1000, PeerId(300));
     let view = 0x0102_0304_0506_0708;
-    pin(&Said::Message(Message::Ping { seq, view, claims: claims() }), "0000007e1a7c08e8071108070605040302011a1208ac02100219efcdab8967452301200530071a1408ac02100219efcdab89674523012005280130071a1608ac02100219efcdab896745230120052801300738011a1608ac02100219efcdab896745230120052802300738011a1408ac02100219efcdab8967452301200528033007");
-    pin(&Said::Message(Message::Ping { seq: 0, view: 0, claims: vec![] }), "000000021a00");
-    pin(&Said::Message(Message::Ack { seq, claims: claims() }), "00000075227308e8071a1208ac02100219efcdab8967452301200530071a1408ac02100219efcdab89674523012005280130071a1608ac02100219efcdab896745230120052801300738011a1608ac02100219efcdab896745230120052802300738011a1408ac02100219efcdab8967452301200528033007");
-    pin(&Said::Message(Message::AskFor { seq, target }), "000000082a0608e80710ac02");
-    pin(&Said::Message(Message::Word { seq, target, word: Reached::No }), "00000008320608e80710ac02");
-    pin(&Said::Message(Message::Word { seq, target, word: Reached::Yes }), "0000000a320808e80710ac021801");
-    pin(&Said::Message(Message::Word { seq, target, word: Reached::Broken }), "0000000a320808e80710ac021802");
-    pin(&Said::Message(Message::Tell { claims: claims() }), "000000723a701a1208ac02100219efcdab8967452301200530071a1408ac02100219efcdab89674523012005280130071a1608ac02100219efcdab896745230120052801300738011a1608ac02100219efcdab896745230120052802300738011a1408ac02100219efcdab8967452301200528033007");
+    pin(&Said::Message(Message::Ping { seq, view, updates: claims() }), "0000007e1a7c08e8071108070605040302011a1208ac02100219efcdab8967452301200530071a1408ac02100219efcdab89674523012005280130071a1608ac02100219efcdab896745230120052801300738011a1608ac02100219efcdab896745230120052802300738011a1408ac02100219efcdab8967452301200528033007");
+    pin(&Said::Message(Message::Ping { seq: 0, view: 0, updates: vec![] }), "000000021a00");
+    pin(&Said::Message(Message::Ack { seq, updates: claims() }), "00000075227308e8071a1208ac02100219efcdab8967452301200530071a1408ac02100219efcdab89674523012005280130071a1608ac02100219efcdab896745230120052801300738011a1608ac02100219efcdab896745230120052802300738011a1408ac02100219efcdab8967452301200528033007");
+    pin(&Said::Message(Message::PingReq { seq, target }), "000000082a0608e80710ac02");
+    pin(
+        &Said::Message(Message::PingReqResult { seq, target, result: ProbeResult::NoResponse }),
+        "00000008320608e80710ac02",
+    );
+    pin(
+        &Said::Message(Message::PingReqResult { seq, target, result: ProbeResult::Acked }),
+        "0000000a320808e80710ac021801",
+    );
+    pin(
+        &Said::Message(Message::PingReqResult { seq, target, result: ProbeResult::ConnectionLost }),
+        "0000000a320808e80710ac021802",
+    );
+    pin(&Said::Message(Message::Gossip { updates: claims() }), "000000723a701a1208ac02100219efcdab8967452301200530071a1408ac02100219efcdab89674523012005280130071a1608ac02100219efcdab896745230120052801300738011a1608ac02100219efcdab896745230120052802300738011a1408ac02100219efcdab8967452301200528033007");
 }
 
 #[test]
--- a/crates/settings/src/config.rs
+++ b/crates/settings/src/config.rs
@@ -7,7 +7,7 @@
 use crate::fleet::Fleet;
 use crate::operator::{self, Flight, LogFormat, Operator};
 use crate::site::{Section, Site};
-use mallowgauge_cluster::links::Room;
+use mallowgauge_cluster::links::PeerConnectionLimits;
 use mallowgauge_core::{CoreLimits, TwoPhaseSettings};
 use mallowgauge_router::Micros;
 
@@ -53,7 +53,7 @@
     /// Queries in two phases, where they are taken.
     pub phases: Option<TwoPhaseSettings>,
     /// The other gatherers, and what links to them may hold.
-    pub fleet: Option<(Fleet, Room)>,
+    pub fleet: Option<(Fleet, PeerConnectionLimits)>,
 }
 
 /// Silence on a connection is told from slowness after this share of the shortest aim.
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -13,8 +13,8 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
-use mallowgauge_cluster::links::Room;
-use mallowgauge_cluster::members::Pace;
+use mallowgauge_cluster::links::PeerConnectionLimits;
+use mallowgauge_cluster::members::ProbeTiming;
 use serde_json::Value;
 
 use crate::config::address;
@@ -42,8 +42,8 @@
     pub version: u64,
     /// How many keepers a query has.
     pub group: usize,
-    /// Pace of questions and doubts.
-    pub pace: Pace,
+    /// ProbeTiming of questions and doubts.
+    pub pace: ProbeTiming,
     /// Most bytes that wait for one peer, where the limits allow more.
     pub queue: Option<usize>,
     /// Most messages taken from one peer in a second.
@@ -133,12 +133,12 @@
             "fleet.pace",
             &["probe_ms", "answer_ms", "doubt_ms"],
         )?;
-        let usual = Pace::default();
+        let usual = ProbeTiming::default();
         let ms = |key: &str, usual: u64| pace.number(key, Some(usual / 1000), 10..=60_000).map(|n| n * 1000);
-        let pace = Pace {
-            probe: ms("probe_ms", usual.probe)?,
-            answer: ms("answer_ms", usual.answer)?,
-            doubt: ms("doubt_ms", usual.doubt)?,
+        let pace = ProbeTiming {
+            probe_interval: ms("probe_ms", usual.probe_interval)?,
+            ack_timeout: ms("answer_ms", usual.ack_timeout)?,
+            suspicion_timeout: ms("doubt_ms", usual.suspicion_timeout)?,
         };
         let bounds = section.get("bounds").unwrap_or(&none);
         let bounds = Part::new(bounds, path, "fleet.bounds", &["queue_kb", "messages_a_second"])?;
@@ -160,10 +160,10 @@
     ///
     /// # Errors
     /// What is too little.
-    pub fn room(&self, sockets: usize, memory: usize) -> Result<Room, String> {
-        let mut room = Room::of(self.peers.len(), sockets, memory)?;
-        room.queue = room.queue.min(self.queue.unwrap_or(room.queue));
-        room.a_second = self.rate.unwrap_or(room.a_second);
+    pub fn room(&self, sockets: usize, memory: usize) -> Result<PeerConnectionLimits, String> {
+        let mut room = PeerConnectionLimits::of(self.peers.len(), sockets, memory)?;
+        room.queue_bytes = room.queue_bytes.min(self.queue.unwrap_or(room.queue_bytes));
+        room.messages_per_second = self.rate.unwrap_or(room.messages_per_second);
         Ok(room)
     }
 }
