--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -7,7 +7,7 @@
 
 pub mod flow;
 pub mod links;
-pub mod members;
+pub mod membership;
 pub mod planted;
 pub mod register;
 pub mod takeover;
--- a/crates/cluster/src/links.rs
+++ b/crates/cluster/src/links.rs
@@ -5,7 +5,7 @@
 //! Waits between dials double up to a second and are drawn by the seed, so that a fleet that starts at once
 //! does not dial at once.
 
-use crate::members::{MemberState, MemberUpdate, SuspicionEvidence};
+use crate::membership::{MemberState, MemberUpdate, SuspicionEvidence};
 use crate::{Incarnation, Micros, PeerId};
 
 /// Version of the messages. Another major one is refused; a higher minor one only adds what may be passed by.
--- a/crates/cluster/tests/members.rs
+++ b/crates/cluster/tests/members.rs
@@ -6,7 +6,7 @@
 use mallowgauge_cluster::links::{
     verify_incarnation, DialScheduler, HandshakeError, PeerConnectionLimits, PeerList,
 };
-use mallowgauge_cluster::members::{
+use mallowgauge_cluster::membership::{
     Action, Event, MemberState, MemberUpdate, Membership, Message, ProbeTiming, SuspicionEvidence,
 };
 use mallowgauge_cluster::{Incarnation, PeerId};
--- a/crates/edge/src/peers/mod.rs
+++ b/crates/edge/src/peers/mod.rs
@@ -15,7 +15,7 @@
 use mallowgauge_cluster::links::{
     verify_incarnation, DialScheduler, HandshakeError, Hello, PeerConnectionLimits, PeerList,
 };
-use mallowgauge_cluster::members::{
+use mallowgauge_cluster::membership::{
     Action as MembershipAction, Event, MemberState, MemberUpdate, Membership,
 };
 use mallowgauge_cluster::register::AcceptorLimits;
--- a/crates/edge/src/peers/wire.rs
+++ b/crates/edge/src/peers/wire.rs
@@ -3,7 +3,7 @@
 
 use mallowgauge_cluster::flow::Priority;
 use mallowgauge_cluster::links::Hello;
-use mallowgauge_cluster::members::{MemberState, MemberUpdate, Message, ProbeResult, SuspicionEvidence};
+use mallowgauge_cluster::membership::{MemberState, MemberUpdate, Message, ProbeResult, SuspicionEvidence};
 use mallowgauge_cluster::takeover::Message as TakeoverMessage;
 use mallowgauge_cluster::{Incarnation, PeerId};
 use prost::Message as _;
--- a/crates/edge/tests/bad_input.rs
+++ b/crates/edge/tests/bad_input.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use mallowgauge_cluster::links::Hello;
-use mallowgauge_cluster::members::{
+use mallowgauge_cluster::membership::{
     MemberState, MemberUpdate, Message as Between, ProbeResult, SuspicionEvidence,
 };
 use mallowgauge_cluster::{Incarnation, PeerId};
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -14,7 +14,7 @@
 use std::net::{IpAddr, SocketAddr};
 
 use mallowgauge_cluster::links::PeerConnectionLimits;
-use mallowgauge_cluster::members::ProbeTiming;
+use mallowgauge_cluster::membership::ProbeTiming;
 use serde_json::Value;
 
 use crate::config::address;
