--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,14 +1,20 @@
-//! What several gatherers decide together. Messages in, messages and orders out, time an argument: no I/O, no
-//! clock, no threads, and no knowledge of HTTP, frames or Flight.
+//! What several instances decide together. Messages in, messages and actions out, time an argument: no I/O, no clock, no
+//! threads, and no knowledge of HTTP, frames or Flight.
 //!
-//! Three kinds of knowledge are never mixed in one type. *Advice* ([`members`]) may be wrong at any time, and
-//! chooses only whom to ask first and at what pace; nothing in it may ever allow an effect or a spend. *Promises*
-//! and *records* ([`register`]) hold through cuts, pauses and wrong clocks; only these allow an effect.
+//! Three kinds of knowledge are never mixed in one type:
+//!
+//! - *advice* ([`membership`]) may be wrong at any time. It chooses order and pace only, and permits nothing;
+//! - *promises* (ballots, in [`register`]) hold through partitions, pauses and wrong clocks. Only they permit an effect;
+//! - *records* (intents and outcomes, in [`register`]) are written once and never changed.
+//!
+//! [`takeover`] uses all three to decide who acts for a query whose instance is lost. [`connections`],
+//! [`outbound_queue`] and [`inbound_rate_limit`] decide which peers are connected and what their connections may hold.
 
-pub mod flow;
-pub mod links;
+pub mod connections;
+pub mod fault_injection;
+pub mod inbound_rate_limit;
 pub mod membership;
-pub mod planted;
+pub mod outbound_queue;
 pub mod register;
 pub mod takeover;
 pub mod timer_queue;
@@ -16,20 +22,19 @@
 /// Microseconds on a clock that does not run backwards; only differences count.
 pub type Micros = u64;
 
-/// A gatherer's place in the fixed list of peers, which is the same in every process that may be linked.
+/// An instance, as its place in the fixed list of peers, which is the same in all instances that may be connected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub struct PeerId(pub u16);
 
-/// One life of a process under its name. The higher one is the later one; no clock takes part in it: a process
-/// starts at 1 and goes above whatever its peers have known under its name. `nonce` tells apart two processes
-/// that came to the same number.
+/// One run of a process under its name. The higher one is the later one. No clock takes part in it: a process starts at
+/// 1 and goes above whatever its peers have known under its name.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct Incarnation {
-    /// Counts the lives that peers know of.
+    /// Counts the runs that peers know of.
     pub number: u64,
-    /// Drawn at random by each process at its start.
+    /// Drawn at random by each process at its start: tells apart two that came to the same number.
     pub nonce: u64,
 }
 
@@ -39,7 +44,7 @@
     }
 }
 
-/// A number that tells apart what was mixed up (FNV-1a); it does not withstand anybody who means harm.
+/// FNV-1a: finds what was mixed up; not safe against anybody who means harm.
 #[must_use]
 pub fn digest(bytes: impl IntoIterator<Item = u8>) -> u64 {
     bytes
--- a/crates/cluster/src/register/acceptor.rs
+++ b/crates/cluster/src/register/acceptor.rs
@@ -8,7 +8,7 @@
 use super::messages::{AbstainReason, AcceptorReply, ProposerRequest};
 use super::record::{Proposal, Record};
 use super::recovery::{PendingTransfer, Recovery, StateTransfer, TransferredRecord};
-use crate::planted::{self, Bug};
+use crate::fault_injection::{self, Bug};
 use crate::{Incarnation, Micros, PeerId};
 
 /// Bytes of records on one page of a state transfer, unless a single record is longer: all records of an acceptor are
@@ -290,7 +290,7 @@
             return self.abstain(id, ballot, reason);
         }
         if let Some(record) = self.record(&id) {
-            let forgets = planted::is(Bug::ForgetAPromise);
+            let forgets = fault_injection::is_injected(Bug::ForgetAPromise);
             if (record.promised != ballot && !forgets) || record.chosen {
                 return AcceptorReply::Rejected { id, rejected: ballot, record: record.clone() };
             }
@@ -322,7 +322,9 @@
         }
         match self.record(&id) {
             None => self.abstain(id, ballot, AbstainReason::UnknownQuery),
-            Some(record) if record.promised != ballot && !planted::is(Bug::ForgetAPromise) => {
+            Some(record)
+                if record.promised != ballot && !fault_injection::is_injected(Bug::ForgetAPromise) =>
+            {
                 AcceptorReply::Rejected { id, rejected: ballot, record: record.clone() }
             }
             Some(_) => self.accept_proposal(id, ballot, proposal, version),
--- a/crates/cluster/src/register/proposer.rs
+++ b/crates/cluster/src/register/proposer.rs
@@ -6,7 +6,7 @@
 use super::ballot::{AttemptRef, Ballot, Incarnations, OpenedAt, QueryId};
 use super::messages::{AcceptorReply, ProposerRequest};
 use super::record::{Proposal, Record, RecordedOutcome};
-use crate::planted::{self, Bug};
+use crate::fault_injection::{self, Bug};
 use crate::{Incarnation, PeerId};
 
 /// How far a proposer has come.
@@ -365,7 +365,8 @@
         if let Some(record) = record {
             self.inherit(record);
         }
-        let majority = self.is_majority(self.promised_by.len()) || planted::is(Bug::AdoptWithoutAMajority);
+        let majority = self.is_majority(self.promised_by.len())
+            || fault_injection::is_injected(Bug::AdoptWithoutAMajority);
         if majority {
             self.phase = ProposerPhase::Active;
             self.proposal.intents.extend(&self.inherited_intents);
--- a/crates/cluster/src/takeover/client_requests.rs
+++ b/crates/cluster/src/takeover/client_requests.rs
@@ -6,7 +6,7 @@
 use super::manager::TakeoverManager;
 use super::outcome::QueryEnd;
 use super::query_state::{PendingPermit, QueryState, PERMIT_TIMEOUT};
-use crate::planted::{self, Bug};
+use crate::fault_injection::{self, Bug};
 use crate::register::{AttemptRef, OpenedAt, Proposer, QueryId};
 use crate::Micros;
 
@@ -83,7 +83,7 @@
     pub fn query_ended(&mut self, now: Micros, id: &QueryId, end: QueryEnd) {
         let Some(query) = self.queries.get_mut(id) else { return };
         query.pending_permits.clear();
-        if planted::is(Bug::AnswerBeforeTheRecord) && query.has_local_clients {
+        if fault_injection::is_injected(Bug::AnswerBeforeTheRecord) && query.has_local_clients {
             self.actions.push(Action::QueryEnded { id: Arc::clone(id), end: end.clone() });
         }
         query.end = Some(end);
--- a/crates/cluster/src/takeover/proposals.rs
+++ b/crates/cluster/src/takeover/proposals.rs
@@ -7,7 +7,7 @@
 use super::messages::Message;
 use super::outcome::QueryEnd;
 use super::query_state::OUTCOME_POLL_INTERVAL;
-use crate::planted::{self, Bug};
+use crate::fault_injection::{self, Bug};
 use crate::register::{
     payload_digest, AbstainReason, AcceptorReply, Proposer, ProposerPhase, ProposerRequest, QueryId, Record,
 };
@@ -72,7 +72,7 @@
         let last_requests = proposer.relinquish(permits.iter().map(|permit| permit.intent));
         (query.resend_at, query.resends) = (now + OUTCOME_POLL_INTERVAL, 0);
         let (has_local_clients, payload) = (query.has_local_clients, Arc::clone(&query.payload));
-        if planted::is(Bug::SendAfterTheFence) {
+        if fault_injection::is_injected(Bug::SendAfterTheFence) {
             permits.iter().for_each(|permit| self.decide_permit(id, *permit, true));
         }
         self.deny_permits(id, permits);
--- a/crates/cluster/src/takeover/query_state.rs
+++ b/crates/cluster/src/takeover/query_state.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::outcome::QueryEnd;
-use crate::planted::{self, Bug};
+use crate::fault_injection::{self, Bug};
 use crate::register::{AttemptRef, Proposer, ProposerPhase, QueryId};
 use crate::timer_queue::TimerQueue;
 use crate::Micros;
@@ -120,7 +120,8 @@
         let Some(proposer) = &self.proposer else { return Vec::new() };
         let mut granted = Vec::new();
         self.pending_permits.retain(|permit| {
-            let is_granted = proposer.is_permitted(permit.intent) || planted::is(Bug::SkipTheIntent);
+            let is_granted =
+                proposer.is_permitted(permit.intent) || fault_injection::is_injected(Bug::SkipTheIntent);
             if is_granted {
                 granted.push(*permit);
             }
--- a/crates/cluster/tests/members.rs
+++ b/crates/cluster/tests/membership.rs
@@ -2,13 +2,14 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use mallowgauge_cluster::flow::{InboundRateLimit, MessageBatch, OutboundQueue, Priority};
-use mallowgauge_cluster::links::{
+use mallowgauge_cluster::connections::{
     verify_incarnation, DialScheduler, HandshakeError, PeerConnectionLimits, PeerList,
 };
+use mallowgauge_cluster::inbound_rate_limit::InboundRateLimit;
 use mallowgauge_cluster::membership::{
     Action, Event, MemberState, MemberUpdate, Membership, Message, ProbeTiming, SuspicionEvidence,
 };
+use mallowgauge_cluster::outbound_queue::{MessageBatch, OutboundQueue, Priority};
 use mallowgauge_cluster::{Incarnation, PeerId};
 use proptest::prelude::*;
 
@@ -568,9 +569,9 @@
         assert!(room.sockets_needed <= 2048 / 4);
     }
     let few = PeerConnectionLimits::of(9, 40, 192 << 20).expect_err("too few");
-    assert_eq!(few, "9 peers want limits.sockets of at least 68, a quarter for them");
+    assert_eq!(few.to_string(), "9 peers want limits.sockets of at least 68, a quarter for them");
     let little = PeerConnectionLimits::of(300, 4096, 32 << 20).expect_err("too little");
-    assert_eq!(little, "300 peers want more of limits.memory_mb");
+    assert_eq!(little.to_string(), "300 peers want more of limits.memory_mb");
 }
 
 #[test]
--- a/crates/edge/src/peers/mod.rs
+++ b/crates/edge/src/peers/mod.rs
@@ -11,13 +11,14 @@
 use std::io::IoSlice;
 use std::net::{IpAddr, SocketAddr, TcpStream};
 
-use mallowgauge_cluster::flow::{InboundRateLimit, MessageBatch, OutboundQueue};
-use mallowgauge_cluster::links::{
+use mallowgauge_cluster::connections::{
     verify_incarnation, DialScheduler, HandshakeError, Hello, PeerConnectionLimits, PeerList,
 };
+use mallowgauge_cluster::inbound_rate_limit::InboundRateLimit;
 use mallowgauge_cluster::membership::{
     Action as MembershipAction, Event, MemberState, MemberUpdate, Membership,
 };
+use mallowgauge_cluster::outbound_queue::{MessageBatch, OutboundQueue};
 use mallowgauge_cluster::register::AcceptorLimits;
 use mallowgauge_cluster::takeover::{
     Action as TakeoverAction, Message as TakeoverMessage, TakeoverConfig, TakeoverManager,
--- a/crates/edge/src/peers/wire.rs
+++ b/crates/edge/src/peers/wire.rs
@@ -1,9 +1,9 @@
 //! Messages between gatherers as bytes: a length of four bytes, most significant first, then a protobuf
 //! envelope. Unknown fields and unknown kinds pass by; only another major version is refused.
 
-use mallowgauge_cluster::flow::Priority;
-use mallowgauge_cluster::links::Hello;
+use mallowgauge_cluster::connections::Hello;
 use mallowgauge_cluster::membership::{MemberState, MemberUpdate, Message, ProbeResult, SuspicionEvidence};
+use mallowgauge_cluster::outbound_queue::Priority;
 use mallowgauge_cluster::takeover::Message as TakeoverMessage;
 use mallowgauge_cluster::{Incarnation, PeerId};
 use prost::Message as _;
--- a/crates/edge/tests/bad_input.rs
+++ b/crates/edge/tests/bad_input.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use bytes::Bytes;
-use mallowgauge_cluster::links::Hello;
+use mallowgauge_cluster::connections::Hello;
 use mallowgauge_cluster::membership::{
     MemberState, MemberUpdate, Message as Between, ProbeResult, SuspicionEvidence,
 };
--- a/crates/edge/tests/peer_wire_format.rs
+++ b/crates/edge/tests/peer_wire_format.rs
@@ -3,7 +3,7 @@
 
 use std::fmt::Write as _;
 
-use mallowgauge_cluster::links::Hello;
+use mallowgauge_cluster::connections::Hello;
 use mallowgauge_cluster::membership::{MemberState, MemberUpdate, Message, ProbeResult, SuspicionEvidence};
 use mallowgauge_cluster::register::{AttemptRef, Ballot, Proposal, ProposerRequest};
 use mallowgauge_cluster::takeover::Message as TakeoverMessage;
--- a/crates/mallowgauge/src/main.rs
+++ b/crates/mallowgauge/src/main.rs
@@ -55,7 +55,10 @@
     #[cfg(feature = "planted")]
     let life = life.and_then(|life| {
         let bug = std::env::var("MALLOWGAUGE_PLANTED");
-        bug.map_or(Ok(()), |bug| mallowgauge_cluster::planted::plant(&bug)).map(|()| life)
+        bug.map_or(Ok(()), |bug| {
+            mallowgauge_cluster::fault_injection::inject(&bug).map_err(|e| e.to_string())
+        })
+        .map(|()| life)
     });
     let ended = life.and_then(|life| run(operator, life));
     if let Err(message) = &ended {
--- a/crates/settings/src/config.rs
+++ b/crates/settings/src/config.rs
@@ -7,7 +7,7 @@
 use crate::fleet::Fleet;
 use crate::operator::{self, Flight, LogFormat, Operator};
 use crate::site::{Section, Site};
-use mallowgauge_cluster::links::PeerConnectionLimits;
+use mallowgauge_cluster::connections::PeerConnectionLimits;
 use mallowgauge_core::{CoreLimits, TwoPhaseSettings};
 use mallowgauge_router::Micros;
 
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
-use mallowgauge_cluster::links::PeerConnectionLimits;
+use mallowgauge_cluster::connections::PeerConnectionLimits;
 use mallowgauge_cluster::membership::ProbeTiming;
 use serde_json::Value;
 
@@ -161,7 +161,8 @@
     /// # Errors
     /// What is too little.
     pub fn room(&self, sockets: usize, memory: usize) -> Result<PeerConnectionLimits, String> {
-        let mut room = PeerConnectionLimits::of(self.peers.len(), sockets, memory)?;
+        let mut room =
+            PeerConnectionLimits::of(self.peers.len(), sockets, memory).map_err(|e| e.to_string())?;
         room.queue_bytes = room.queue_bytes.min(self.queue.unwrap_or(room.queue_bytes));
         room.messages_per_second = self.rate.unwrap_or(room.messages_per_second);
         Ok(room)
