--- a/crates/edge/src/server/resources.rs
+++ b/crates/edge/src/server/resources.rs
@@ -62,5 +62,5 @@
         Some(_) => PEERS_WITH_TAKEOVER_MEMORY_DIVISOR,
         None => PEERS_MEMORY_DIVISOR,
     };
-    (room.descriptors, config.memory / divisor)
+    (room.sockets_needed, config.memory / divisor)
 }
--- a/crates/mallowgauge/src/main.rs
+++ b/crates/mallowgauge/src/main.rs
@@ -20,8 +20,8 @@
     #[error("no random numbers: {0}")]
     RandomNumbers(#[from] getrandom::Error),
     #[cfg(feature = "planted")]
-    #[error("{0}")]
-    FaultInjection(String),
+    #[error(transparent)]
+    FaultInjection(#[from] mallowgauge_cluster::fault_injection::InjectionError),
     #[error(transparent)]
     Server(#[from] ServerError),
 }
@@ -88,7 +88,7 @@
 #[cfg(feature = "planted")]
 fn inject_fault() -> Result<(), ProgramError> {
     match std::env::var("MALLOWGAUGE_PLANTED") {
-        Ok(fault) => mallowgauge_cluster::planted::plant(&fault).map_err(ProgramError::FaultInjection),
+        Ok(fault) => Ok(mallowgauge_cluster::fault_injection::inject(&fault)?),
         Err(_) => Ok(()),
     }
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -79,7 +79,7 @@
         /// The path of the platform's file, which sets the limits.
         file: String,
         /// The limit that is too low, and what is needed.
-        reason: String,
+        reason: mallowgauge_cluster::connections::LimitsError,
     },
     /// Takeover records cannot hold the tables of backends that are reached over Flight.
     #[error("fleet.handover is set beside flight.hosts: records hold no tables yet")]
--- a/crates/settings/src/peers.rs
+++ b/crates/settings/src/peers.rs
@@ -12,8 +12,8 @@
 
 use std::net::{IpAddr, SocketAddr};
 
-use mallowgauge_cluster::links::Room;
-use mallowgauge_cluster::members::Pace;
+use mallowgauge_cluster::connections::{LimitsError, PeerConnectionLimits};
+use mallowgauge_cluster::membership::ProbeTiming;
 use mallowgauge_router::Micros;
 use serde_json::Value;
 
@@ -43,7 +43,7 @@
     /// How many acceptors a query has; odd.
     pub group: usize,
     /// Intervals and time-outs of membership.
-    pub pace: Pace,
+    pub pace: ProbeTiming,
     /// Most bytes queued for one peer, where the limits allow more.
     pub queue: Option<usize>,
     /// Most messages taken from one peer in a second.
@@ -105,10 +105,10 @@
     ///
     /// # Errors
     /// The limit that is too low, and what is needed.
-    pub fn room(&self, sockets: usize, memory: usize) -> Result<Room, String> {
-        let mut room = Room::of(self.peers.len(), sockets, memory).map_err(|e| e.to_string())?;
-        room.queue = room.queue.min(self.queue.unwrap_or(room.queue));
-        room.a_second = self.rate.unwrap_or(room.a_second);
+    pub fn room(&self, sockets: usize, memory: usize) -> Result<PeerConnectionLimits, LimitsError> {
+        let mut room = PeerConnectionLimits::of(self.peers.len(), sockets, memory)?;
+        room.queue_bytes = room.queue_bytes.min(self.queue.unwrap_or(room.queue_bytes));
+        room.messages_per_second = self.rate.unwrap_or(room.messages_per_second);
         Ok(room)
     }
 }
@@ -175,17 +175,17 @@
     Ok(group)
 }
 
-fn read_pace(value: &Value, file: &str) -> Result<Pace, OperatorError> {
+fn read_pace(value: &Value, file: &str) -> Result<ProbeTiming, OperatorError> {
     let section = OperatorSection::new(value, file, "fleet.pace", &["probe_ms", "answer_ms", "doubt_ms"])?;
-    let default = Pace::default();
+    let default = ProbeTiming::default();
     let micros = |key: &str, default: Micros| {
         let ms = section.number(key, Some(default / 1000), 10..=60_000);
         ms.map(|ms| ms * 1000)
     };
-    Ok(Pace {
-        probe: micros("probe_ms", default.probe)?,
-        answer: micros("answer_ms", default.answer)?,
-        doubt: micros("doubt_ms", default.doubt)?,
+    Ok(ProbeTiming {
+        probe_interval: micros("probe_ms", default.probe_interval)?,
+        ack_timeout: micros("answer_ms", default.ack_timeout)?,
+        suspicion_timeout: micros("doubt_ms", default.suspicion_timeout)?,
     })
 }
 
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use mallowgauge_cluster::links::Room;
+use mallowgauge_cluster::connections::PeerConnectionLimits;
 use mallowgauge_core::{CoreLimits, TwoPhaseSettings};
 use mallowgauge_router::Micros;
 use serde_json::Value;
@@ -56,7 +56,7 @@
     /// Queries in two phases, where they are accepted.
     pub phases: Option<TwoPhaseSettings>,
     /// The other instances, and what links to them may hold.
-    pub fleet: Option<(Fleet, Room)>,
+    pub fleet: Option<(Fleet, PeerConnectionLimits)>,
 }
 
 /// Fraction of the shortest latency objective after which a silent connection is avoided.
