--- a/crates/edge/src/discovery.rs
+++ b/crates/edge/src/discovery.rs
@@ -14,7 +14,7 @@
 use mallowgauge_settings::hosts::{parse, List};
 use serde_json::Value;
 
-use crate::front::http1::{Response, ResponseReader};
+use crate::front::http1::{MessageError, Response, ResponseReader};
 use crate::token::SocketKind;
 
 /// How long discovery may hold a watch back for a change, in microseconds.
@@ -71,8 +71,8 @@
     #[error("an answer without end")]
     ResponseTooLong,
     /// What came is no HTTP response.
-    #[error("{0}")]
-    MalformedResponse(&'static str),
+    #[error(transparent)]
+    MalformedResponse(#[from] MessageError),
     /// Discovery answered with another status than 200.
     #[error("answer {0}")]
     Status(u16),
@@ -278,7 +278,7 @@
             }
             let length = self.input.len();
             let response = self.reader.take(&mut self.input, end == ReadEnd::Closed);
-            match response.map_err(|bad| DiscoveryError::MalformedResponse(bad.1))? {
+            match response? {
                 Some(response) => {
                     // Bytes after the answer belong to no call; they must not be taken for the next one's.
                     if response.close || end.is_over() || !self.input.is_empty() {
--- a/crates/edge/src/front/flight/command.rs
+++ b/crates/edge/src/front/flight/command.rs
@@ -9,7 +9,7 @@
 use mallowgauge_router::{ClassId, Micros};
 use serde_json::{json, Map, Value};
 
-use crate::front::query::{self, Frame};
+use crate::front::query::{self, QueryMetadata};
 
 /// Most endpoints that a query is split over.
 const MOST_ENDPOINTS: usize = 16;
@@ -47,7 +47,7 @@
     pub fn from_value(value: Value, core: &Core, fresh: &str) -> Result<Self, Status> {
         let Value::Object(mut fields) = value else { return Err(bad("the command is no object")) };
         fields.entry("id").or_insert_with(|| json!(fresh));
-        let id = fields.get("id").and_then(Value::as_str).filter(|id| query::is_id(id));
+        let id = fields.get("id").and_then(Value::as_str).filter(|id| query::is_valid_id(id));
         let id = id.ok_or_else(|| bad("id is missing or odd"))?.to_owned();
         let class = fields.get("kind").and_then(Value::as_str).and_then(|name| core.class_id(name));
         let class = class.ok_or_else(|| bad("the class is unknown"))?;
@@ -93,8 +93,9 @@
         let wait = own.into_iter().chain(left).min().or(usual);
         let expires_in = wait.unwrap_or_else(|| core.deadline(self.class));
         let retry = self.fields.get("retry").and_then(Value::as_bool).unwrap_or(false);
-        let frame = Frame { id: self.id.as_str().into(), class: self.class, expires_in, retry };
-        query::read(frame, &Value::Object(self.fields.clone())).map_err(bad)
+        let metadata = QueryMetadata { id: self.id.as_str().into(), class: self.class, expires_in, retry };
+        query::parse(metadata, &Value::Object(self.fields.clone()))
+            .map_err(|error| Status::new(Code::InvalidArgument, error.to_string()))
     }
 
     /// The command split over the endpoints that it wants: each asks for some of the parts, with their
@@ -126,7 +127,7 @@
                 range["portion"] = json!(portion(range) / sum);
             }
             let id = format!("{}.{index}", self.id);
-            if !query::is_id(&id) {
+            if !query::is_valid_id(&id) {
                 return Err(bad("the id is too long to be split"));
             }
             let mut fields = self.fields.clone();
--- a/crates/edge/src/front/flight/long.rs
+++ b/crates/edge/src/front/flight/long.rs
@@ -196,7 +196,7 @@
                 json!({"status": if *whole { "whole" } else { "partial" }, "total": whole})
             }
             QueryResponse::Ranked(ranked) => {
-                let mut told = query::marks(ranked);
+                let mut told = query::ranked_summary(ranked);
                 told["status"] = json!(if ranked.whole { "whole" } else { "partial" });
                 told
             }
--- a/crates/edge/src/front/flight/methods.rs
+++ b/crates/edge/src/front/flight/methods.rs
@@ -228,7 +228,7 @@
                 Stream::new(values, Style { last, ..style })
             }
             QueryResponse::Ranked(ranked) => {
-                let last = query::marks(ranked).to_string().into();
+                let last = query::ranked_summary(ranked).to_string().into();
                 Stream::ranked(&ranked.rows, Style { last, ..style })
             }
             _ => return,
@@ -266,7 +266,7 @@
         let mut items = Vec::new();
         if long.form == Form::Put {
             if let Some(ranked) = ranked {
-                told["rows"] = query::ranked(ranked)["rows"].take();
+                told["rows"] = query::write_ranked(ranked)["rows"].take();
             }
             if !values.is_empty() {
                 told["answers"] = values.iter().map(short).collect();
@@ -756,7 +756,7 @@
                 }
                 if let QueryResponse::Ranked(ranked) = &*answer {
                     info.total_records = ranked.rows.len() as i64;
-                    info.app_metadata = query::marks(ranked).to_string().into();
+                    info.app_metadata = query::ranked_summary(ranked).to_string().into();
                     info.schema = answer::schema_message(&answer::ranked_schema()).unwrap_or_default();
                 }
                 if let QueryResponse::Completed { complete: whole, values } = &*answer {
--- /dev/null
+++ b/crates/edge/src/front/http/routes.rs
@@ -0,0 +1,126 @@
+//! What a request asks for: the health of the process, or an answer to a query. And what the HTTP wire makes of a
+//! final answer.
+
+use mallowgauge_core::{Core, Failure, QueryRequest, QueryResponse, ResponseHandle};
+use mallowgauge_router::Micros;
+use serde_json::{json, Value};
+
+use crate::front::http1::RequestHead;
+use crate::front::query::{self, QueryError, QueryMetadata};
+use crate::lifecycle::Phase;
+
+/// Where the platform's proxy asks whether the process takes queries.
+pub(super) const HEALTH_PATH: &str = "/healthz";
+/// Where queries go.
+const QUERY_PATH: &str = "/api";
+
+/// An answer that is yet to be written.
+pub(super) struct Reply {
+    pub(super) status: u16,
+    pub(super) headers: Vec<(&'static str, String)>,
+    pub(super) body: String,
+}
+
+impl Reply {
+    fn new(status: u16, body: impl Into<String>) -> Self {
+        Self { status, headers: Vec::new(), body: body.into() }
+    }
+
+    fn error(status: u16, message: &str) -> Self {
+        Self::new(status, error_body(message))
+    }
+}
+
+/// The body of an answer that says what is wrong.
+pub(super) fn error_body(message: &str) -> String {
+    json!({ "error": message }).to_string()
+}
+
+/// What is wrong with a query. Clients see the text.
+#[derive(Debug, thiserror::Error)]
+enum RequestError {
+    #[error("Req-Id is missing or odd")]
+    Id,
+    #[error("the class is unknown")]
+    Class,
+    #[error("Req-Deadline-Ms is missing or odd")]
+    Deadline,
+    #[error("the body is not JSON")]
+    BodyNotJson,
+    #[error(transparent)]
+    Query(#[from] QueryError),
+}
+
+/// Answers a request at once, by `Err`, or hands its query to the core.
+pub(super) fn route(
+    now: Micros,
+    connection: u64,
+    head: &RequestHead,
+    body: &[u8],
+    core: &mut Core,
+    phase: Phase,
+) -> Result<(), Reply> {
+    match head.path.as_str() {
+        HEALTH_PATH => {
+            require_method(head, "GET")?;
+            Err(health(phase))
+        }
+        QUERY_PATH => {
+            require_method(head, "POST")?;
+            let request = read_query(head, body, core);
+            let request = request.map_err(|error| Reply::error(400, &error.to_string()))?;
+            core.submit(now, ResponseHandle::Http(connection), request).map_err(|response| render(&response))
+        }
+        _ => Err(Reply::error(404, "there is nothing here")),
+    }
+}
+
+fn require_method(head: &RequestHead, method: &'static str) -> Result<(), Reply> {
+    if head.method == method {
+        return Ok(());
+    }
+    Err(Reply { headers: vec![("Allow", method.into())], ..Reply::error(405, "method") })
+}
+
+fn health(phase: Phase) -> Reply {
+    match phase {
+        Phase::Starting => Reply::new(503, "starting\n"),
+        Phase::Serving => Reply::new(200, "ok\n"),
+        Phase::Draining | Phase::Finishing | Phase::Stopped => Reply::new(503, "draining\n"),
+    }
+}
+
+fn read_query(head: &RequestHead, body: &[u8], core: &Core) -> Result<QueryRequest, RequestError> {
+    let id = head.header("req-id").filter(|id| query::is_valid_id(id)).ok_or(RequestError::Id)?;
+    let class = head.header("req-kind").and_then(|name| core.class_id(name)).ok_or(RequestError::Class)?;
+    let digits = head.header("req-deadline-ms").filter(|ms| ms.bytes().all(|byte| byte.is_ascii_digit()));
+    let milliseconds = digits.and_then(|ms| ms.parse::<u32>().ok()).ok_or(RequestError::Deadline)?;
+    let expires_in = Micros::from(milliseconds) * 1000;
+    let retry = head.header("req-retry") == Some("1");
+    let body: Value = serde_json::from_slice(body).map_err(|_| RequestError::BodyNotJson)?;
+    let metadata = QueryMetadata { id: id.into(), class, expires_in, retry };
+    Ok(query::parse(metadata, &body)?)
+}
+
+/// What the HTTP wire makes of a final answer.
+pub(super) fn render(response: &QueryResponse) -> Reply {
+    match response {
+        QueryResponse::Completed { complete, values } => match query::write_values(*complete, values) {
+            Ok(body) => Reply::new(200, body.to_string()),
+            Err(error) => {
+                tracing::warn!("an answer could not be written: {error}");
+                Reply::error(500, "the answer could not be written")
+            }
+        },
+        QueryResponse::Ranked(ranked) => Reply::new(200, query::write_ranked(ranked).to_string()),
+        QueryResponse::Rejected { retry_after, .. } => {
+            let seconds = *retry_after as f64 / 1e6;
+            let retry_after = (*retry_after > 0).then(|| ("Retry-After", format!("{seconds:.3}")));
+            Reply { headers: retry_after.into_iter().collect(), ..Reply::error(503, "refused") }
+        }
+        QueryResponse::Failed(Failure::Invalid(message)) => Reply::error(400, message),
+        QueryResponse::Failed(Failure::PartsFailed) => Reply::error(502, "parts could not be had"),
+        QueryResponse::Failed(Failure::MemoryExhausted) => Reply::error(502, "the tables found no room"),
+        QueryResponse::Failed(Failure::DeadlineExceeded) => Reply::error(504, "time ran out"),
+    }
+}
--- a/crates/edge/src/front/query.rs
+++ b/crates/edge/src/front/query.rs
@@ -1,4 +1,4 @@
-//! The body of a query and of an answer, which both fronts write alike.
+//! The body of a query and of an answer in JSON, which both frontends share.
 
 use std::rc::Rc;
 
@@ -10,46 +10,78 @@
 use mallowgauge_flight::rows;
 use mallowgauge_router::{ClassId, Micros, ShardId};
 
-/// What stands beside the body: in headers on one wire, in the command on the other.
+/// What a query carries beside its body: in headers on one wire, in the command on the other.
 #[derive(Clone, Debug)]
-pub struct Frame {
+pub struct QueryMetadata {
     /// The client's id for the query.
     pub id: Rc<str>,
     /// Its class.
     pub class: ClassId,
-    /// How long the client waits.
+    /// How long the client waits, in microseconds.
     pub expires_in: Micros,
-    /// Whether the client marked it as a further try.
+    /// Whether the client marked it as a retry.
     pub retry: bool,
 }
 
-/// Longest id of a query: it goes to hosts on a line of its own.
+/// What is wrong with the body of a query. Clients see the text.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum QueryError {
+    /// There is no list of ranges.
+    #[error("ranges is missing")]
+    NoRanges,
+    /// A range without the number of a shard.
+    #[error("a range has no number")]
+    NoRangeNumber,
+    /// A range without its weight.
+    #[error("a range has no portion")]
+    NoPortion,
+    /// There is no text for the backends.
+    #[error("predicate is missing")]
+    NoPredicate,
+    /// The plan is no JSON object.
+    #[error("the plan is no object")]
+    PlanNotObject,
+    /// The plan has a key that none has.
+    #[error("a plan has choose, top, wave and silent")]
+    UnknownPlanKey,
+    /// The plan chooses shards by no known rule.
+    #[error("choose is none of best, share, threshold, all")]
+    UnknownChoice,
+    /// A number of the plan is none.
+    #[error("top and wave are whole numbers")]
+    NotWholeNumber,
+    /// The plan says nothing known of shards that do not answer.
+    #[error("silent is ask or skip")]
+    UnknownSilentRule,
+}
+
+/// Longest id of a query, in bytes: it goes to backends within a line.
 const LONGEST_ID: usize = 64;
 
-/// Whether a text can be a query's id.
+/// Whether a text can be a query's id: printable ASCII without blanks.
 #[must_use]
-pub fn is_id(text: &str) -> bool {
+pub fn is_valid_id(text: &str) -> bool {
     (1..=LONGEST_ID).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic())
 }
 
 /// Reads the body of a query.
 ///
 /// # Errors
-/// Says what is wrong with it.
-pub fn read(frame: Frame, body: &Value) -> Result<QueryRequest, &'static str> {
-    let ranges = body.get("ranges").and_then(Value::as_array).ok_or("ranges is missing")?;
+/// What is wrong with it.
+pub fn parse(metadata: QueryMetadata, body: &Value) -> Result<QueryRequest, QueryError> {
+    let ranges = body.get("ranges").and_then(Value::as_array).ok_or(QueryError::NoRanges)?;
     let mut hint = Some(0);
     let part = |value: &Value| {
         let shard =
-            value.get("range").and_then(mallowgauge_settings::small).ok_or("a range has no number")?;
-        let weight = value.get("portion").and_then(Value::as_f64).ok_or("a range has no portion")?;
+            value.get("range").and_then(mallowgauge_settings::small).ok_or(QueryError::NoRangeNumber)?;
+        let weight = value.get("portion").and_then(Value::as_f64).ok_or(QueryError::NoPortion)?;
         let price = value.get("price").and_then(Value::as_u64);
         hint = hint.zip(price).map(|(sum, price): (Micros, _)| sum.saturating_add(price));
         Ok(PartRequest { shard: ShardId(shard), weight })
     };
-    let parts: Vec<PartRequest> = ranges.iter().map(part).collect::<Result<_, &'static str>>()?;
-    let text = body.get("predicate").and_then(Value::as_str).ok_or("predicate is missing")?;
-    let Frame { id, class, expires_in, retry } = frame;
+    let parts: Vec<PartRequest> = ranges.iter().map(part).collect::<Result<_, QueryError>>()?;
+    let text = body.get("predicate").and_then(Value::as_str).ok_or(QueryError::NoPredicate)?;
+    let QueryMetadata { id, class, expires_in, retry } = metadata;
     let plan = match body.get("plan") {
         None | Some(Value::Null) => None,
         Some(plan) => Some(read_plan(plan, text)?),
@@ -66,20 +98,21 @@
     })
 }
 
-/// Rows that are given where a plan does not say how many, and blocks of a wave.
-const TOP: u64 = 10;
-const WAVE: u64 = 4;
-/// What a part's text begins with that asks a scout.
+/// Rows of the answer where a plan does not say how many.
+const DEFAULT_TOP: u64 = 10;
+/// Shards of a wave where a plan does not say how many.
+const DEFAULT_WAVE: u64 = 4;
+/// What the text of a part begins with that asks for a sketch of the shard.
 pub const SCOUT: &str = "scout:";
 
 /// Reads a plan: `{"choose": {"best": 3} | {"share": 0.5} | "threshold" | "all", "top": 10, "wave": 4,
 /// "silent": "ask" | "skip"}`.
-fn read_plan(plan: &Value, text: &str) -> Result<PlanRequest, &'static str> {
-    let fields = plan.as_object().ok_or("the plan is no object")?;
+fn read_plan(plan: &Value, text: &str) -> Result<PlanRequest, QueryError> {
+    let fields = plan.as_object().ok_or(QueryError::PlanNotObject)?;
     if fields.keys().any(|key| !["choose", "top", "wave", "silent"].contains(&key.as_str())) {
-        return Err("a plan has choose, top, wave and silent");
+        return Err(QueryError::UnknownPlanKey);
     }
-    let odd = "choose is none of best, share, threshold, all";
+    let odd = QueryError::UnknownChoice;
     let choose = match fields.get("choose") {
         None => Choose::Threshold,
         Some(Value::String(word)) if word == "threshold" => Choose::Threshold,
@@ -93,48 +126,47 @@
     };
     let number = |key: &str, usual: u64| {
         let value = fields.get(key).map_or(Some(usual), Value::as_u64);
-        value.and_then(|n| usize::try_from(n).ok()).ok_or("top and wave are whole numbers")
+        value.and_then(|n| usize::try_from(n).ok()).ok_or(QueryError::NotWholeNumber)
     };
     let silent = match fields.get("silent").map(|word| word.as_str()) {
         None | Some(Some("ask")) => Silent::Ask,
         Some(Some("skip")) => Silent::Skip,
-        Some(_) => return Err("silent is ask or skip"),
+        Some(_) => return Err(QueryError::UnknownSilentRule),
     };
-    let spec = Spec { choose, top: number("top", TOP)?, wave: number("wave", WAVE)?, silent };
+    let spec = Spec { choose, top: number("top", DEFAULT_TOP)?, wave: number("wave", DEFAULT_WAVE)?, silent };
     Ok(PlanRequest { spec, scout: format!("{SCOUT}{text}").into_bytes().into() })
 }
 
-/// What an answer in two phases says of itself, beside its rows.
+/// What the answer of a query in two phases says of itself, beside its rows.
 #[must_use]
-pub fn marks(ranked: &Ranked) -> Value {
+pub fn ranked_summary(ranked: &Ranked) -> Value {
     let numbers = |shards: &[ShardId]| shards.iter().map(|shard| shard.0).collect::<Vec<_>>();
-    let mut marks = json!({
+    let mut summary = json!({
         "total": ranked.whole, "exact": ranked.exact, "asked": numbers(&ranked.asked),
         "pruned": numbers(&ranked.pruned), "skipped": numbers(&ranked.skipped),
         "failed": numbers(&ranked.failed),
     });
     if let Some((shard, blob)) = &ranked.held {
-        marks["held"] = json!({"range": shard.0, "blob": **blob});
+        summary["held"] = json!({"range": shard.0, "blob": **blob});
     }
-    marks
+    summary
 }
 
-/// Writes the body of an answer in two phases.
+/// The body of the answer of a query in two phases.
 #[must_use]
-pub fn ranked(ranked: &Ranked) -> Value {
-    let mut body = marks(ranked);
-    // Rows go on as their hosts wrote them, with the block that each is from.
+pub fn write_ranked(ranked: &Ranked) -> Value {
+    let mut body = ranked_summary(ranked);
+    // Rows go on as their backends wrote them, with the shard that each is from.
     let row = |row: &Row| json!({"range": row.shard.0, "row": serde_json::from_str::<Value>(&row.text).ok()});
     body["rows"] = ranked.rows.iter().map(row).collect();
     body
 }
 
-/// Writes the body of an answer. Tables, which some hosts answer with, become texts of JSON: a list of their
-/// rows.
+/// The body of an answer. Tables, which some backends answer with, become texts of JSON: a list of their rows.
 ///
 /// # Errors
 /// A table cannot be written so.
-pub fn answer(whole: bool, values: &[(ShardId, core::Value)]) -> Result<Value, String> {
+pub fn write_values(complete: bool, values: &[(ShardId, core::Value)]) -> Result<Value, String> {
     let text = |(shard, value): &(ShardId, core::Value)| {
         let blob = match value {
             core::Value::Text(text) => Value::from(&**text),
@@ -143,5 +175,5 @@
         Ok(json!({"range": shard.0, "blob": blob}))
     };
     let answers: Vec<Value> = values.iter().map(text).collect::<Result<_, String>>()?;
-    Ok(json!({"total": whole, "answers": answers}))
+    Ok(json!({"total": complete, "answers": answers}))
 }
--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -84,7 +84,7 @@
     lifecycle: Lifecycle,
     core: Core,
     listeners: Listeners,
-    http: http::Front,
+    http: http::HttpFrontend,
     flight: flight::Front,
     pool: ConnectionPool,
     discovery: Discovery,
@@ -154,7 +154,7 @@
             lifecycle: Lifecycle::new(longest_deadline.unwrap_or_default()),
             core,
             listeners,
-            http: http::Front::new(limits.connections.clients),
+            http: http::HttpFrontend::new(limits.connections.clients),
             flight: flight::Front::new(&setup)?,
             pool: ConnectionPool::new(
                 config.links,
@@ -190,7 +190,7 @@
             self.core.poll_timeout(),
             self.pool.poll_timeout(),
             self.discovery.poll_timeout(),
-            self.http.due(),
+            self.http.poll_timeout(),
             self.flight.due(),
             self.lifecycle.poll_timeout(),
             self.peers.as_ref().and_then(Peers::poll_timeout),
@@ -220,7 +220,7 @@
     fn handle_timeouts(&mut self, now: Micros) {
         self.pool.handle_timeout(now);
         self.pool.grant_table_memory(now);
-        self.http.expire(now, &mut self.core);
+        self.http.handle_timeout(now, &mut self.core);
         self.flight.expire(now, &mut self.core);
         let event = self.discovery.handle_timeout(now);
         self.handle_discovery_events(event);
@@ -236,7 +236,7 @@
         let now = self.clock.now();
         self.lifecycle.request_shutdown(now);
         self.core.set_answer_deadline(self.lifecycle.answer_deadline());
-        self.http.enter(self.lifecycle.phase());
+        self.http.set_phase(self.lifecycle.phase());
         self.flight.drain(now, &mut self.core);
         if let Some(peers) = &mut self.peers {
             peers.announce_leave(now);
@@ -246,7 +246,7 @@
     /// Moves graceful shutdown on: from draining to finishing, and to the end once nothing is left to answer.
     fn advance_shutdown(&mut self, now: Micros) {
         if self.lifecycle.handle_timeout(now) {
-            self.http.enter(self.lifecycle.phase());
+            self.http.set_phase(self.lifecycle.phase());
             self.flight.finish(now, &mut self.core);
         }
         if self.lifecycle.phase() != Phase::Finishing {
@@ -254,10 +254,10 @@
         }
         // The last look for requests comes before the question whether any is left: one found here has been
         // taken and must be answered.
-        self.http.expire(now, &mut self.core);
+        self.http.handle_timeout(now, &mut self.core);
         self.stop_accepting();
         let open = self.core.open_queries() > 0 || self.listeners.is_open();
-        self.lifecycle.stop_unless_busy(open || self.http.busy() || self.flight.busy());
+        self.lifecycle.stop_unless_busy(open || self.http.is_busy() || self.flight.busy());
     }
 }
 
--- a/crates/edge/src/server/dispatch.rs
+++ b/crates/edge/src/server/dispatch.rs
@@ -21,7 +21,7 @@
         match SocketKind::of(token) {
             Some(SocketKind::HttpListener) => self.accept_http(),
             Some(SocketKind::FlightListener) => self.accept_flight(),
-            Some(SocketKind::HttpClient) => self.http.ready(now, id, &mut self.core),
+            Some(SocketKind::HttpClient) => self.http.handle_ready(now, id, &mut self.core),
             Some(SocketKind::FlightClient) => self.flight.ready(now, id, &mut self.core),
             Some(SocketKind::Backend) => self.pool.handle_ready(now, id),
             Some(SocketKind::PeerListener) => self.with_peers(|peers, handle| peers.accept(now, handle)),
@@ -98,7 +98,7 @@
     fn respond(&mut self, now: Micros, handle: ResponseHandle, response: QueryResponse) {
         match handle {
             ResponseHandle::TakenOver(_) => {}
-            ResponseHandle::Http(id) => self.http.answer(now, id, &response, &mut self.core),
+            ResponseHandle::Http(id) => self.http.respond(now, id, &response, &mut self.core),
             ResponseHandle::Flight(id) => self.flight.answer(now, id, response, &mut self.core),
         }
     }
--- a/crates/edge/src/server/endpoints.rs
+++ b/crates/edge/src/server/endpoints.rs
@@ -80,7 +80,7 @@
 
     fn start_serving(&mut self) {
         self.lifecycle.start_serving();
-        self.http.enter(self.lifecycle.phase());
+        self.http.set_phase(self.lifecycle.phase());
     }
 
     /// Brings the registry, the connections and the router to the state of a list, in this order.
--- a/crates/edge/tests/bad_input.rs
+++ b/crates/edge/tests/bad_input.rs
@@ -7,7 +7,7 @@
 use mallowgauge_cluster::links::Hello;
 use mallowgauge_cluster::members::{Claim, Grade, Message as Between, Reached, State};
 use mallowgauge_cluster::{Incarnation, PeerId};
-use mallowgauge_edge::front::http1::{self, Bad, Body, Head, Response};
+use mallowgauge_edge::front::http1::{self, BodyReader, MessageError, RequestHead, Response};
 use mallowgauge_edge::front::query;
 use mallowgauge_edge::peers::wire::{self, Said as PeerSaid};
 use mallowgauge_edge::upstream::frames::{self, BackendMessage};
@@ -138,8 +138,8 @@
 #[derive(Default)]
 struct Requests {
     input: Vec<u8>,
-    open: Option<(Head, Body)>,
-    read: Vec<(Head, Vec<u8>)>,
+    open: Option<(RequestHead, BodyReader)>,
+    read: Vec<(RequestHead, Vec<u8>)>,
     bad: bool,
     most: usize,
 }
@@ -157,10 +157,10 @@
         self.most = self.most.max(self.input.len());
     }
 
-    fn step(&mut self) -> Result<bool, Bad> {
+    fn step(&mut self) -> Result<bool, MessageError> {
         match &mut self.open {
             None => {
-                self.open = http1::request(&mut self.input)?;
+                self.open = http1::read_request(&mut self.input)?;
                 Ok(self.open.is_some())
             }
             Some((head, body)) => {
@@ -181,7 +181,7 @@
         requests
     }
 
-    fn seen(&self) -> (&[(Head, Vec<u8>)], bool, bool) {
+    fn seen(&self) -> (&[(RequestHead, Vec<u8>)], bool, bool) {
         (&self.read, self.bad, self.open.is_some())
     }
 }
@@ -224,16 +224,20 @@
 
 /// What discovery's connection reads, with every piece that comes: the first whole response or what is wrong, and
 /// how many bytes had come then.
-fn response_of(bytes: &[u8], sizes: &[usize], closes: bool) -> (Result<Option<Response>, Bad>, usize) {
+fn response_of(
+    bytes: &[u8],
+    sizes: &[usize],
+    closes: bool,
+) -> (Result<Option<Response>, MessageError>, usize) {
     let mut come = 0;
     for piece in pieces(bytes, sizes) {
         come += piece.len();
-        match http1::response(&bytes[..come], closes && come == bytes.len()) {
+        match http1::read_response(&bytes[..come], closes && come == bytes.len()) {
             Ok(None) => {}
             ended => return (ended, come),
         }
     }
-    (http1::response(bytes, closes), come)
+    (http1::read_response(bytes, closes), come)
 }
 
 proptest! {
@@ -245,7 +249,7 @@
         closes: bool,
     ) {
         let bytes = spoil(message("HTTP/1.1 200 OK", &filler, &framing, &body), &changes);
-        let whole = http1::response(&bytes, closes);
+        let whole = http1::read_response(&bytes, closes);
         let (read, come) = response_of(&bytes, &sizes, closes);
         match (whole, read) {
             (Err(_), Err(_)) => {}
@@ -260,7 +264,7 @@
     ) {
         let bytes = message("HTTP/1.1 200 OK", &filler, &framing, &body);
         let cut = &bytes[..at.index(bytes.len())];
-        prop_assert!(!matches!(http1::response(cut, closes), Ok(Some(_))));
+        prop_assert!(!matches!(http1::read_response(cut, closes), Ok(Some(_))));
     }
 
     #[test]
@@ -268,12 +272,12 @@
         let bytes = message("HTTP/1.1 200 OK", "", &Framing::Open, &body);
         let head = bytes.len() - body.len();
         let cut = at.index(bytes.len());
-        prop_assert_eq!(http1::response(&bytes[..cut], false), Ok(None));
-        prop_assert_eq!(http1::response(&bytes, false), Ok(None));
+        prop_assert_eq!(http1::read_response(&bytes[..cut], false), Ok(None));
+        prop_assert_eq!(http1::read_response(&bytes, false), Ok(None));
         let whole = Response { status: 200, body, close: true };
-        prop_assert_eq!(http1::response(&bytes, true), Ok(Some(whole)));
+        prop_assert_eq!(http1::read_response(&bytes, true), Ok(Some(whole)));
         if cut < head {
-            prop_assert_eq!(http1::response(&bytes[..cut], true), Ok(None));
+            prop_assert_eq!(http1::read_response(&bytes[..cut], true), Ok(None));
         }
     }
 }
@@ -310,7 +314,7 @@
         prop_assert_eq!(list.hosts.len(), count);
         // A reset looks like an end to `response`; what it cuts short is no JSON.
         let cut = &bytes[..at.index(bytes.len())];
-        if let Ok(Some(read)) = http1::response(cut, true) {
+        if let Ok(Some(read)) = http1::read_response(cut, true) {
             prop_assert!(serde_json::from_slice::<Value>(&read.body).is_err());
         }
     }
@@ -321,7 +325,7 @@
     for head in ["Transfer-Encoding: chunked\r\n\r\n100000\r\n", "Content-Length: 2000000\r\n\r\n", "\r\n"] {
         let mut bytes = format!("HTTP/1.1 200 OK\r\n{head}").into_bytes();
         bytes.resize(1 << 20, b' ');
-        assert_eq!(http1::response(&bytes, false), Ok(None), "{head}");
+        assert_eq!(http1::read_response(&bytes, false), Ok(None), "{head}");
     }
     for body in ["", "{}", "[]", "null", "{\"generation\":1}"] {
         let value = serde_json::from_str::<Value>(body).map_err(|e| e.to_string());
@@ -634,8 +638,8 @@
 
     #[test]
     fn a_querys_body_is_read_or_refused((body, changed) in odd_query()) {
-        let frame = query::Frame { id: "q".into(), class: ClassId(0), expires_in: 1, retry: false };
-        match query::read(frame, &body) {
+        let metadata = query::QueryMetadata { id: "q".into(), class: ClassId(0), expires_in: 1, retry: false };
+        match query::parse(metadata, &body) {
             Ok(ask) => {
                 prop_assert_eq!(ask.parts.len(), body["ranges"].as_array().map_or(0, Vec::len));
                 prop_assert_eq!(Some(&*ask.body), body["predicate"].as_str().map(str::as_bytes));
@@ -652,7 +656,7 @@
     #[test]
     fn an_id_fits_on_a_hosts_line(text in "\\PC{0,70}|[!-~]{0,70}|[ -~\\n]{0,5}") {
         let fits = (1..=64).contains(&text.len()) && text.chars().all(|c| ('!'..='~').contains(&c));
-        prop_assert_eq!(query::is_id(&text), fits);
+        prop_assert_eq!(query::is_valid_id(&text), fits);
     }
 }
 
--- a/crates/edge/tests/parts.rs
+++ b/crates/edge/tests/parts.rs
@@ -243,10 +243,10 @@
             }
         }
         let mut input = bytes.clone();
-        if let Ok(Some((_, mut body))) = http1::request(&mut input) {
+        if let Ok(Some((_, mut body))) = http1::read_request(&mut input) {
             taken[0] += u32::from(matches!(body.take(&mut input), Ok(Some(_))));
         }
-        taken[1] += u32::from(matches!(http1::response(&bytes, true), Ok(Some(_))));
+        taken[1] += u32::from(matches!(http1::read_response(&bytes, true), Ok(Some(_))));
         taken[2] += u32::from(matches!(frames::read(&bytes), Ok(Some(_))));
         let (mut messages, mut reader) = (Deframer::new(1 << 16), ipc::Collector::new(1 << 20));
         messages.push(&bytes);
