--- a/crates/edge/src/discovery.rs
+++ b/crates/edge/src/discovery.rs
@@ -11,6 +11,7 @@
 
 use mallowgauge_net::{Handle, ReadEnd, Stream};
 use mallowgauge_router::Micros;
+use mallowgauge_settings::error::{EndpointListError, OneLine};
 use mallowgauge_settings::hosts::{parse, List};
 use serde_json::Value;
 
@@ -76,9 +77,12 @@
     /// Discovery answered with another status than 200.
     #[error("answer {0}")]
     Status(u16),
+    /// The body is not JSON.
+    #[error("no list: {0}")]
+    NotJson(serde_json::Error),
     /// The body is no endpoint list.
     #[error("no list: {0}")]
-    MalformedEndpoints(String),
+    MalformedEndpoints(OneLine<EndpointListError>),
     /// The list is older than the one in use: a backend removed since would be taken to be there again.
     #[error("a list older than the present one")]
     OutdatedEndpoints,
@@ -330,8 +334,7 @@
         if response.status != 200 {
             return Err(DiscoveryError::Status(response.status));
         }
-        let body: Value = serde_json::from_slice(&response.body)
-            .map_err(|error| DiscoveryError::MalformedEndpoints(error.to_string()))?;
+        let body: Value = serde_json::from_slice(&response.body).map_err(DiscoveryError::NotJson)?;
         let list = parse(&body).map_err(DiscoveryError::MalformedEndpoints)?;
         if list.generation < self.generation && !self.restart_with_snapshot {
             self.restart_with_snapshot = true;
--- /dev/null
+++ b/crates/edge/src/front/flight/methods/sessions.rs
@@ -0,0 +1,42 @@
+//! Sessions: the cookie that names one, and its options on the wire.
+
+use mallowgauge_core::sessions::{SessionId, Setting};
+use mallowgauge_flight::proto::{OptionValue, SessionOptionValue};
+
+use crate::front::flight::auth::COOKIE;
+use crate::front::flight::call::Call;
+use crate::front::flight::service::FlightService;
+
+impl Call {
+    /// The call's session, or a new one, which its client keeps as a cookie.
+    pub fn session_or_new(&mut self, service: &mut FlightService) -> SessionId {
+        if let Some(id) = self.head.identity.session {
+            return id;
+        }
+        let id = service.generate_session_id();
+        self.add_header("set-cookie", &format!("{COOKIE}={:032x}", id.0));
+        id
+    }
+}
+
+/// The value of an option; `None` for a type that no option has.
+pub fn option_from_wire(value: SessionOptionValue) -> Option<Setting> {
+    Some(match value.option_value {
+        None => Setting::Unset,
+        Some(OptionValue::Text(text)) => Setting::Text(text),
+        Some(OptionValue::Flag(flag)) => Setting::Flag(flag),
+        Some(OptionValue::Whole(number)) => Setting::Whole(number),
+        Some(OptionValue::Number(_) | OptionValue::Texts(_)) => return None,
+    })
+}
+
+/// The value of an option as Flight's messages carry it.
+pub fn option_to_wire(value: Setting) -> SessionOptionValue {
+    let option_value = match value {
+        Setting::Unset => None,
+        Setting::Text(text) => Some(OptionValue::Text(text)),
+        Setting::Flag(flag) => Some(OptionValue::Flag(flag)),
+        Setting::Whole(number) => Some(OptionValue::Whole(number)),
+    };
+    SessionOptionValue { option_value }
+}
--- a/crates/edge/src/front/http/routes.rs
+++ b/crates/edge/src/front/http/routes.rs
@@ -118,7 +118,7 @@
             let retry_after = (*retry_after > 0).then(|| ("Retry-After", format!("{seconds:.3}")));
             Reply { headers: retry_after.into_iter().collect(), ..Reply::error(503, "refused") }
         }
-        QueryResponse::Failed(Failure::Invalid(message)) => Reply::error(400, message),
+        QueryResponse::Failed(Failure::Invalid(reason)) => Reply::error(400, reason.message()),
         QueryResponse::Failed(Failure::PartsFailed) => Reply::error(502, "parts could not be had"),
         QueryResponse::Failed(Failure::MemoryExhausted) => Reply::error(502, "the tables found no room"),
         QueryResponse::Failed(Failure::DeadlineExceeded) => Reply::error(504, "time ran out"),
--- a/crates/edge/src/front/query.rs
+++ b/crates/edge/src/front/query.rs
@@ -146,8 +146,8 @@
         "pruned": numbers(&ranked.pruned), "skipped": numbers(&ranked.skipped),
         "failed": numbers(&ranked.failed),
     });
-    if let Some((shard, blob)) = &ranked.held {
-        summary["held"] = json!({"range": shard.0, "blob": **blob});
+    if let Some(effect) = &ranked.effect {
+        summary["held"] = json!({"range": effect.shard.0, "blob": *effect.value});
     }
     summary
 }
--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -20,6 +20,7 @@
 use mallowgauge_core::Core;
 use mallowgauge_net::{Clock, Handle};
 use mallowgauge_router::{Discovery as EndpointDelivery, Micros, SettingsError};
+use mallowgauge_settings::error::{ConfigError, EndpointListError, OneLine};
 use mallowgauge_settings::hosts::parse;
 use mallowgauge_settings::Config;
 
@@ -40,11 +41,11 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ServerError {
     /// The configuration cannot be read.
-    #[error("{0}")]
-    Configuration(String),
+    #[error(transparent)]
+    Configuration(OneLine<ConfigError>),
     /// The cached endpoint list cannot be read.
     #[error("known: {0}")]
-    CachedSnapshot(String),
+    CachedSnapshot(OneLine<EndpointListError>),
     /// The router does not accept its settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
@@ -74,7 +75,7 @@
 }
 
 /// Reads the configuration, at the start and again on SIGHUP.
-type LoadConfig = Box<dyn Fn() -> Result<Config, String>>;
+type LoadConfig = Box<dyn Fn() -> Result<Config, OneLine<ConfigError>>>;
 
 /// All state of the process.
 pub struct Server {
@@ -105,7 +106,7 @@
     /// # Errors
     /// What the server cannot start with, or go on without.
     pub fn run(
-        load_config: impl Fn() -> Result<Config, String> + 'static,
+        load_config: impl Fn() -> Result<Config, OneLine<ConfigError>> + 'static,
         incarnation: u64,
     ) -> Result<(), ServerError> {
         let mut events = EventLoop::<Server>::try_new()?;
