--- a/crates/edge/src/front/flight/command.rs
+++ b/crates/edge/src/front/flight/command.rs
@@ -10,7 +10,7 @@
 use serde_json::{json, Map, Value};
 
 use super::status::invalid_argument;
-use crate::front::query::{self, Frame};
+use crate::front::query::{self, QueryMetadata};
 
 /// The id for commands that are read without being submitted, where the client gives none.
 pub const UNUSED_ID: &str = "x";
@@ -55,7 +55,7 @@
             return Err(invalid_argument("the command is no object"));
         };
         fields.entry("id").or_insert_with(|| json!(default_id));
-        let id = fields.get("id").and_then(Value::as_str).filter(|id| query::is_id(id));
+        let id = fields.get("id").and_then(Value::as_str).filter(|id| query::is_valid_id(id));
         let id = id.ok_or_else(|| invalid_argument("id is missing or odd"))?.to_owned();
         let class = fields.get("kind").and_then(Value::as_str).and_then(|name| core.class_id(name));
         let class = class.ok_or_else(|| invalid_argument("the class is unknown"))?;
@@ -107,8 +107,9 @@
         let wait = own.into_iter().chain(remaining).min().or(default);
         let expires_in = wait.unwrap_or_else(|| core.deadline(self.class));
         let retry = self.fields.get("retry").and_then(Value::as_bool).unwrap_or(false);
-        let frame = Frame { id: self.id.as_str().into(), class: self.class, expires_in, retry };
-        query::read(frame, &Value::Object(self.fields.clone())).map_err(invalid_argument)
+        let metadata = QueryMetadata { id: self.id.as_str().into(), class: self.class, expires_in, retry };
+        query::parse(metadata, &Value::Object(self.fields.clone()))
+            .map_err(|error| invalid_argument(error.to_string()))
     }
 
     /// The command split over the endpoints that it asks for: each queries some of the parts, with their weights scaled
@@ -143,7 +144,7 @@
                 range["portion"] = json!(portion(range) / sum);
             }
             let id = format!("{}.{index}", self.id);
-            if !query::is_id(&id) {
+            if !query::is_valid_id(&id) {
                 return Err(invalid_argument("the id is too long to be split"));
             }
             let mut fields = self.fields.clone();
--- a/crates/edge/src/front/flight/methods/poll.rs
+++ b/crates/edge/src/front/flight/methods/poll.rs
@@ -155,7 +155,7 @@
     match response {
         QueryResponse::Ranked(ranked) => {
             info.total_records = ranked.rows.len() as i64;
-            info.app_metadata = query::marks(ranked).to_string().into();
+            info.app_metadata = query::ranked_summary(ranked).to_string().into();
             info.schema = answer::schema_message(&answer::ranked_schema()).unwrap_or_default();
         }
         QueryResponse::Completed { complete, values } => {
--- a/crates/edge/src/front/flight/response.rs
+++ b/crates/edge/src/front/flight/response.rs
@@ -87,7 +87,7 @@
                 Stream::new(values, Style { last, ..style })
             }
             QueryResponse::Ranked(ranked) => {
-                let last = query::marks(ranked).to_string().into();
+                let last = query::ranked_summary(ranked).to_string().into();
                 Stream::ranked(&ranked.rows, Style { last, ..style })
             }
             _ => return,
@@ -141,7 +141,7 @@
 /// The result of one row of a `DoPut`, and its size in bytes: all of the outcome stands in its metadata.
 fn put_result(mut metadata: Value, response: Option<&QueryResponse>, style: &Style) -> (OutboundItem, usize) {
     if let Some(ranked) = ranked_of(response) {
-        metadata["rows"] = query::ranked(ranked)["rows"].take();
+        metadata["rows"] = query::write_ranked(ranked)["rows"].take();
     }
     let values = values_of(response);
     if !values.is_empty() {
@@ -233,7 +233,7 @@
             json!({"status": completeness(*complete), "total": complete})
         }
         QueryResponse::Ranked(ranked) => {
-            let mut metadata = query::marks(ranked);
+            let mut metadata = query::ranked_summary(ranked);
             metadata["status"] = json!(completeness(ranked.whole));
             metadata
         }
