--- a/crates/mallowgauge/tests/wire_bytes.rs
+++ b/crates/mallowgauge/tests/wire_bytes.rs
@@ -408,6 +408,33 @@
     "#);
 }
 
+#[test]
+fn http_answers_before_the_start_is_complete_and_to_a_request_that_never_is() {
+    // Discovery pushes its lists here and says nothing: the program is not ready for as long as it waits for one.
+    let rig = Rig::start(1, |file| file["settings"]["MembershipMode"] = serde_json::json!("automatic"));
+    let mut seen = Vec::new();
+    let health = exchange(&rig, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+    seen.push(format!("== health while starting\n{}", visible(&health)));
+    let half = exchange(&rig, "POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
+    seen.push(format!("== half a request\n{}", visible(&half)));
+    assert_snapshot!(seen.join("\n"), @r#"
+    == health while starting
+    HTTP/1.1 503 Service Unavailable\r\n
+    Content-Type: text/plain\r\n
+    Content-Length: 9\r\n
+    Connection: close\r\n
+    \r\n
+    starting\n
+    == half a request
+    HTTP/1.1 408 Request Timeout\r\n
+    Content-Type: application/json\r\n
+    Content-Length: 44\r\n
+    Connection: close\r\n
+    \r\n
+    {"error":"the request did not come in time"}
+    "#);
+}
+
 #[test]
 fn calls_to_discovery() {
     let rig = Rig::start(2, |_| {});
