--- a/crates/edge/src/front/http.rs
+++ b/crates/edge/src/front/http.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Whether one more connection fits; where there is no room, others are closed in the order of [`Eviction`].
+    /// Whether one more connection fits; where there is no room, others are closed in the order of `Eviction`.
     ///
     /// At most a quarter of the places are kept for idle connections, the newest: clients that ask once and stay
     /// would else use up what the platform's proxy lets through to one instance, long before it is full here.
--- a/crates/edge/src/upstream/mod.rs
+++ b/crates/edge/src/upstream/mod.rs
@@ -1,6 +1,6 @@
 //! Connections to backends: the pool, and the two protocols that backends are spoken to in.
 //!
-//! What becomes of attempts is the same for both protocols, and stated at [`connection::BackendConnection`].
+//! What becomes of attempts is the same for both protocols, and stated at `connection::BackendConnection`.
 
 mod connection;
 pub mod flight_connection;
