--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -51,52 +51,46 @@
 }
 
 /// One class of idempotent queries.
-pub fn safe() -> Settings {
+pub fn idempotent_settings() -> Settings {
     settings(vec![class(Idempotency::Idempotent)])
 }
 
-pub fn entry(server: u32, phase: EndpointState, started: Option<Micros>) -> Endpoint {
-    Endpoint {
-        backend: BackendId(server),
-        ring_position: server,
-        state: phase,
-        started_at: started,
-        zone: None,
-    }
+pub fn endpoint(backend: u32, state: EndpointState, started: Option<Micros>) -> Endpoint {
+    Endpoint { backend: BackendId(backend), ring_position: backend, state, started_at: started, zone: None }
 }
 
-/// Servers 0 to 5, one in each cell.
-pub fn everyone() -> EndpointUpdate {
-    EndpointUpdate::Snapshot((0..6).map(|s| entry(s, EndpointState::Ready, None)).collect())
+/// Backends 0 to 5, one at each ring position.
+pub fn all_ready() -> EndpointUpdate {
+    EndpointUpdate::Snapshot((0..6).map(|s| endpoint(s, EndpointState::Ready, None)).collect())
 }
 
-/// A router with its clock. Attempts that are called off or time out end as they would in service.
+/// A router with its clock. Attempts that are cancelled or time out end as they would in service.
 pub struct Driver {
     pub router: Router,
     pub now: Micros,
     /// Attempts out: when they end by themselves, how, and when they were sent.
-    out: BTreeMap<(PartId, u32), (Micros, Outcome, Micros)>,
+    in_flight: BTreeMap<(PartId, u32), (Micros, Outcome, Micros)>,
     attempts: BTreeMap<PartId, u32>,
 }
 
 impl Driver {
     pub fn new(settings: Settings) -> Self {
-        let router = Router::new(7, settings).expect("settings are sound");
-        Self { router, now: 100 * SECOND, out: BTreeMap::new(), attempts: BTreeMap::new() }
+        let router = Router::new(7, settings).expect("valid settings");
+        Self { router, now: 100 * SECOND, in_flight: BTreeMap::new(), attempts: BTreeMap::new() }
     }
 
-    /// A driver that knows all six servers.
+    /// A driver that knows all six backends.
     pub fn ready(settings: Settings) -> Self {
         let mut driver = Self::new(settings);
-        driver.give(vec![Event::EndpointUpdate(everyone())]);
+        driver.handle(vec![Event::EndpointUpdate(all_ready())]);
         driver
     }
 
-    pub fn give(&mut self, events: Vec<Event>) -> Vec<Action> {
+    pub fn handle(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
         for event in &events {
             if let Event::AttemptCompleted { part, attempt, .. } = event {
-                self.out.remove(&(*part, *attempt));
+                self.in_flight.remove(&(*part, *attempt));
             }
         }
         self.router.handle(self.now, events, &mut actions);
@@ -105,11 +99,11 @@
                 Action::Send { part, timeout, .. } => {
                     let number = self.attempts.entry(*part).or_insert(0);
                     let end = (self.now + timeout, Outcome::TimedOut, self.now);
-                    self.out.insert((*part, *number), end);
+                    self.in_flight.insert((*part, *number), end);
                     *number += 1;
                 }
                 Action::Cancel { part, attempt } => {
-                    if let Some(end) = self.out.get_mut(&(*part, *attempt)) {
+                    if let Some(end) = self.in_flight.get_mut(&(*part, *attempt)) {
                         (end.0, end.1) = (self.now + 5 * MS, Outcome::Cancelled);
                     }
                 }
@@ -120,12 +114,12 @@
     }
 
     /// Passes time in steps of 5 ms and returns all that was done meanwhile.
-    pub fn pass(&mut self, time: Micros) -> Vec<Action> {
+    pub fn advance(&mut self, time: Micros) -> Vec<Action> {
         let mut all = Vec::new();
         let until = self.now + time;
         while self.now < until {
             self.now += 5 * MS;
-            let due = self.out.iter().filter(|(_, (at, ..))| *at <= self.now);
+            let due = self.in_flight.iter().filter(|(_, (at, ..))| *at <= self.now);
             let mut events: Vec<_> = due
                 .map(|((part, attempt), (_, outcome, sent))| Event::AttemptCompleted {
                     part: *part,
@@ -135,22 +129,22 @@
                 })
                 .collect();
             events.push(Event::TimerExpired);
-            all.extend(self.give(events));
+            all.extend(self.handle(events));
         }
         all
     }
 
     pub fn query(&mut self, query: u128, class: usize, shards: &[u32]) -> Vec<Action> {
         let now_events = arrival(query, class, shards);
-        self.give(now_events)
+        self.handle(now_events)
     }
 
-    pub fn served(&mut self, part: PartId, attempt: u32, took: Micros) -> Vec<Action> {
-        self.ended(part, attempt, Outcome::Succeeded, took)
+    pub fn succeeded(&mut self, part: PartId, attempt: u32, took: Micros) -> Vec<Action> {
+        self.completed(part, attempt, Outcome::Succeeded, took)
     }
 
-    pub fn ended(&mut self, part: PartId, attempt: u32, outcome: Outcome, took: Micros) -> Vec<Action> {
-        self.give(vec![Event::AttemptCompleted { part, attempt, outcome, took }])
+    pub fn completed(&mut self, part: PartId, attempt: u32, outcome: Outcome, took: Micros) -> Vec<Action> {
+        self.handle(vec![Event::AttemptCompleted { part, attempt, outcome, took }])
     }
 
     /// Lets queries pass that are answered at once, so that latencies are known to be short.
@@ -160,7 +154,7 @@
             let sent = sends(&self.query(id, class, &[(i % 6) as u32]));
             self.now += 50 * MS;
             for (part, _) in sent {
-                self.served(part, 0, 50 * MS);
+                self.succeeded(part, 0, 50 * MS);
             }
         }
     }
@@ -195,13 +189,13 @@
     actions
         .iter()
         .filter_map(|a| match a {
-            Action::Send { part, backend: server, .. } => Some((*part, *server)),
+            Action::Send { part, backend, .. } => Some((*part, *backend)),
             _ => None,
         })
         .collect()
 }
 
-pub fn finals(actions: &[Action]) -> Vec<&Action> {
+pub fn final_actions(actions: &[Action]) -> Vec<&Action> {
     let is_final =
         |a: &&Action| matches!(a, Action::Respond { .. } | Action::Reject { .. } | Action::Fail { .. });
     actions.iter().filter(is_final).collect()
--- a/crates/router/tests/endpoints.rs
+++ b/crates/router/tests/endpoints.rs
@@ -6,55 +6,62 @@
 use mallowgauge_router::*;
 
 #[test]
-fn drained_and_gone_servers_get_nothing() {
-    let mut d = Driver::ready(safe());
-    let gone = [entry(0, EndpointState::Draining, None), entry(1, EndpointState::Removed, None)];
-    d.give(vec![Event::EndpointUpdate(EndpointUpdate::Delta(gone.to_vec()))]);
+fn draining_and_removed_backends_get_nothing() {
+    let mut driver = Driver::ready(idempotent_settings());
+    let removed = [endpoint(0, EndpointState::Draining, None), endpoint(1, EndpointState::Removed, None)];
+    driver.handle(vec![Event::EndpointUpdate(EndpointUpdate::Delta(removed.to_vec()))]);
     for i in 0..50 {
-        let to = sends(&d.query(i, 0, &[5, 1, 0]));
+        let to = sends(&driver.query(i, 0, &[5, 1, 0]));
         assert!(to.iter().all(|(_, s)| s.0 > 1), "{to:?}");
     }
-    // A server that a whole list leaves out is gone as well.
-    d.give(vec![Event::EndpointUpdate(EndpointUpdate::Snapshot(vec![entry(2, EndpointState::Ready, None)]))]);
-    assert!(sends(&d.query(99, 0, &[3, 4])).is_empty());
+    // A backend that a whole list leaves out is gone as well.
+    driver.handle(vec![Event::EndpointUpdate(EndpointUpdate::Snapshot(vec![endpoint(
+        2,
+        EndpointState::Ready,
+        None,
+    )]))]);
+    assert!(sends(&driver.query(99, 0, &[3, 4])).is_empty());
 }
 
 #[test]
-fn where_the_list_must_be_asked_for_a_failure_is_retried() {
-    let mut s = safe();
+fn where_updates_are_polled_a_failed_watch_is_repeated() {
+    let mut s = idempotent_settings();
     s.discovery = Discovery::Poll;
-    let mut d = Driver::new(s);
-    let first = d.give(vec![Event::EndpointUpdate(EndpointUpdate::CachedSnapshot(vec![entry(
+    let mut driver = Driver::new(s);
+    let first = driver.handle(vec![Event::EndpointUpdate(EndpointUpdate::CachedSnapshot(vec![endpoint(
         0,
         EndpointState::Ready,
         None,
     )]))]);
     assert!(first.contains(&Action::WatchEndpoints));
-    assert!(!d.pass(5 * SECOND).contains(&Action::WatchEndpoints), "one ask is out already");
-    d.give(vec![Event::EndpointUpdate(EndpointUpdate::Failed)]);
-    assert!(d.pass(2 * SECOND).contains(&Action::WatchEndpoints));
-    d.give(vec![Event::EndpointUpdate(everyone())]);
-    assert!(!d.pass(20 * SECOND).contains(&Action::WatchEndpoints));
+    assert!(!driver.advance(5 * SECOND).contains(&Action::WatchEndpoints), "one is under way already");
+    driver.handle(vec![Event::EndpointUpdate(EndpointUpdate::Failed)]);
+    assert!(driver.advance(2 * SECOND).contains(&Action::WatchEndpoints));
+    driver.handle(vec![Event::EndpointUpdate(all_ready())]);
+    assert!(!driver.advance(20 * SECOND).contains(&Action::WatchEndpoints));
 }
 
-// Guards the memory of a long day on which servers are replaced all the time: what is gone is forgotten,
+// Guards the memory of a long day on which backends are replaced all the time: what is gone is forgotten,
 // once nothing is out there.
 #[test]
-fn servers_that_are_gone_are_forgotten() {
-    let mut d = Driver::ready(safe());
-    let (part, server) = sends(&d.query(1, 0, &[0]))[0];
-    let gone = |id: BackendId| Endpoint { backend: id, ..entry(0, EndpointState::Removed, None) };
+fn removed_backends_are_forgotten() {
+    let mut driver = Driver::ready(idempotent_settings());
+    let (part, backend) = sends(&driver.query(1, 0, &[0]))[0];
+    let removed = |id: BackendId| Endpoint { backend: id, ..endpoint(0, EndpointState::Removed, None) };
     for fresh in 6..100 {
-        let known: Vec<BackendId> = d.router.backends().map(|s| s.backend).collect();
-        let list =
-            known.iter().map(|id| gone(*id)).chain([entry(fresh, EndpointState::Ready, None)]).collect();
-        d.give(vec![Event::EndpointUpdate(EndpointUpdate::Delta(list))]);
-        d.now += 10 * MS;
+        let known: Vec<BackendId> = driver.router.backends().map(|s| s.backend).collect();
+        let list = known
+            .iter()
+            .map(|id| removed(*id))
+            .chain([endpoint(fresh, EndpointState::Ready, None)])
+            .collect();
+        driver.handle(vec![Event::EndpointUpdate(EndpointUpdate::Delta(list))]);
+        driver.now += 10 * MS;
     }
-    let known = |d: &Driver| d.router.backends().map(|s| s.backend).collect::<Vec<_>>();
-    assert_eq!(known(&d), [server, BackendId(99)], "a part is out on the first");
-    d.served(part, 0, SECOND);
-    d.pass(3 * SECOND);
-    d.give(vec![Event::EndpointUpdate(EndpointUpdate::Delta(Vec::new()))]);
-    assert_eq!(known(&d), [BackendId(99)]);
+    let known = |driver: &Driver| driver.router.backends().map(|s| s.backend).collect::<Vec<_>>();
+    assert_eq!(known(&driver), [backend, BackendId(99)], "a part is out on the first");
+    driver.succeeded(part, 0, SECOND);
+    driver.advance(3 * SECOND);
+    driver.handle(vec![Event::EndpointUpdate(EndpointUpdate::Delta(Vec::new()))]);
+    assert_eq!(known(&driver), [BackendId(99)]);
 }
--- a/crates/router/tests/outlier.rs
+++ b/crates/router/tests/outlier.rs
@@ -7,139 +7,140 @@
 use mallowgauge_router::*;
 
 #[test]
-fn a_server_that_fails_fast_is_passed_over_and_comes_back_by_a_trial() {
-    let mut d = Driver::ready(safe());
-    d.warm_up(0, 30);
-    let (part, sick) = sends(&d.query(1, 0, &[0]))[0];
-    assert_eq!(sends(&d.ended(part, 0, Outcome::BackendError, 2 * MS)).len(), 1);
-    d.served(part, 1, 50 * MS);
-    let suspect = |d: &Driver| d.router.backends().any(|s| s.backend == sick && s.ejected);
-    assert!(suspect(&d));
+fn a_backend_that_fails_fast_is_ejected_and_recovers_by_one_attempt() {
+    let mut driver = Driver::ready(idempotent_settings());
+    driver.warm_up(0, 30);
+    let (part, failing) = sends(&driver.query(1, 0, &[0]))[0];
+    assert_eq!(sends(&driver.completed(part, 0, Outcome::BackendError, 2 * MS)).len(), 1);
+    driver.succeeded(part, 1, 50 * MS);
+    let is_ejected = |driver: &Driver| driver.router.backends().any(|s| s.backend == failing && s.ejected);
+    assert!(is_ejected(&driver));
     for i in 10..20 {
-        let sent = sends(&d.query(i, 0, &[0]));
-        assert!(sent.iter().all(|(_, s)| *s != sick));
-        d.served(sent[0].0, 0, 50 * MS);
+        let sent = sends(&driver.query(i, 0, &[0]));
+        assert!(sent.iter().all(|(_, s)| *s != failing));
+        driver.succeeded(sent[0].0, 0, 50 * MS);
     }
-    let probes = d.pass(1_500 * MS);
-    assert!(probes.contains(&Action::HealthCheck(sick)));
-    d.give(vec![Event::HealthCheckCompleted { backend: sick, passed: true }]);
-    let all: Vec<_> = (20..30).flat_map(|i| sends(&d.query(i, 0, &[0]))).collect();
-    let trials: Vec<_> = all.into_iter().filter(|(_, s)| *s == sick).collect();
-    assert_eq!(trials.len(), 1, "one part is the trial");
-    d.served(trials[0].0, 0, 50 * MS);
-    assert!(!suspect(&d));
+    let health_checks = driver.advance(1_500 * MS);
+    assert!(health_checks.contains(&Action::HealthCheck(failing)));
+    driver.handle(vec![Event::HealthCheckCompleted { backend: failing, passed: true }]);
+    let all: Vec<_> = (20..30).flat_map(|i| sends(&driver.query(i, 0, &[0]))).collect();
+    let recovery_attempts: Vec<_> = all.into_iter().filter(|(_, s)| *s == failing).collect();
+    assert_eq!(recovery_attempts.len(), 1, "one part is the recovery attempt");
+    driver.succeeded(recovery_attempts[0].0, 0, 50 * MS);
+    assert!(!is_ejected(&driver));
 }
 
 #[test]
-fn with_every_replica_suspect_a_part_is_still_sent() {
-    let mut d = Driver::ready(safe());
+fn with_every_replica_ejected_a_part_is_still_sent() {
+    let mut driver = Driver::ready(idempotent_settings());
     for i in 0..6 {
-        for (part, _) in sends(&d.query(i, 0, &[0])) {
-            d.ended(part, 0, Outcome::BackendError, 2 * MS);
+        for (part, _) in sends(&driver.query(i, 0, &[0])) {
+            driver.completed(part, 0, Outcome::BackendError, 2 * MS);
         }
     }
-    assert_eq!(d.router.backends().filter(|s| s.ejected).count(), 2);
-    d.pass(8 * SECOND);
-    assert_eq!(sends(&d.query(50, 0, &[0])).len(), 1);
+    assert_eq!(driver.router.backends().filter(|s| s.ejected).count(), 2);
+    driver.advance(8 * SECOND);
+    assert_eq!(sends(&driver.query(50, 0, &[0])).len(), 1);
 }
 
-/// Guards against fewest-out feeding the server that fails fastest when both holders are suspect.
+/// Guards against the fewest parts in flight feeding the backend that fails fastest when both replicas are ejected.
 #[test]
-fn among_suspects_the_one_that_always_fails_is_not_preferred() {
-    let mut s = safe();
+fn among_ejected_backends_the_one_that_always_fails_is_not_preferred() {
+    let mut s = idempotent_settings();
     s.limits.max_attempts = 1;
-    let mut d = Driver::ready(s);
-    d.warm_up(0, 30);
-    // Server 0 fails whatever it gets; server 1 fails once and then answers.
-    let mut to_sick = 0;
+    let mut driver = Driver::ready(s);
+    driver.warm_up(0, 30);
+    // Backend 0 fails whatever it gets; backend 1 fails once and then answers.
+    let mut to_failing = 0;
     for i in 0..40 {
-        for (part, to) in sends(&d.query(i, 0, &[0])) {
+        for (part, to) in sends(&driver.query(i, 0, &[0])) {
             let outcome = if to.0 == 0 || i < 2 { Outcome::BackendError } else { Outcome::Succeeded };
-            to_sick += u32::from(to.0 == 0);
-            d.now += 5 * MS;
-            d.ended(part, 0, outcome, 20 * MS);
+            to_failing += u32::from(to.0 == 0);
+            driver.now += 5 * MS;
+            driver.completed(part, 0, outcome, 20 * MS);
         }
     }
-    assert!((1..=6).contains(&to_sick), "{to_sick}");
+    assert!((1..=6).contains(&to_failing), "{to_failing}");
 }
 
-/// A router that meets few queries and has not been told of much: one in five seconds.
-fn sparse() -> Driver {
-    let mut s = safe();
+/// A router that meets few queries and has heard little: one in five seconds.
+fn driver_with_little_traffic() -> Driver {
+    let mut s = idempotent_settings();
     s.routers = 60;
-    let mut d = Driver::ready(s);
-    d.warm_up(0, 12);
-    d
+    let mut driver = Driver::ready(s);
+    driver.warm_up(0, 12);
+    driver
 }
 
 /// Found at full size: with seconds between two answers the median had faded, and all stood out.
 #[test]
-fn servers_that_are_slow_alike_are_not_doubted_however_few_the_queries() {
-    let mut d = sparse();
+fn backends_that_are_slow_alike_are_not_ejected_however_few_the_queries() {
+    let mut driver = driver_with_little_traffic();
     for i in 0..8 {
-        let sent = sends(&d.query(100 + i, 0, &[0, 1, 2, 3, 4, 5]));
-        d.pass(900 * MS);
+        let sent = sends(&driver.query(100 + i, 0, &[0, 1, 2, 3, 4, 5]));
+        driver.advance(900 * MS);
         for (part, _) in sent {
-            d.served(part, 0, 900 * MS);
+            driver.succeeded(part, 0, 900 * MS);
         }
-        d.pass(4_100 * MS);
-        assert!(!d.router.backends().any(|s| s.ejected), "query {i}");
+        driver.advance(4_100 * MS);
+        assert!(!driver.router.backends().any(|s| s.ejected), "query {i}");
     }
 }
 
 /// The other side of it: one that hangs is found out by the answers of its query's other parts.
 #[test]
-fn a_server_that_hangs_is_doubted_however_few_the_queries() {
-    let mut d = sparse();
+fn a_backend_that_hangs_is_ejected_however_few_the_queries() {
+    let mut driver = driver_with_little_traffic();
     for i in 0..6 {
-        let sent = sends(&d.query(100 + i, 0, &[0, 1, 2, 3, 4, 5]));
-        d.pass(50 * MS);
+        let sent = sends(&driver.query(100 + i, 0, &[0, 1, 2, 3, 4, 5]));
+        driver.advance(50 * MS);
         for (part, to) in sent {
             if to.0 != 2 {
-                d.served(part, 0, 50 * MS);
+                driver.succeeded(part, 0, 50 * MS);
             }
         }
-        d.pass(5 * SECOND);
+        driver.advance(5 * SECOND);
     }
-    let suspects: Vec<_> = d.router.backends().filter(|s| s.ejected).map(|s| s.backend.0).collect();
-    assert_eq!(suspects, [2]);
+    let ejected: Vec<_> = driver.router.backends().filter(|s| s.ejected).map(|s| s.backend.0).collect();
+    assert_eq!(ejected, [2]);
 }
 
-// Guards against doubting sound hosts on days on which each breaks a connection now and then: at one time
+// Guards against ejecting healthy backends on days on which each breaks a connection now and then: at one time
 // half of them were passed over and the rest had to carry their load. A connection that breaks under many
-// parts is one sign, one sign is no proof, and a host that goes on failing is found all the same.
+// parts is one failure, one failure is no proof, and a backend that goes on failing is found all the same.
 #[test]
-fn a_broken_connection_now_and_then_makes_no_suspect() {
-    let mut d = Driver::ready(safe());
-    d.warm_up(0, 30);
-    let suspects = |d: &Driver| d.router.backends().filter(|s| s.ejected).count();
+fn a_broken_connection_now_and_then_ejects_nothing() {
+    let mut driver = Driver::ready(idempotent_settings());
+    driver.warm_up(0, 30);
+    let ejected = |driver: &Driver| driver.router.backends().filter(|s| s.ejected).count();
     let mut query = 0;
-    let mut run = |d: &mut Driver, cut: bool| {
-        let sent: Vec<_> = (0..4).flat_map(|_| (query += 1, sends(&d.query(query, 0, &[0]))).1).collect();
+    let mut run = |driver: &mut Driver, cut: bool| {
+        let sent: Vec<_> =
+            (0..4).flat_map(|_| (query += 1, sends(&driver.query(query, 0, &[0]))).1).collect();
         let first = sent[0].1;
         let end = |&(part, to): &(PartId, BackendId)| {
             let outcome = if cut && to == first { Outcome::ConnectionLost } else { Outcome::Succeeded };
             Event::AttemptCompleted { part, attempt: 0, outcome, took: 50 * MS }
         };
-        d.now += 50 * MS;
-        let again = sends(&d.give(sent.iter().map(end).collect()));
-        d.now += 50 * MS;
-        again.iter().for_each(|(part, _)| _ = d.served(*part, 1, 50 * MS));
-        d.pass(50 * MS);
+        driver.now += 50 * MS;
+        let again = sends(&driver.handle(sent.iter().map(end).collect()));
+        driver.now += 50 * MS;
+        again.iter().for_each(|(part, _)| _ = driver.succeeded(*part, 1, 50 * MS));
+        driver.advance(50 * MS);
     };
     for _ in 0..10 {
-        run(&mut d, true);
-        assert_eq!(suspects(&d), 0);
-        (0..20).for_each(|_| run(&mut d, false));
+        run(&mut driver, true);
+        assert_eq!(ejected(&driver), 0);
+        (0..20).for_each(|_| run(&mut driver, false));
     }
-    (0..3).for_each(|_| run(&mut d, true));
-    assert!(suspects(&d) > 0);
+    (0..3).for_each(|_| run(&mut driver, true));
+    assert!(ejected(&driver) > 0);
 }
 
 // ---- the rule by itself ----
 
 fn detector(health_checks: bool) -> OutlierDetector {
-    let mut s = safe();
+    let mut s = idempotent_settings();
     s.limits.health_checks = health_checks;
     OutlierDetector::new(&s)
 }
--- a/crates/router/tests/retry.rs
+++ b/crates/router/tests/retry.rs
@@ -8,196 +8,196 @@
 use mallowgauge_router::*;
 
 /// A warmed-up router that may have only one attempt of a part out.
-fn one_copy() -> Driver {
-    let mut s = safe();
+fn driver_without_hedging() -> Driver {
+    let mut s = idempotent_settings();
     s.limits.hedging = false;
-    let mut d = Driver::ready(s);
-    d.warm_up(0, 40);
-    d
+    let mut driver = Driver::ready(s);
+    driver.warm_up(0, 40);
+    driver
 }
 
 #[test]
-fn an_unsafe_part_is_repeated_only_if_it_never_ran() {
+fn a_non_idempotent_part_is_retried_only_if_it_never_ran() {
     for (outcome, again) in
         [(Outcome::ConnectFailed, true), (Outcome::Rejected, true), (Outcome::BackendError, false)]
     {
-        let mut d = Driver::ready(settings(vec![class(Idempotency::NonIdempotent)]));
-        let (part, _) = sends(&d.query(1, 0, &[0]))[0];
-        let actions = d.ended(part, 0, outcome, 5 * MS);
+        let mut driver = Driver::ready(settings(vec![class(Idempotency::NonIdempotent)]));
+        let (part, _) = sends(&driver.query(1, 0, &[0]))[0];
+        let actions = driver.completed(part, 0, outcome, 5 * MS);
         assert_eq!(!sends(&actions).is_empty(), again, "{outcome:?}");
         if !again {
             // It may have run: no promise is given.
-            assert_eq!(finals(&actions), [&Action::Fail { query: QueryId(1) }]);
+            assert_eq!(final_actions(&actions), [&Action::Fail { query: QueryId(1) }]);
         }
     }
 }
 
 #[test]
-fn a_keyed_part_is_repeated_only_inside_its_window() {
+fn a_keyed_part_is_retried_only_inside_its_dedup_window() {
     for (wait, again) in [(100 * MS, true), (1_200 * MS, false)] {
-        let mut d = Driver::ready(settings(vec![class(Idempotency::Keyed { dedup_window: SECOND })]));
-        let (part, _) = sends(&d.query(1, 0, &[0]))[0];
-        d.now += wait;
-        let actions = d.ended(part, 0, Outcome::BackendError, wait);
+        let mut driver = Driver::ready(settings(vec![class(Idempotency::Keyed { dedup_window: SECOND })]));
+        let (part, _) = sends(&driver.query(1, 0, &[0]))[0];
+        driver.now += wait;
+        let actions = driver.completed(part, 0, Outcome::BackendError, wait);
         assert_eq!(!sends(&actions).is_empty(), again, "after {wait}");
     }
 }
 
 #[test]
-fn without_second_copies_a_part_has_one_attempt_out() {
-    let mut d = one_copy();
-    let (part, _) = sends(&d.query(1, 0, &[0]))[0];
+fn without_hedging_a_part_has_one_attempt_in_flight() {
+    let mut driver = driver_without_hedging();
+    let (part, _) = sends(&driver.query(1, 0, &[0]))[0];
     let mut actions = Vec::new();
-    // The others go on answering, so that the silent server stands out.
+    // The others go on answering, so that the silent backend stands out.
     for i in 0..20 {
-        for (other, _) in sends(&d.query(10 + i, 0, &[3])) {
-            d.now += 50 * MS;
-            actions.extend(d.served(other, 0, 50 * MS));
+        for (other, _) in sends(&driver.query(10 + i, 0, &[3])) {
+            driver.now += 50 * MS;
+            actions.extend(driver.succeeded(other, 0, 50 * MS));
         }
     }
     assert!(sends(&actions).iter().all(|(p, _)| *p != part));
 }
 
 #[test]
-fn further_attempts_stay_within_the_budget() {
-    let mut s = safe();
+fn retries_stay_within_the_budget() {
+    let mut s = idempotent_settings();
     s.rules.retry_budget =
         Some(RetryBudgetSettings { min_retries: 2.0, retry_ratio: 0.1, window: 5 * SECOND });
-    let mut d = Driver::ready(s);
-    let mut extra = 0;
+    let mut driver = Driver::ready(s);
+    let mut retries = 0;
     for i in 0..30 {
-        for (part, _) in sends(&d.query(i, 0, &[0])) {
-            extra += sends(&d.ended(part, 0, Outcome::BackendError, 5 * MS)).len();
+        for (part, _) in sends(&driver.query(i, 0, &[0])) {
+            retries += sends(&driver.completed(part, 0, Outcome::BackendError, 5 * MS)).len();
         }
     }
     // 30 queries of one part are 60 taken: 2 + 6.
-    assert!((2..=8).contains(&extra), "{extra}");
+    assert!((2..=8).contains(&retries), "{retries}");
 }
 
-/// Guards against a silent server that nobody judges because its peers were slow at the time.
+/// Guards against a silent backend that nobody judges because its peers were slow at the time.
 #[test]
-fn a_stuck_part_is_looked_at_again_once_the_others_answer() {
-    let mut d = Driver::ready(safe());
-    d.warm_up(0, 30);
-    let (stuck, server) = sends(&d.query(1, 0, &[0]))[0];
+fn a_stuck_attempt_is_hedged_once_the_others_answer() {
+    let mut driver = Driver::ready(idempotent_settings());
+    driver.warm_up(0, 30);
+    let (stuck, backend) = sends(&driver.query(1, 0, &[0]))[0];
     // Everyone is as slow for a while ...
-    let slow: Vec<_> = (0..10).flat_map(|i| sends(&d.query(10 + i, 0, &[1, 2, 3, 4]))).collect();
-    d.pass(400 * MS);
-    assert!(!d.router.backends().any(|s| s.ejected));
+    let slow: Vec<_> = (0..10).flat_map(|i| sends(&driver.query(10 + i, 0, &[1, 2, 3, 4]))).collect();
+    driver.advance(400 * MS);
+    assert!(!driver.router.backends().any(|s| s.ejected));
     // ... then the others answer and go on quickly.
     for (part, to) in slow {
-        if to != server {
-            d.served(part, 0, 400 * MS);
+        if to != backend {
+            driver.succeeded(part, 0, 400 * MS);
         }
     }
-    let mut copies = Vec::new();
+    let mut hedges = Vec::new();
     for i in 0..30 {
-        for (part, to) in sends(&d.query(100 + i, 0, &[2, 3, 4])) {
-            if to != server {
-                d.served(part, 0, 50 * MS);
+        for (part, to) in sends(&driver.query(100 + i, 0, &[2, 3, 4])) {
+            if to != backend {
+                driver.succeeded(part, 0, 50 * MS);
             }
         }
-        copies.extend(sends(&d.pass(50 * MS)));
+        hedges.extend(sends(&driver.advance(50 * MS)));
     }
-    assert!(copies.iter().any(|(part, to)| *part == stuck && *to != server), "{copies:?}");
+    assert!(hedges.iter().any(|(part, to)| *part == stuck && *to != backend), "{hedges:?}");
 }
 
-/// Guards against moving a part off a server that is slow but works: its work would be done twice.
+/// Guards against moving a part off a backend that is slow but works: its work would be done twice.
 #[test]
-fn without_second_copies_only_a_silent_server_loses_its_part() {
+fn without_hedging_only_a_silent_backend_loses_its_part() {
     for silent in [true, false] {
-        let mut d = one_copy();
-        let (_, server) = sends(&d.query(1, 0, &[0]))[0];
+        let mut driver = driver_without_hedging();
+        let (_, backend) = sends(&driver.query(1, 0, &[0]))[0];
         let (mut here, there): (Vec<_>, Vec<_>) =
-            (2..60).flat_map(|i| sends(&d.query(i, 0, &[0]))).partition(|(_, to)| *to == server);
-        there.iter().for_each(|(part, _)| drop(d.served(*part, 0, 50 * MS)));
+            (2..60).flat_map(|i| sends(&driver.query(i, 0, &[0]))).partition(|(_, to)| *to == backend);
+        there.iter().for_each(|(part, _)| drop(driver.succeeded(*part, 0, 50 * MS)));
         let mut cancels = Vec::new();
         for i in 0..25 {
             if let Some((part, _)) = here.pop().filter(|_| !silent) {
-                d.served(part, 0, 300 * MS);
+                driver.succeeded(part, 0, 300 * MS);
             }
-            for (part, _) in sends(&d.query(100 + i, 0, &[3, 4])) {
-                d.served(part, 0, 50 * MS);
+            for (part, _) in sends(&driver.query(100 + i, 0, &[3, 4])) {
+                driver.succeeded(part, 0, 50 * MS);
             }
-            cancels.extend(d.pass(40 * MS));
+            cancels.extend(driver.advance(40 * MS));
         }
         let moved = cancels.iter().any(|a| matches!(a, Action::Cancel { .. }));
         assert_eq!(moved, silent);
     }
 }
 
-/// Guards against one part alone on a silent server that makes one sign and is then forgotten.
+/// Guards against one part alone on a silent backend that makes one failure and is then forgotten.
 #[test]
-fn one_part_alone_on_a_silent_server_is_moved() {
-    let mut d = one_copy();
-    let (stuck, server) = sends(&d.query(1, 0, &[0]))[0];
+fn a_single_part_at_a_silent_backend_is_moved() {
+    let mut driver = driver_without_hedging();
+    let (stuck, backend) = sends(&driver.query(1, 0, &[0]))[0];
     let mut moved = Vec::new();
     for i in 0..20 {
-        for (part, _) in sends(&d.query(100 + i, 0, &[3])) {
-            d.served(part, 0, 50 * MS);
+        for (part, _) in sends(&driver.query(100 + i, 0, &[3])) {
+            driver.succeeded(part, 0, 50 * MS);
         }
-        moved.extend(sends(&d.pass(50 * MS)));
+        moved.extend(sends(&driver.advance(50 * MS)));
     }
-    assert!(moved.iter().any(|(part, to)| *part == stuck && *to != server), "{moved:?}");
+    assert!(moved.iter().any(|(part, to)| *part == stuck && *to != backend), "{moved:?}");
 }
 
-/// Guards against copies that take the capacity which shedding has just made room for.
+/// Guards against hedges that take the capacity which shedding has just made room for.
 #[test]
-fn no_copies_go_out_while_the_class_is_shed() {
+fn nothing_is_hedged_while_the_class_sheds_load() {
     for shed in [false, true] {
-        let mut d =
+        let mut driver =
             Driver::ready(settings(vec![class(Idempotency::Idempotent), class(Idempotency::Idempotent)]));
-        d.warm_up(0, 30);
-        d.warm_up(1, 30);
+        driver.warm_up(0, 30);
+        driver.warm_up(1, 30);
         if shed {
-            // Everything of class 0 misses on servers that all look alike.
+            // Everything of class 0 misses on backends that all look alike.
             for i in 0..30 {
-                d.query(5_000 + i, 0, &[0, 1, 2, 3, 4, 5]);
-                d.pass(100 * MS);
+                driver.query(5_000 + i, 0, &[0, 1, 2, 3, 4, 5]);
+                driver.advance(100 * MS);
             }
-            d.pass(6 * SECOND);
+            driver.advance(6 * SECOND);
         }
-        let rate = d.router.drop_rate(ClassId(0)).unwrap_or(f64::NAN);
+        let rate = driver.router.drop_rate(ClassId(0)).unwrap_or(f64::NAN);
         assert_eq!(rate > 0.3, shed, "{rate}");
-        let mut copies = Vec::new();
+        let mut hedges = Vec::new();
         let mut stuck = Vec::new();
         for i in 0..20 {
-            for (part, _) in sends(&d.query(100 + i, 0, &[0])) {
+            for (part, _) in sends(&driver.query(100 + i, 0, &[0])) {
                 stuck.push(part); // Never answered.
             }
-            for (part, _) in sends(&d.query(200 + i, 1, &[3])) {
-                d.served(part, 0, 50 * MS);
+            for (part, _) in sends(&driver.query(200 + i, 1, &[3])) {
+                driver.succeeded(part, 0, 50 * MS);
             }
-            copies.extend(sends(&d.pass(50 * MS)));
+            hedges.extend(sends(&driver.advance(50 * MS)));
         }
         assert!(!stuck.is_empty());
-        assert_eq!(copies.is_empty(), shed, "{copies:?}");
+        assert_eq!(hedges.is_empty(), shed, "{hedges:?}");
     }
 }
 
-/// Found on a day with queries that kill: each further attempt took one more server down.
+/// Found on a day with queries that kill: each retry took one more backend down.
 #[test]
-fn a_query_with_which_two_servers_fell_goes_no_further() {
-    let mut d = Driver::ready(safe());
-    let sent = sends(&d.query(1, 0, &[0, 3]));
-    let first = d.ended(sent[0].0, 0, Outcome::ConnectionLost, 20 * MS);
+fn a_query_with_which_two_backends_fell_is_not_retried() {
+    let mut driver = Driver::ready(idempotent_settings());
+    let sent = sends(&driver.query(1, 0, &[0, 3]));
+    let first = driver.completed(sent[0].0, 0, Outcome::ConnectionLost, 20 * MS);
     assert_eq!(sends(&first).len(), 1, "one fall may be chance");
-    let second = d.ended(sent[1].0, 0, Outcome::ConnectionLost, 20 * MS);
+    let second = driver.completed(sent[1].0, 0, Outcome::ConnectionLost, 20 * MS);
     assert!(sends(&second).is_empty());
-    assert!(matches!(finals(&second)[..], [Action::Reject { .. }]));
+    assert!(matches!(final_actions(&second)[..], [Action::Reject { .. }]));
     // A query some part of which was answered did not kill.
-    let sent = sends(&d.query(2, 0, &[1, 2, 4]));
-    d.served(sent[0].0, 0, 50 * MS);
-    d.ended(sent[1].0, 0, Outcome::ConnectionLost, 20 * MS);
-    assert_eq!(sends(&d.ended(sent[2].0, 0, Outcome::ConnectionLost, 20 * MS)).len(), 1);
+    let sent = sends(&driver.query(2, 0, &[1, 2, 4]));
+    driver.succeeded(sent[0].0, 0, 50 * MS);
+    driver.completed(sent[1].0, 0, Outcome::ConnectionLost, 20 * MS);
+    assert_eq!(sends(&driver.completed(sent[2].0, 0, Outcome::ConnectionLost, 20 * MS)).len(), 1);
 }
 
-/// Found at the whole fleet's size: a search of thirty parts met three full servers, and some of its parts
-/// waited for the budget of further attempts until the aim had passed, though nothing had run twice.
+/// Found at the whole fleet's size: a search of thirty parts met three full backends, and some of its parts
+/// waited for the budget of retries until the objective had passed, though nothing had run twice.
 #[test]
-fn parts_that_were_only_turned_away_all_go_elsewhere_while_nothing_is_shed() {
-    let mut d = Driver::ready(safe());
-    let sent = sends(&d.query(1, 0, &(0..12).collect::<Vec<_>>()));
+fn parts_that_were_only_rejected_are_all_retried_while_no_load_is_shed() {
+    let mut driver = Driver::ready(idempotent_settings());
+    let sent = sends(&driver.query(1, 0, &(0..12).collect::<Vec<_>>()));
     assert_eq!(sent.len(), 12);
     let away = |outcome| {
         move |(part, _): &(PartId, BackendId)| Event::AttemptCompleted {
@@ -207,12 +207,12 @@
             took: MS,
         }
     };
-    let again = d.give(sent.iter().map(away(Outcome::Rejected)).collect());
+    let again = driver.handle(sent.iter().map(away(Outcome::Rejected)).collect());
     assert_eq!(sends(&again).len(), 12);
     // What may have run draws on it: four, and a tenth of what was taken.
-    let mut d = Driver::ready(safe());
-    let sent = sends(&d.query(1, 0, &(0..12).collect::<Vec<_>>()));
-    let again = d.give(sent.iter().map(away(Outcome::BackendError)).collect());
+    let mut driver = Driver::ready(idempotent_settings());
+    let sent = sends(&driver.query(1, 0, &(0..12).collect::<Vec<_>>()));
+    let again = driver.handle(sent.iter().map(away(Outcome::BackendError)).collect());
     assert!((4..=6).contains(&sends(&again).len()), "{}", sends(&again).len());
 }
 
@@ -224,7 +224,7 @@
 
 #[test]
 fn only_what_cannot_take_effect_twice_is_repeated() {
-    let policy = RetryPolicy::new(&safe().limits);
+    let policy = RetryPolicy::new(&idempotent_settings().limits);
     let keyed = Idempotency::Keyed { dedup_window: SECOND };
     let cases = [
         (Idempotency::Idempotent, Some(5), Micros::MAX),
@@ -244,7 +244,7 @@
 #[test]
 fn attempts_are_limited_in_all_and_at_once() {
     for hedging in [true, false] {
-        let policy = RetryPolicy::new(&DeploymentLimits { hedging, ..safe().limits });
+        let policy = RetryPolicy::new(&DeploymentLimits { hedging, ..idempotent_settings().limits });
         let part = history(Idempotency::Idempotent, Some(0));
         assert!(policy.may_repeat(1, &PartHistory { attempts: 3, ..part }, false));
         assert!(!policy.may_repeat(1, &PartHistory { attempts: 4, ..part }, false), "four are allowed");
@@ -282,7 +282,7 @@
 
 #[test]
 fn an_attempt_is_overdue_beside_later_answers_only() {
-    let mut answers = RecentAnswers::new(&safe().classes);
+    let mut answers = RecentAnswers::new(&idempotent_settings().classes);
     assert_eq!(
         answers.overdue_after(),
         900 * MS,
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -7,18 +7,18 @@
 use mallowgauge_router::*;
 
 #[test]
-fn settings_that_make_no_sense_are_rejected_with_the_field() {
-    type Spoil = fn(&mut Settings);
-    let cases: [(&str, Spoil); 5] = [
+fn invalid_settings_are_rejected_with_the_field() {
+    type MakeInvalid = fn(&mut Settings);
+    let cases: [(&str, MakeInvalid); 5] = [
         ("classes", |s| s.classes.clear()),
         ("layout.cells", |s| s.layout.ring_positions = 0),
         ("classes[0].floor", |s| s.classes[0].minimum_completeness = 1.5),
         ("rules.cold_from", |s| s.rules.initial_capacity = -0.1),
         ("routers", |s| s.routers = 0),
     ];
-    for (field, spoil) in cases {
-        let mut s = safe();
-        spoil(&mut s);
+    for (field, make_invalid) in cases {
+        let mut s = idempotent_settings();
+        make_invalid(&mut s);
         assert_eq!(Router::new(1, s).expect_err(field).field.to_string(), field);
     }
 }
@@ -54,7 +54,7 @@
         }),
     ];
     for (text, make_invalid) in cases {
-        let mut s = safe();
+        let mut s = idempotent_settings();
         make_invalid(&mut s);
         assert_eq!(Router::new(1, s).expect_err(text).to_string(), text);
     }
--- a/crates/router/tests/slow_start.rs
+++ b/crates/router/tests/slow_start.rs
@@ -8,65 +8,67 @@
 use mallowgauge_router::*;
 
 #[test]
-fn a_cold_server_gets_no_more_than_its_share_of_the_budget() {
-    let mut d = Driver::new(safe());
-    let started = d.now;
-    d.give(vec![Event::EndpointUpdate(EndpointUpdate::Snapshot(vec![entry(
+fn a_warming_backend_gets_no_more_than_the_routers_quota() {
+    let mut driver = Driver::new(idempotent_settings());
+    let started = driver.now;
+    driver.handle(vec![Event::EndpointUpdate(EndpointUpdate::Snapshot(vec![endpoint(
         0,
         EndpointState::Ready,
         Some(started),
     )]))]);
     let mut sent = 0;
     for i in 0..100 {
-        sent += sends(&d.query(i, 0, &[0])).len();
+        sent += sends(&driver.query(i, 0, &[0])).len();
     }
     // A part is first taken to need 0.3 s; two routers may send 3 x 0.2 x 2 s = 1.2 s between them.
     assert!((1..=2).contains(&sent), "{sent}");
-    let mut warm = Driver::ready(safe());
+    let mut warm = Driver::ready(idempotent_settings());
     let all: usize = (0..20).map(|i| sends(&warm.query(i, 0, &[0])).len()).sum();
     assert_eq!(all, 20);
 }
 
-/// Guards against cold servers that get nothing because parts queue elsewhere.
+/// Guards against warming backends that get nothing because parts queue elsewhere.
 #[test]
-fn queueing_elsewhere_does_not_shut_a_cold_server_out() {
-    let mut d = Driver::ready(safe());
-    d.warm_up(0, 60);
+fn queueing_elsewhere_does_not_shut_a_warming_backend_out() {
+    let mut driver = Driver::ready(idempotent_settings());
+    driver.warm_up(0, 60);
     // Latency through queues only: the low latency stays where it was.
     for i in 0..10 {
-        for (part, _) in sends(&d.query(i, 0, &[3])) {
-            d.served(part, 0, 500 * MS);
+        for (part, _) in sends(&driver.query(i, 0, &[3])) {
+            driver.succeeded(part, 0, 500 * MS);
         }
     }
-    d.pass(3 * SECOND);
-    let started = d.now;
-    let cold = [entry(0, EndpointState::Ready, Some(started)), entry(1, EndpointState::Removed, None)];
-    d.give(vec![Event::EndpointUpdate(EndpointUpdate::Delta(cold.to_vec()))]);
-    let sent: usize = (100..104).map(|i| sends(&d.query(i, 0, &[0])).len()).sum();
+    driver.advance(3 * SECOND);
+    let started = driver.now;
+    let warming =
+        [endpoint(0, EndpointState::Ready, Some(started)), endpoint(1, EndpointState::Removed, None)];
+    driver.handle(vec![Event::EndpointUpdate(EndpointUpdate::Delta(warming.to_vec()))]);
+    let sent: usize = (100..104).map(|i| sends(&driver.query(i, 0, &[0])).len()).sum();
     assert!(sent >= 3, "{sent}");
 }
 
-/// Found after falls: queries whose shard had only cold holders held parts of others and were shed for.
+/// Guards against queries whose shard has only warming replicas: their other parts would be sent for nothing, and their
+/// misses would shed load.
 #[test]
-fn a_shard_with_no_room_at_its_cold_holders_is_refused_at_once_and_is_no_overload() {
-    let mut s = safe();
+fn a_query_of_a_shard_without_warm_capacity_is_rejected_at_once_and_is_no_overload() {
+    let mut s = idempotent_settings();
     s.routers = 600;
-    let mut d = Driver::new(s);
-    let started = d.now;
-    let entries = (0..6).map(|s| entry(s, EndpointState::Ready, (s < 2).then_some(started))).collect();
-    d.give(vec![Event::EndpointUpdate(EndpointUpdate::Snapshot(entries))]);
-    let mut refused = 0;
+    let mut driver = Driver::new(s);
+    let started = driver.now;
+    let entries = (0..6).map(|s| endpoint(s, EndpointState::Ready, (s < 2).then_some(started))).collect();
+    driver.handle(vec![Event::EndpointUpdate(EndpointUpdate::Snapshot(entries))]);
+    let mut rejected = 0;
     for i in 0..30 {
-        let sent = sends(&d.query(1 + i, 0, &[0, 3]));
+        let sent = sends(&driver.query(1 + i, 0, &[0, 3]));
         assert!(sent.is_empty() || sent.len() == 2, "the part at shard 3 would be for nothing");
-        refused += u32::from(sent.is_empty());
-        d.pass(50 * MS);
-        sent.iter().for_each(|(part, _)| _ = d.served(*part, 0, 50 * MS));
-        d.pass(150 * MS);
-        assert_eq!(d.router.drop_rate(ClassId(0)), Some(0.0));
+        rejected += u32::from(sent.is_empty());
+        driver.advance(50 * MS);
+        sent.iter().for_each(|(part, _)| _ = driver.succeeded(*part, 0, 50 * MS));
+        driver.advance(150 * MS);
+        assert_eq!(driver.router.drop_rate(ClassId(0)), Some(0.0));
     }
-    // Its holders are warm by 0.2 to 0.4 in these six seconds.
-    assert!((15..30).contains(&refused), "{refused} of 30");
+    // Its replicas are warm by 0.2 to 0.4 in these six seconds.
+    assert!((15..30).contains(&rejected), "{rejected} of 30");
 }
 
 // ---- the rule by itself ----
@@ -77,7 +79,7 @@
 const PART: PartWork = PartWork { part: 50_000.0, call: 0.0, joins_call: false };
 
 fn slow_start(routers: u32) -> SlowStart {
-    SlowStart::new(&Settings { routers, ..safe() })
+    SlowStart::new(&Settings { routers, ..idempotent_settings() })
 }
 
 /// Traffic of a router that runs for ten seconds and has had so many parts in the last five.
--- a/crates/router/tests/slow_start_bound.rs
+++ b/crates/router/tests/slow_start_bound.rs
@@ -1,5 +1,5 @@
-//! Cold servers under the sum of all routers: how much work each was sent in any window, beside what the
-//! settings let it bear. Seeded, over the real module; a router's events come in its turns, as in service.
+//! Warming backends under the sum of all routers: how much work each was sent in any window, beside what the
+//! settings let it bear. Seeded, over the real module; a router's events come in its batches, as in service.
 //! `COLD_SEEDS` sets how many seeds of each case are played (three here).
 
 mod common;
@@ -9,13 +9,13 @@
 use common::*;
 use mallowgauge_router::*;
 
-const SERVERS: u32 = 18;
+const BACKENDS: u32 = 18;
 const TICK: Micros = 5 * MS;
 const WINDOW: Micros = SECOND;
-const WARM_WITHIN: Micros = 14 * SECOND;
-const COLD_FROM: f64 = 0.16;
-const TIP: f64 = 3.0;
-/// What the fleet has been doing before anything starts cold, and how long is looked at from then on.
+const WARM_UP_TIME: Micros = 14 * SECOND;
+const INITIAL_CAPACITY: f64 = 0.16;
+const OVERLOAD_MULTIPLE: f64 = 3.0;
+/// What the fleet has been doing before anything starts warming, and how long is looked at from then on.
 const BEFORE: Micros = 6 * SECOND;
 const AFTER: Micros = 6 * SECOND;
 const START: Micros = 100 * SECOND;
@@ -29,18 +29,18 @@
     Half,
 }
 
-/// What starts cold.
+/// What starts warming.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Scene {
-    /// A new server each second.
+    /// A new backend each second.
     OneByOne,
-    /// Six new servers at once.
+    /// Six new backends at once.
     Several,
     /// All of them: a zone returns.
     Zone,
     /// Six come back under their old names with a new start, each second two.
     Again,
-    /// Two thirds are cold, and all routers have just started.
+    /// Two thirds are warming, and all routers have just started.
     Herd,
 }
 
@@ -50,10 +50,10 @@
 struct Case {
     routers: usize,
     /// How many routers each is told that there are.
-    told: u32,
+    configured_routers: u32,
     spread: Spread,
     scene: Scene,
-    /// Work asked for, as a share of what all servers can do once they are warm.
+    /// Work asked for, as a share of what all backends can do once they are warm.
     load: f64,
     /// Parts of a query: its shards are neighbours, so that many parts of a wide one share a call.
     parts: (u32, u32),
@@ -62,32 +62,44 @@
     call_work: Micros,
     /// What routers see of a part's work, as a multiple.
     seen: f64,
-    aim: Micros,
+    objective: Micros,
     seed: u64,
 }
 
 impl Case {
     fn new(routers: usize, spread: Spread, scene: Scene, seed: u64) -> Self {
         let (load, parts, work, call_work, seen) = (0.8, (3, 5), 20 * MS, 6 * MS, 1.0);
-        let (told, aim) = (routers as u32, 400 * MS);
-        Self { routers, told, spread, scene, load, parts, work, call_work, seen, aim, seed }
+        let (configured_routers, objective) = (routers as u32, 400 * MS);
+        Self {
+            routers,
+            configured_routers,
+            spread,
+            scene,
+            load,
+            parts,
+            work,
+            call_work,
+            seen,
+            objective,
+            seed,
+        }
     }
 
     fn settings(&self) -> Settings {
         let mut s = settings(vec![class(Idempotency::Idempotent)]);
-        (s.routers, s.batch_interval) = (self.told, TICK);
+        (s.routers, s.batch_interval) = (self.configured_routers, TICK);
         s.layout = ShardLayout {
-            ring_positions: SERVERS,
+            ring_positions: BACKENDS,
             replication_factor: 3,
             parts_per_call: 16,
             call_work: self.call_work,
         };
-        (s.classes[0].latency_objective, s.classes[0].deadline) = (self.aim, 4 * SECOND);
+        (s.classes[0].latency_objective, s.classes[0].deadline) = (self.objective, 4 * SECOND);
         s.limits.max_attempts = 3;
-        s.rules.initial_capacity = COLD_FROM;
-        s.rules.warm_up_time = WARM_WITHIN;
+        s.rules.initial_capacity = INITIAL_CAPACITY;
+        s.rules.warm_up_time = WARM_UP_TIME;
         s.rules.overload_window = WINDOW;
-        s.rules.overload_multiple = TIP;
+        s.rules.overload_multiple = OVERLOAD_MULTIPLE;
         s
     }
 }
@@ -95,7 +107,7 @@
 /// One attempt that was sent.
 struct Sent {
     at: Micros,
-    server: u32,
+    backend: u32,
     work: f64,
     opens_call: bool,
 }
@@ -104,30 +116,30 @@
     case: Case,
     rng: fastrand::Rng,
     routers: Vec<Router>,
-    /// What each router has to be told, and in which of its turns.
+    /// What each router has to be told, and in which of its batches.
     due: BTreeMap<(Micros, usize), Vec<Event>>,
     attempts: BTreeMap<PartId, u32>,
     sent: Vec<Sent>,
-    /// When each server last started cold.
+    /// When each backend last started warming.
     started: BTreeMap<u32, Micros>,
 }
 
-/// The window in which a server was sent the most beside its bound, over all servers that were cold.
+/// The window in which a backend was sent the most beside its bound, over all backends that were warming.
 #[derive(Debug, Default)]
-struct Worst {
+struct WorstWindow {
     /// What it was sent, in calls of mean work.
     count: f64,
     /// What the settings let it bear then, in the same.
     allowed: f64,
     bound: f64,
-    /// What cold servers were sent in all, as a share of all that they could do while they were cold.
+    /// What warming backends were sent in all, as a share of all that they could do while they were warming.
     used: f64,
 }
 
 impl Fleet {
     fn new(case: Case) -> Self {
         let rng = fastrand::Rng::with_seed(case.seed);
-        let router = |i: usize| Router::new(case.seed * 1_000 + i as u64, case.settings()).expect("sound");
+        let router = |i: usize| Router::new(case.seed * 1_000 + i as u64, case.settings()).expect("healthy");
         let routers = (0..case.routers).map(router).collect();
         let (due, attempts, started) = Default::default();
         let mut fleet = Self { case, rng, routers, due, attempts, sent: Vec::new(), started };
@@ -136,25 +148,25 @@
         fleet
     }
 
-    fn turn(at: Micros) -> Micros {
+    fn batch_time(at: Micros) -> Micros {
         at.div_ceil(TICK) * TICK
     }
 
     /// What discovery says, and when.
     fn lists(&mut self) {
         let begin = START - BEFORE;
-        let base: Vec<(u32, Option<Micros>)> = (0..SERVERS).map(|s| (s, None)).collect();
+        let base: Vec<(u32, Option<Micros>)> = (0..BACKENDS).map(|s| (s, None)).collect();
         let third = |s: &u32| s % 3 == 1;
         // From when on, what has a new start.
         let mut news: Vec<(Micros, Vec<u32>)> = Vec::new();
         match self.case.scene {
             Scene::OneByOne => news.extend((0..6).map(|i| (START + u64::from(i) * SECOND, vec![i * 3 + 1]))),
-            Scene::Several => news.push((START, (0..SERVERS).filter(third).collect())),
-            Scene::Zone => news.push((START, (0..SERVERS).collect())),
+            Scene::Several => news.push((START, (0..BACKENDS).filter(third).collect())),
+            Scene::Zone => news.push((START, (0..BACKENDS).collect())),
             Scene::Again => {
                 news.extend((0..3).map(|i| (START + u64::from(i) * SECOND, vec![i * 6, i * 6 + 4])))
             }
-            Scene::Herd => news.push((START, (0..SERVERS).filter(|s| s % 3 > 0).collect())),
+            Scene::Herd => news.push((START, (0..BACKENDS).filter(|s| s % 3 > 0).collect())),
         }
         let mut list: BTreeMap<u32, Option<Micros>> = base.into_iter().collect();
         let starts: Vec<u32> = news.iter().flat_map(|(_, ids)| ids.clone()).collect();
@@ -163,32 +175,33 @@
             starts.iter().for_each(|id| _ = list.remove(id));
         }
         let entries = |list: &BTreeMap<u32, Option<Micros>>| {
-            let all = list.iter().map(|(id, started)| entry(*id, EndpointState::Ready, *started)).collect();
+            let all =
+                list.iter().map(|(id, started)| endpoint(*id, EndpointState::Ready, *started)).collect();
             Event::EndpointUpdate(EndpointUpdate::Snapshot(all))
         };
         let herd = self.case.scene == Scene::Herd;
         for at in (0..self.case.routers).filter(|_| !herd) {
-            self.due.entry((Self::turn(begin), at)).or_default().push(entries(&list));
+            self.due.entry((Self::batch_time(begin), at)).or_default().push(entries(&list));
         }
-        let mut told = Vec::new();
+        let mut configured_routers = Vec::new();
         if was_there {
             // What comes back was lost before, and nobody sends to it: what is sent from the start on is sent
             // by routers that know of it.
             starts.iter().for_each(|id| _ = list.remove(id));
-            told.push((START - SECOND, entries(&list)));
+            configured_routers.push((START - SECOND, entries(&list)));
         }
         for (when, ids) in news {
             for id in ids {
                 list.insert(id, Some(when));
                 self.started.insert(id, when);
             }
-            told.push((when, entries(&list)));
+            configured_routers.push((when, entries(&list)));
         }
-        for (when, news) in told {
+        for (when, news) in configured_routers {
             for at in 0..self.case.routers {
                 // Each hears of it a little later than the other.
                 let after = if herd { 0 } else { self.rng.u64(0..200 * MS) };
-                self.due.entry((Self::turn(when + after), at)).or_default().push(news.clone());
+                self.due.entry((Self::batch_time(when + after), at)).or_default().push(news.clone());
             }
         }
     }
@@ -206,7 +219,7 @@
         let mean = f64::from(case.parts.0 + case.parts.1) / 2.0;
         // Two neighbouring parts and more share a call.
         let work = mean * case.work as f64 + (mean / 2.0).max(1.0) * case.call_work as f64;
-        let rate = case.load * f64::from(SERVERS) / work;
+        let rate = case.load * f64::from(BACKENDS) / work;
         let from = if case.scene == Scene::Herd { START } else { START - BEFORE };
         for at in 0..case.routers {
             let gap = 1.0 / (rate * weight(at) / all);
@@ -217,13 +230,13 @@
                     break;
                 }
                 number += 1;
-                let shards = SERVERS * 2;
+                let shards = BACKENDS * 2;
                 let first = self.rng.u32(0..shards);
                 let count = self.rng.u32(case.parts.0..=case.parts.1);
                 let shards: Vec<u32> = (0..count).map(|i| (first + i) % shards).collect();
                 let id = (case.seed as u128 * 1_000 + at as u128) * 1_000_000 + number;
                 let events = arrival(id, 0, &shards);
-                self.due.entry((Self::turn(when as u64), at)).or_default().extend(events);
+                self.due.entry((Self::batch_time(when as u64), at)).or_default().extend(events);
             }
         }
     }
@@ -238,14 +251,15 @@
             let mut calls: BTreeMap<u32, u32> = BTreeMap::new();
             for action in actions {
                 match action {
-                    Action::Send { part, backend: server, .. } => {
-                        self.send(now, at, part, server.0, &mut calls)
-                    }
+                    Action::Send { part, backend, .. } => self.send(now, at, part, backend.0, &mut calls),
                     Action::SetTimer(after) => {
-                        self.due.entry((Self::turn(now + after), at)).or_default().push(Event::TimerExpired);
+                        self.due
+                            .entry((Self::batch_time(now + after), at))
+                            .or_default()
+                            .push(Event::TimerExpired);
                     }
-                    Action::HealthCheck(server) => {
-                        let passed = Event::HealthCheckCompleted { backend: server, passed: true };
+                    Action::HealthCheck(backend) => {
+                        let passed = Event::HealthCheckCompleted { backend, passed: true };
                         self.due.entry((now + TICK, at)).or_default().push(passed);
                     }
                     _ => {}
@@ -254,38 +268,39 @@
         }
     }
 
-    fn send(&mut self, now: Micros, at: usize, part: PartId, server: u32, calls: &mut BTreeMap<u32, u32>) {
-        let in_call = calls.entry(server).or_default();
+    fn send(&mut self, now: Micros, at: usize, part: PartId, backend: u32, calls: &mut BTreeMap<u32, u32>) {
+        let in_call = calls.entry(backend).or_default();
         let opens_call = in_call.is_multiple_of(16);
         *in_call += 1;
         // Work differs from part to part: by half of its mean either way.
         let part_work = self.case.work as f64 * (0.5 + self.rng.f64());
         let call_work = self.case.call_work as f64;
         let work = part_work + if opens_call { call_work } else { 0.0 };
-        self.sent.push(Sent { at: now, server, work, opens_call });
+        self.sent.push(Sent { at: now, backend, work, opens_call });
         let number = self.attempts.entry(part).or_default();
-        // A cold server does as much less in the same time.
-        let speed = self.started.get(&server).map_or(1.0, |&started| warmth(now.saturating_sub(started)));
+        // A warming backend does as much less in the same time.
+        let speed =
+            self.started.get(&backend).map_or(1.0, |&started| capacity_fraction(now.saturating_sub(started)));
         let took = ((part_work + call_work) * self.case.seen / speed) as Micros;
-        let ended = Event::AttemptCompleted { part, attempt: *number, outcome: Outcome::Succeeded, took };
+        let completed = Event::AttemptCompleted { part, attempt: *number, outcome: Outcome::Succeeded, took };
         *number += 1;
-        self.due.entry((Self::turn(now + took.max(1)), at)).or_default().push(ended);
+        self.due.entry((Self::batch_time(now + took.max(1)), at)).or_default().push(completed);
     }
 
-    /// Slides a window over what each cold server was sent by all routers together.
-    fn worst(&self) -> Worst {
+    /// Slides a window over what each warming backend was sent by all routers together.
+    fn worst(&self) -> WorstWindow {
         let calls = self.sent.iter().filter(|sent| sent.opens_call).count();
         let mean = self.sent.iter().map(|sent| sent.work).sum::<f64>() / calls as f64;
-        let mut worst = Worst::default();
+        let mut worst = WorstWindow::default();
         let (mut sent_all, mut could) = (0.0, 0.0);
-        for (&server, &started) in &self.started {
+        for (&backend, &started) in &self.started {
             let to: Vec<&Sent> =
-                self.sent.iter().filter(|sent| sent.server == server && sent.at >= started).collect();
+                self.sent.iter().filter(|sent| sent.backend == backend && sent.at >= started).collect();
             for first in 0..to.len() {
                 let from = to[first].at;
                 let inside = to[first..].iter().take_while(|sent| sent.at < from + WINDOW);
                 let count = inside.map(|sent| sent.work).sum::<f64>() / mean;
-                let allowed = TIP * warmth(from - started) * WINDOW as f64 / mean;
+                let allowed = OVERLOAD_MULTIPLE * capacity_fraction(from - started) * WINDOW as f64 / mean;
                 let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
                 if count * worst.bound >= worst.count * bound {
                     (worst.count, worst.allowed, worst.bound) = (count, allowed, bound);
@@ -293,33 +308,33 @@
             }
             sent_all += to.iter().map(|sent| sent.work).sum::<f64>();
             let time = START + AFTER - started;
-            could += time as f64 * (warmth(0) + warmth(time)) / 2.0;
+            could += time as f64 * (capacity_fraction(0) + capacity_fraction(time)) / 2.0;
         }
         worst.used = sent_all / could;
         worst
     }
 }
 
-fn warmth(age: Micros) -> f64 {
-    (COLD_FROM + (1.0 - COLD_FROM) * age as f64 / WARM_WITHIN as f64).min(1.0)
+fn capacity_fraction(age: Micros) -> f64 {
+    (INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * age as f64 / WARM_UP_TIME as f64).min(1.0)
 }
 
 fn seeds() -> u64 {
     std::env::var("COLD_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(3)
 }
 
-fn play(case: Case) -> Worst {
+fn play(case: Case) -> WorstWindow {
     let mut fleet = Fleet::new(case);
     fleet.play();
     fleet.worst()
 }
 
-/// Plays a case in all scenes, with another spread of traffic for each seed, and holds it to the bound. Cold servers
+/// Plays a case in all scenes, with another spread of traffic for each seed, and holds it to the bound. Warming backends
 /// are to be sent at least `floor` of what they can do, in each run.
 fn hold(name: &str, routers: usize, floor: f64, change: impl Fn(&mut Case)) {
     let spreads = [Spread::Tenth(4.0), Spread::Tenth(20.0), Spread::Half];
     let (mut over, mut runs, mut least) = (Vec::new(), 0, f64::INFINITY);
-    let mut worst = Worst::default();
+    let mut worst = WorstWindow::default();
     for (number, scene) in SCENES.into_iter().enumerate() {
         for seed in 1..=seeds() {
             let spread = spreads[(number + seed as usize) % 3];
@@ -340,7 +355,10 @@
         over.len()
     );
     assert!(over.is_empty(), "{name}, {routers} routers: {} of {runs} runs over: {over:#?}", over.len());
-    assert!(least > floor, "{name}, {routers} routers: cold servers were sent {least} of what they can do");
+    assert!(
+        least > floor,
+        "{name}, {routers} routers: warming backends were sent {least} of what they can do"
+    );
 }
 
 fn hold_all(name: &str, floor: f64, change: impl Fn(&mut Case) + Copy) {
@@ -350,55 +368,57 @@
 }
 
 #[test]
-fn cold_servers_hold_under_narrow_queries() {
+fn warming_backends_hold_under_narrow_queries() {
     hold_all("narrow", 0.1, |_| {});
 }
 
 #[test]
-fn cold_servers_hold_under_wide_queries() {
+fn warming_backends_hold_under_wide_queries() {
     hold_all("wide", 0.1, |case| case.parts = (12, 30));
 }
 
-// All that two cores of each warm server can do.
+// All that two cores of each warm backend can do.
 #[test]
-fn cold_servers_hold_under_a_burst() {
+fn warming_backends_hold_under_a_burst() {
     hold_all("burst", 0.1, |case| case.load = 2.0);
 }
 
 #[test]
-fn cold_servers_hold_where_parts_look_lighter_than_they_are() {
+fn warming_backends_hold_where_parts_look_lighter_than_they_are() {
     hold_all("light", 0.1, |case| case.seen = 0.8);
 }
 
-// A cold server that seems twice as slow as it is answers hardly in time, and is sent little.
+// A warming backend that seems twice as slow as it is answers hardly in time, and is sent little.
 #[test]
-fn cold_servers_hold_where_parts_look_heavier_than_they_are() {
+fn warming_backends_hold_where_parts_look_heavier_than_they_are() {
     hold_all("heavy", 0.03, |case| case.seen = 2.0);
 }
 
 #[test]
-fn cold_servers_hold_where_calls_cost_more_than_their_parts() {
-    hold_all("calls", 0.1, |case| (case.work, case.call_work, case.aim) = (30 * MS, 48 * MS, 1_500 * MS));
+fn warming_backends_hold_where_calls_cost_more_than_their_parts() {
+    hold_all("calls", 0.1, |case| {
+        (case.work, case.call_work, case.objective) = (30 * MS, 48 * MS, 1_500 * MS)
+    });
 }
 
-// A cold server cannot meet so short an aim: what it is sent is little, but not nothing. Routers begin with a guess
+// A warming backend cannot meet so short an objective: what it is sent is little, but not nothing. Routers begin with a guess
 // at the work that is far too low.
 #[test]
-fn cold_servers_hold_where_the_aim_is_short_beside_the_work() {
-    hold_all("short", 0.03, |case| (case.work, case.call_work, case.aim) = (60 * MS, 0, 150 * MS));
+fn warming_backends_hold_where_the_objective_is_short_beside_the_work() {
+    hold_all("short", 0.03, |case| (case.work, case.call_work, case.objective) = (60 * MS, 0, 150 * MS));
 }
 
 #[test]
-fn cold_servers_hold_where_half_of_the_routers_are_away() {
-    hold_all("half", 0.1, |case| case.told *= 2);
+fn warming_backends_hold_where_half_of_the_routers_are_away() {
+    hold_all("half", 0.1, |case| case.configured_routers *= 2);
 }
 
 // The checker itself: routers that each take the whole budget for themselves break the bound.
 #[test]
-fn routers_that_each_use_the_whole_budget_are_found() {
+fn routers_that_each_use_the_whole_capacity_are_found() {
     for routers in [20, 30, 300] {
         let mut case = Case::new(routers, Spread::Tenth(4.0), Scene::Zone, 1);
-        (case.told, case.load) = (1, 2.0);
+        (case.configured_routers, case.load) = (1, 2.0);
         let seen = play(case);
         assert!(seen.count > seen.bound, "{routers} routers: {seen:?}");
     }
