--- a/crates/edge/src/front/flight/auth.rs
+++ b/crates/edge/src/front/flight/auth.rs
@@ -1,4 +1,5 @@
-//! Who calls: users with passwords from a file, tokens that stand for them, cookies that name a session.
+//! Who calls: users with passwords from the operator's settings, tokens that stand for them, and cookies that name a
+//! session.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,113 +18,127 @@
 
 /// Who calls.
 #[derive(Clone, Debug, Default)]
-pub struct Who {
-    /// The user; empty where nobody is asked.
+pub struct Identity {
+    /// The user; empty where no users are configured.
     pub user: Rc<str>,
     /// The session that the call belongs to.
     pub session: Option<SessionId>,
 }
 
-/// How a call says who it is.
-enum Claim<'a> {
+/// The credentials that a call presents.
+enum Credentials<'a> {
     Basic(&'a str),
     Token(Vec<u8>),
     None,
 }
 
-fn claim(headers: &HeaderMap) -> Claim<'_> {
+fn credentials(headers: &HeaderMap) -> Credentials<'_> {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     if let Some(line) = text("authorization") {
         if let Some((scheme, rest)) = line.split_once(' ') {
             if scheme.eq_ignore_ascii_case("basic") {
-                return Claim::Basic(rest.trim());
+                return Credentials::Basic(rest.trim());
             }
             if scheme.eq_ignore_ascii_case("bearer") {
-                return Claim::Token(unbase(rest.trim()).unwrap_or_default());
+                return Credentials::Token(decode_base64(rest.trim()).unwrap_or_default());
             }
         }
-        return Claim::Token(Vec::new());
+        return Credentials::Token(Vec::new());
     }
     match text("auth-token-bin") {
         // Binary lines are base64 on the wire; the token within is the text that the handshake gave.
         Some(line) => {
-            let token = unbase(line).and_then(|inner| unbase(std::str::from_utf8(&inner).ok()?));
-            Claim::Token(token.unwrap_or_default())
+            let token =
+                decode_base64(line).and_then(|inner| decode_base64(std::str::from_utf8(&inner).ok()?));
+            Credentials::Token(token.unwrap_or_default())
         }
-        None => Claim::None,
+        None => Credentials::None,
     }
 }
 
-fn unbase(text: &str) -> Option<Vec<u8>> {
+fn decode_base64(text: &str) -> Option<Vec<u8>> {
     STANDARD_NO_PAD.decode(text.trim_end_matches('=')).ok()
 }
 
-fn unknown() -> Status {
+fn unauthenticated() -> Status {
     Status::new(Code::Unauthenticated, "who asks is not known").because("UNAUTHENTICATED")
 }
 
-fn cookie(headers: &HeaderMap) -> Option<SessionId> {
+fn session_cookie(headers: &HeaderMap) -> Option<SessionId> {
     let lines = headers.get_all("cookie").iter().filter_map(|line| line.to_str().ok());
     let mut pairs = lines.flat_map(|line| line.split(';')).filter_map(|pair| pair.trim().split_once('='));
     let (_, value) = pairs.find(|(name, _)| *name == COOKIE)?;
     u128::from_str_radix(value, 16).ok().map(SessionId)
 }
 
-/// The doorkeeper: the users that may call.
-pub struct Door {
+/// The users that may call, and the key of their tokens.
+pub struct Authenticator {
     users: Option<BTreeMap<String, String>>,
     key: Key,
-    life: Micros,
+    token_lifetime: Micros,
 }
 
-impl Door {
-    /// For these users; where there are none, everybody may call.
+impl Authenticator {
+    /// An authenticator for these users; with `None` everybody may call. `life`: how long a token is valid, in
+    /// microseconds.
     pub fn new(users: Option<BTreeMap<String, String>>, key: Key, life: Micros) -> Self {
-        Self { users, key, life }
+        Self { users, key, token_lifetime: life }
     }
 
-    /// Other users from now on; tokens of those who are gone count no longer.
-    pub fn replace(&mut self, users: Option<BTreeMap<String, String>>) {
+    /// Replaces the users; tokens of users that are removed are no longer valid.
+    pub fn replace_users(&mut self, users: Option<BTreeMap<String, String>>) {
         self.users = users;
     }
 
-    /// Whether callers have to say who they are.
-    pub fn asks(&self) -> bool {
+    /// Whether callers have to present credentials.
+    pub fn is_required(&self) -> bool {
         self.users.is_some()
     }
 
     /// Who a call is from.
-    pub fn who(&self, now: Micros, headers: &HeaderMap, admission: &mut Admission) -> Result<Who, Status> {
+    ///
+    /// # Errors
+    /// `UNAUTHENTICATED`, or `RESOURCE_EXHAUSTED` where too many passwords are being checked.
+    pub fn identify(
+        &self,
+        now: Micros,
+        headers: &HeaderMap,
+        admission: &mut Admission,
+    ) -> Result<Identity, Status> {
         let Some(users) = &self.users else {
-            return Ok(Who { user: "".into(), session: cookie(headers) });
+            return Ok(Identity { user: "".into(), session: session_cookie(headers) });
         };
-        match claim(headers) {
-            Claim::None => Err(unknown()),
-            Claim::Basic(text) => {
-                let pair = unbase(text).and_then(|bytes| String::from_utf8(bytes).ok());
-                let pair = pair.as_deref().and_then(|pair| pair.split_once(':')).ok_or_else(unknown)?;
-                let user = self.check(now, pair.0, pair.1, admission)?;
-                Ok(Who { user, session: cookie(headers) })
+        match credentials(headers) {
+            Credentials::None => Err(unauthenticated()),
+            Credentials::Basic(text) => {
+                let pair = decode_base64(text).and_then(|bytes| String::from_utf8(bytes).ok());
+                let pair =
+                    pair.as_deref().and_then(|pair| pair.split_once(':')).ok_or_else(unauthenticated)?;
+                let user = self.check_password(now, pair.0, pair.1, admission)?;
+                Ok(Identity { user, session: session_cookie(headers) })
             }
-            Claim::Token(sealed) => {
-                let token = self.key.read_token(now, &sealed).map_err(|bad| match bad {
+            Credentials::Token(sealed) => {
+                let token = self.key.read_token(now, &sealed).map_err(|error| match error {
                     seal::Bad::Expired => {
                         Status::new(Code::Unauthenticated, "the token has expired").because("TOKEN_EXPIRED")
                     }
-                    seal::Bad::Forged => unknown(),
+                    seal::Bad::Forged => unauthenticated(),
                 })?;
                 if !users.contains_key(&token.user) {
-                    return Err(unknown());
+                    return Err(unauthenticated());
                 }
                 let number = u128::from(token.session_high) << 64 | u128::from(token.session_low);
-                let session = cookie(headers).or(Some(SessionId(number)));
-                Ok(Who { user: token.user.into(), session })
+                let session = session_cookie(headers).or(Some(SessionId(number)));
+                Ok(Identity { user: token.user.into(), session })
             }
         }
     }
 
-    /// Checks a password, at the rate that the admission allows.
-    pub fn check(
+    /// Checks a password, at the rate that admission allows.
+    ///
+    /// # Errors
+    /// As [`Authenticator::identify`].
+    pub fn check_password(
         &self,
         now: Micros,
         name: &str,
@@ -141,15 +156,15 @@
         if fits && users.contains_key(name) {
             Ok(name.into())
         } else {
-            Err(unknown())
+            Err(unauthenticated())
         }
     }
 
-    /// A token for a user, as it goes into a header line.
-    pub fn token(&self, now: Micros, user: &str, session: u128) -> String {
+    /// A token for a user, as it stands in a header.
+    pub fn issue_token(&self, now: Micros, user: &str, session: u128) -> String {
         let token = Token {
             user: user.to_owned(),
-            expires: now.saturating_add(self.life),
+            expires: now.saturating_add(self.token_lifetime),
             session_high: (session >> 64) as u64,
             session_low: session as u64,
         };
--- /dev/null
+++ b/crates/edge/src/front/flight/tickets.rs
@@ -0,0 +1,147 @@
+//! Tickets and endpoints: sealed for a user, read back, renewed and revoked.
+//!
+//! A ticket carries its query. One of a query that is not idempotent is valid only at the instance that issued it, which
+//! remembers whether the query was run.
+
+use std::rc::Rc;
+
+use mallowgauge_core::polled_queries::{PolledQueryKey, PolledQuerySpec, PolledState, RejectReason};
+use mallowgauge_core::Core;
+use mallowgauge_flight::grpc::{Code, Status};
+use mallowgauge_flight::proto::{FlightEndpoint, FlightInfo, Ticket};
+use mallowgauge_flight::seal;
+use mallowgauge_router::Micros;
+use prost_types::Timestamp;
+
+use super::auth::Identity;
+use super::command::{Command, UNUSED_ID};
+use super::service::FlightService;
+use super::status::{invalid_argument, rejection_status};
+
+/// A point of the server's clock, in microseconds since the Unix epoch, as Flight's messages carry it.
+pub fn timestamp(at: Micros) -> Timestamp {
+    Timestamp { seconds: (at / 1_000_000) as i64, nanos: (at % 1_000_000) as i32 * 1000 }
+}
+
+impl FlightService {
+    /// An endpoint whose ticket stands for a command. `made` is when the query was first issued a ticket; `polled`: the
+    /// ticket fetches the outcome of a polled query and runs nothing.
+    pub fn issue_endpoint(
+        &self,
+        now: Micros,
+        command: &Command,
+        user: &str,
+        made: Micros,
+        polled: bool,
+    ) -> FlightEndpoint {
+        let expires = now.saturating_add(self.ticket_lifetime);
+        let ticket = seal::Ticket {
+            command: command.text(),
+            made,
+            expires,
+            user: user.to_owned(),
+            issuer: self.issuer,
+            polled,
+        };
+        let ticket = Some(Ticket { ticket: self.seal_key.ticket(&ticket) });
+        FlightEndpoint { ticket, expiration_time: Some(timestamp(expires)), ..FlightEndpoint::default() }
+    }
+
+    /// Reads a sealed ticket.
+    ///
+    /// # Errors
+    /// The ticket has expired, is forged, or belongs to another user.
+    pub fn open_ticket(
+        &self,
+        now: Micros,
+        sealed: &[u8],
+        identity: &Identity,
+    ) -> Result<seal::Ticket, Status> {
+        let ticket = self.seal_key.read_ticket(now, sealed).map_err(|error| match error {
+            seal::Bad::Expired => {
+                Status::new(Code::NotFound, "the ticket has expired").because("TICKET_EXPIRED")
+            }
+            seal::Bad::Forged => Status::new(Code::InvalidArgument, "a bad ticket").because("TICKET_FORGED"),
+        })?;
+        if *ticket.user != *identity.user {
+            return Err(Status::new(Code::PermissionDenied, "the ticket is another user's"));
+        }
+        Ok(ticket)
+    }
+
+    /// The commands of a `FlightInfo`'s tickets, or else of its descriptor, each with when its ticket was made.
+    ///
+    /// # Errors
+    /// There is neither, or one of them cannot be read.
+    pub fn commands_of(
+        &self,
+        now: Micros,
+        info: &FlightInfo,
+        identity: &Identity,
+        core: &Core,
+    ) -> Result<Vec<(Command, Micros)>, Status> {
+        let tickets = info.endpoint.iter().filter_map(|endpoint| endpoint.ticket.as_ref());
+        let mut commands = Vec::new();
+        for ticket in tickets {
+            let ticket = self.open_ticket(now, &ticket.ticket, identity)?;
+            commands.push((Command::from_json(&ticket.command, core, UNUSED_ID)?, ticket.made));
+        }
+        if commands.is_empty() {
+            let descriptor = info
+                .flight_descriptor
+                .as_ref()
+                .ok_or_else(|| invalid_argument("neither ticket nor descriptor"))?;
+            commands.push((Command::from_descriptor(descriptor, core, UNUSED_ID)?, now));
+        }
+        Ok(commands)
+    }
+
+    /// The endpoint with a ticket that is valid for longer. The query's age stays: what may have been forgotten of it does
+    /// not become new.
+    ///
+    /// # Errors
+    /// The ticket is not valid, was cancelled, or is valid at another instance only.
+    pub fn renew_endpoint(
+        &mut self,
+        now: Micros,
+        endpoint: FlightEndpoint,
+        identity: &Identity,
+        core: &Core,
+    ) -> Result<FlightEndpoint, Status> {
+        let sealed = endpoint.ticket.as_ref().ok_or_else(|| invalid_argument("no ticket"))?;
+        let ticket = self.open_ticket(now, &sealed.ticket, identity)?;
+        let command = Command::from_json(&ticket.command, core, UNUSED_ID)?;
+        let key = PolledQueryKey { user: Rc::clone(&identity.user), id: command.id.as_str().into() };
+        if matches!(self.polled_queries.state(now, &key), Some(PolledState::Cancelled)) {
+            return Err(rejection_status(RejectReason::Cancelled));
+        }
+        if !core.is_idempotent(command.class) && ticket.issuer != self.issuer {
+            return Err(Status::new(Code::FailedPrecondition, "it counts only where it was made")
+                .because("OTHER_ISSUER"));
+        }
+        self.polled_queries.renew(now, &key);
+        let renewed = self.issue_endpoint(now, &command, &identity.user, ticket.made, ticket.polled);
+        Ok(FlightEndpoint { app_metadata: endpoint.app_metadata, location: endpoint.location, ..renewed })
+    }
+
+    /// Makes an endpoint's ticket invalid.
+    ///
+    /// # Errors
+    /// The ticket is not valid, or its query can no longer be revoked.
+    pub fn revoke_endpoint(
+        &mut self,
+        now: Micros,
+        endpoint: &FlightEndpoint,
+        identity: &Identity,
+        core: &Core,
+    ) -> Result<(), Status> {
+        let sealed = endpoint.ticket.as_ref().ok_or_else(|| invalid_argument("no ticket"))?;
+        let ticket = self.open_ticket(now, &sealed.ticket, identity)?;
+        let command = Command::from_json(&ticket.command, core, UNUSED_ID)?;
+        let key = PolledQueryKey { user: Rc::clone(&identity.user), id: command.id.as_str().into() };
+        let effect = !core.is_idempotent(command.class);
+        let spec =
+            PolledQuerySpec { body: command.fingerprint(), effect, polled: false, made: Some(ticket.made) };
+        self.polled_queries.revoke(now, &key, spec).map_err(rejection_status)
+    }
+}
--- /dev/null
+++ b/crates/edge/src/upstream/flight_connection.rs
@@ -0,0 +1,427 @@
+//! A connection that speaks Arrow Flight to a backend that offers it: each part is a `DoGet` of its own, so that
+//! one that hangs holds up no other. A part has succeeded only once its stream has ended with OK.
+//!
+//! What may be said of an attempt whose stream ends is decided in [`stream_outcome`], and how much a backend may
+//! send in [`TableMemory`]: bytes beyond a stream's first window come only as far as there is memory.
+
+use std::collections::VecDeque;
+use std::future::Future;
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use std::task::{Context, Poll, Waker};
+
+use bytes::Bytes;
+use h2::client::{self, SendRequest};
+use h2::{Ping, PingPong};
+use mallowgauge_core::stream_outcome::{self, StreamEnd, StreamStage};
+use mallowgauge_core::table_memory::{StreamId, TableMemory};
+use mallowgauge_core::{AttemptId, AttemptRequest};
+use mallowgauge_net::Stream;
+use mallowgauge_router::{BackendId, Micros, Outcome};
+
+use super::connection::BackendConnection;
+use super::flight_stream::{CallPosition, PartStream};
+use super::{drop_expired, drop_unsent, UpstreamEvent, MESSAGE_TIMEOUT};
+use crate::http2_socket::{Http2Socket, WakeFlag};
+use crate::tls::{Connector, Session};
+
+/// The bytes of HTTP/2 frames that backends may send; larger ones cost less.
+const FRAME_BYTES: std::ops::RangeInclusive<u32> = 16 * 1024..=256 * 1024;
+/// The largest window of a connection, in bytes.
+const LARGEST_CONNECTION_WINDOW: u32 = 1 << 30;
+
+/// What all Flight connections to backends share, and the bounds of what backends may send.
+#[derive(Clone)]
+pub struct FlightOptions {
+    /// The memory for tables.
+    pub table_memory: TableMemory,
+    /// The first window of a stream, in bytes.
+    pub initial_window: u32,
+    /// Most bytes of one part's table.
+    pub max_table_bytes: usize,
+    /// Most streams of a connection.
+    pub max_streams: usize,
+    /// TLS, where it is configured.
+    pub tls: Option<Connector>,
+}
+
+type Http2Connection = client::Connection<Http2Socket, Bytes>;
+type Http2Handshake = Pin<Box<dyn Future<Output = Result<(SendRequest<Bytes>, Http2Connection), h2::Error>>>>;
+
+/// How far a connection is.
+enum State {
+    Connecting,
+    /// Nothing is handed over before TLS is agreed on, so that nothing can have been executed if it fails.
+    TlsHandshake(Http2Socket),
+    Http2Handshake(Http2Handshake),
+    Open(Open),
+}
+
+/// An open connection as `h2` gives it.
+struct Open {
+    connection: Box<Http2Connection>,
+    sender: SendRequest<Bytes>,
+    pings: PingPong,
+}
+
+/// A health check that waits for its answer.
+struct HealthCheck {
+    deadline: Micros,
+    sent: bool,
+}
+
+/// A connection that speaks Flight.
+pub(super) struct FlightConnection {
+    backend: BackendId,
+    stream: Rc<Stream>,
+    addr: SocketAddr,
+    options: FlightOptions,
+    state: State,
+    /// When opening it is given up.
+    connect_deadline: Micros,
+    /// Raised when bytes come.
+    bytes_received: Arc<AtomicBool>,
+    /// Raised when `h2` wants to be polled again.
+    wanted: Arc<WakeFlag>,
+    waker: Waker,
+    /// Calls of which nothing was handed to `h2`.
+    queue: VecDeque<Vec<AttemptRequest>>,
+    streams: Vec<PartStream>,
+    last_call: u64,
+    health_check: Option<HealthCheck>,
+    /// The backend takes no more streams on this connection.
+    closing: bool,
+    last_received: Micros,
+    last_used: Micros,
+}
+
+impl BackendConnection for FlightConnection {
+    fn in_flight(&self, _: Micros) -> usize {
+        self.queue.iter().map(Vec::len).sum::<usize>() + self.streams.len()
+    }
+
+    fn accepts(&self, _: &[AttemptRequest]) -> bool {
+        !self.closing
+    }
+
+    fn is_idle(&self) -> bool {
+        self.queue.is_empty() && self.streams.is_empty() && self.health_check.is_none()
+    }
+
+    fn opens_for_nothing(&self) -> bool {
+        !self.is_open() && self.queue.is_empty() && self.health_check.is_none()
+    }
+
+    /// A backend whose window is shut has nothing to say.
+    fn silent_since(&self) -> Option<Micros> {
+        let expected = self.streams.iter().filter(|stream| !stream.waits_for_memory());
+        expected.map(|stream| stream.sent_at.max(self.last_received)).min()
+    }
+
+    fn last_used(&self) -> Micros {
+        self.last_used
+    }
+
+    /// Its buffers are counted as memory for tables.
+    fn buffered_bytes(&self) -> usize {
+        0
+    }
+
+    fn poll_timeout(&self, idle_timeout: Micros) -> Option<Micros> {
+        if !self.is_open() {
+            return Some(self.connect_deadline);
+        }
+        let idle_at = self.streams.is_empty().then_some(self.last_used + idle_timeout);
+        let expected = self.streams.iter().filter(|stream| !stream.waits_for_memory());
+        let message_at =
+            expected.filter_map(|stream| stream.partial_since).min().map(|at| at + MESSAGE_TIMEOUT);
+        let check_at = self.health_check.as_ref().map(|check| check.deadline);
+        check_at.into_iter().chain(idle_at).chain(message_at).min()
+    }
+
+    fn send(&mut self, now: Micros, attempts: Vec<AttemptRequest>, events: &mut Vec<UpstreamEvent>) -> bool {
+        self.last_used = now;
+        self.queue.push_back(attempts);
+        self.handle_ready(now, events)
+    }
+
+    fn revoke_unsent(&mut self, which: impl Fn(&AttemptRequest) -> bool, events: &mut Vec<UpstreamEvent>) {
+        for attempts in &mut self.queue {
+            drop_unsent(attempts, &which, events);
+        }
+        self.queue.retain(|attempts| !attempts.is_empty());
+    }
+
+    /// Its stream is reset, which shows by itself whether the backend is there.
+    fn cancel(
+        &mut self,
+        now: Micros,
+        _: Micros,
+        attempt: AttemptId,
+        events: &mut Vec<UpstreamEvent>,
+    ) -> bool {
+        self.revoke_unsent(|send| send.attempt == attempt, events);
+        let before = self.streams.len();
+        let memory = &self.options.table_memory;
+        self.streams.retain_mut(|stream| {
+            let cancelled = stream.attempt == attempt;
+            if cancelled {
+                stream.reset();
+                memory.close(stream.id);
+            }
+            !cancelled
+        });
+        before == self.streams.len() || self.handle_ready(now, events)
+    }
+
+    /// Pings the backend, unless a ping is under way.
+    fn health_check(&mut self, now: Micros, deadline: Micros, events: &mut Vec<UpstreamEvent>) -> bool {
+        self.last_used = now;
+        self.health_check.get_or_insert(HealthCheck { deadline, sent: false });
+        self.handle_ready(now, events)
+    }
+
+    fn handle_ready(&mut self, now: Micros, events: &mut Vec<UpstreamEvent>) -> bool {
+        match self.establish() {
+            Poll::Pending => return true,
+            Poll::Ready(false) => return false,
+            Poll::Ready(true) => {}
+        }
+        loop {
+            self.wanted.take();
+            let waker = self.waker.clone();
+            let alive = self.drive(&mut Context::from_waker(&waker), now, events);
+            if self.bytes_received.swap(false, Ordering::Relaxed) {
+                (self.last_received, self.last_used) = (now, now);
+            }
+            if !alive || !self.wanted.take() {
+                return alive;
+            }
+        }
+    }
+
+    fn handle_timeout(&mut self, now: Micros, idle_timeout: Micros, events: &mut Vec<UpstreamEvent>) -> bool {
+        if !self.is_open() && self.connect_deadline <= now {
+            return false;
+        }
+        if self.health_check.as_ref().is_some_and(|check| check.deadline <= now) {
+            // The pong may still come, and would be taken for the next one's.
+            self.health_check = None;
+            self.closing = true;
+            events.push(UpstreamEvent::HealthCheckCompleted(self.backend, false));
+        }
+        let alive = !self.end_stalled_streams(now, events) || self.handle_ready(now, events);
+        alive && (!self.streams.is_empty() || self.last_used + idle_timeout > now)
+    }
+
+    fn close(&mut self, events: &mut Vec<UpstreamEvent>) {
+        let unsent = self.queue.drain(..).flatten();
+        let outcome = stream_outcome::classify(StreamStage::Queued, StreamEnd::ConnectionLost);
+        events.extend(unsent.map(|send| UpstreamEvent::AttemptEnded(send.attempt, outcome, None)));
+        for mut stream in self.streams.drain(..) {
+            events.push(stream.end(StreamEnd::ConnectionLost, &self.options.table_memory));
+        }
+        let check = self.health_check.take();
+        events.extend(check.map(|_| UpstreamEvent::HealthCheckCompleted(self.backend, false)));
+    }
+}
+
+impl FlightConnection {
+    /// A connection that is being opened until `connect_deadline`.
+    pub(super) fn new(
+        backend: BackendId,
+        stream: Stream,
+        now: Micros,
+        connect_deadline: Micros,
+        addr: SocketAddr,
+        options: FlightOptions,
+    ) -> Self {
+        let (wanted, waker) = WakeFlag::waker();
+        Self {
+            backend,
+            stream: Rc::new(stream),
+            addr,
+            options,
+            state: State::Connecting,
+            connect_deadline,
+            bytes_received: Arc::default(),
+            wanted,
+            waker,
+            queue: VecDeque::new(),
+            streams: Vec::new(),
+            last_call: 0,
+            health_check: None,
+            closing: false,
+            last_received: now,
+            last_used: now,
+        }
+    }
+
+    /// There is memory again for so many bytes of a stream; `None` if it is not one of this connection's, else
+    /// whether the connection stays open.
+    pub(super) fn grant_memory(
+        &mut self,
+        now: Micros,
+        stream: StreamId,
+        bytes: usize,
+        events: &mut Vec<UpstreamEvent>,
+    ) -> Option<bool> {
+        let stream = self.streams.iter_mut().find(|other| other.id == stream)?;
+        stream.release(bytes);
+        Some(self.handle_ready(now, events))
+    }
+
+    fn is_open(&self) -> bool {
+        matches!(self.state, State::Open(_))
+    }
+
+    /// Goes on to the HTTP/2 handshake as far as the socket lets it; `false` when the connection has failed.
+    fn establish(&mut self) -> Poll<bool> {
+        if matches!(self.state, State::Connecting) {
+            match self.stream.connected() {
+                None => return Poll::Pending,
+                Some(false) => return Poll::Ready(false),
+                Some(true) => {}
+            }
+            let tls = self.options.tls.as_ref();
+            let session = match tls.map(|tls| tls.connect(self.addr)).transpose() {
+                Ok(session) => session.map(Session::Client),
+                Err(error) => {
+                    tracing::warn!("host {}: no TLS: {error}", self.backend.0);
+                    return Poll::Ready(false);
+                }
+            };
+            let (wire, bytes_received) = Http2Socket::new(Rc::clone(&self.stream), session);
+            self.bytes_received = bytes_received;
+            self.state = State::TlsHandshake(wire);
+        }
+        let State::TlsHandshake(wire) = &mut self.state else { return Poll::Ready(true) };
+        match wire.handshake() {
+            Poll::Pending => return Poll::Pending,
+            Poll::Ready(Err(error)) => {
+                tracing::warn!("host {}: no TLS: {error}", self.backend.0);
+                return Poll::Ready(false);
+            }
+            Poll::Ready(Ok(())) => {}
+        }
+        let State::TlsHandshake(wire) = std::mem::replace(&mut self.state, State::Connecting) else {
+            return Poll::Ready(false);
+        };
+        self.state = State::Http2Handshake(Box::pin(self.http2_settings().handshake(wire)));
+        Poll::Ready(true)
+    }
+
+    fn http2_settings(&self) -> client::Builder {
+        let window = self.options.initial_window;
+        // A stream that waits for memory keeps its window's bytes; the others go on beside it.
+        let streams = u32::try_from(self.options.max_streams).unwrap_or(u32::MAX);
+        let connection_window = window.saturating_mul(streams + 1).min(LARGEST_CONNECTION_WINDOW);
+        let mut builder = client::Builder::new();
+        builder.initial_window_size(window).initial_connection_window_size(connection_window);
+        builder.max_frame_size(window.clamp(*FRAME_BYTES.start(), *FRAME_BYTES.end()));
+        builder.enable_push(false);
+        builder
+    }
+
+    /// Lets `h2` read and write, once; `false` when the connection is over.
+    fn drive(&mut self, cx: &mut Context<'_>, now: Micros, events: &mut Vec<UpstreamEvent>) -> bool {
+        if let State::Http2Handshake(handshake) = &mut self.state {
+            match handshake.as_mut().poll(cx) {
+                Poll::Pending => return true,
+                Poll::Ready(Err(error)) => {
+                    tracing::warn!("host {}: no HTTP/2: {error}", self.backend.0);
+                    return false;
+                }
+                Poll::Ready(Ok((sender, mut connection))) => {
+                    let Some(pings) = connection.ping_pong() else { return false };
+                    self.state = State::Open(Open { connection: Box::new(connection), sender, pings });
+                }
+            }
+        }
+        self.open_streams(cx, now, events);
+        let State::Open(open) = &mut self.state else { return true };
+        if let Some(check) = self.health_check.as_mut().filter(|check| !check.sent) {
+            check.sent = open.pings.send_ping(Ping::opaque()).is_ok();
+        }
+        let over = Pin::new(&mut open.connection).poll(cx).is_ready();
+        if self.health_check.is_some() && matches!(open.pings.poll_pong(cx), Poll::Ready(Ok(_))) {
+            self.health_check = None;
+            events.push(UpstreamEvent::HealthCheckCompleted(self.backend, true));
+        }
+        self.closing |= matches!(open.sender.poll_ready(cx), Poll::Ready(Err(_)));
+        self.poll_streams(cx, now, events);
+        !over
+    }
+
+    /// Hands the queued attempts to `h2`, each as a stream of its own.
+    fn open_streams(&mut self, cx: &mut Context<'_>, now: Micros, events: &mut Vec<UpstreamEvent>) {
+        let State::Open(open) = &mut self.state else { return };
+        while let Some(mut attempts) = self.queue.pop_front() {
+            drop_expired(now, &mut attempts, events);
+            self.last_call += 1;
+            let position = CallPosition { call: self.last_call, parts: attempts.len() };
+            for attempt in &attempts {
+                let sender = &mut open.sender;
+                match PartStream::open(
+                    self.backend,
+                    attempt,
+                    position,
+                    now,
+                    self.addr,
+                    sender,
+                    &self.options,
+                    cx,
+                ) {
+                    Ok(stream) => self.streams.push(stream),
+                    Err(error) => {
+                        // Nothing of it was written.
+                        tracing::info!("host {} takes no more here: {error}", self.backend.0);
+                        self.closing = true;
+                        let failed = Outcome::ConnectFailed;
+                        events.push(UpstreamEvent::AttemptEnded(attempt.attempt, failed, None));
+                    }
+                }
+            }
+        }
+    }
+
+    /// Reads what has come on each stream, and ends those that are over.
+    fn poll_streams(&mut self, cx: &mut Context<'_>, now: Micros, events: &mut Vec<UpstreamEvent>) {
+        let memory = &self.options.table_memory;
+        self.streams.retain_mut(|stream| match stream.poll(cx, memory) {
+            Poll::Pending => {
+                stream.note_partial_message(now);
+                true
+            }
+            Poll::Ready(end) => {
+                events.push(stream.end(end, memory));
+                false
+            }
+        });
+    }
+
+    /// Ends the streams on which a message has not become complete in time; `false` if there are none.
+    fn end_stalled_streams(&mut self, now: Micros, events: &mut Vec<UpstreamEvent>) -> bool {
+        let (backend, memory) = (self.backend, &self.options.table_memory);
+        let before = self.streams.len();
+        self.streams.retain_mut(|stream| {
+            let stalled = stream.is_stalled(now);
+            if stalled {
+                tracing::warn!("host {}: a message that does not become whole", backend.0);
+                stream.reset();
+                events.push(stream.end(StreamEnd::Stalled, memory));
+            }
+            !stalled
+        });
+        before != self.streams.len()
+    }
+}
+
+impl Drop for FlightConnection {
+    fn drop(&mut self) {
+        self.streams.iter().for_each(|stream| self.options.table_memory.close(stream.id));
+    }
+}
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -208,7 +208,7 @@
 fn read_idempotency(class: &Section<'_>) -> Result<Idempotency, SiteError> {
     match class.text("Semantics")? {
         "free" => Ok(Idempotency::Idempotent),
-        "guarded" => Ok(Idempotency::Keyed(class.int("WindowUs")?)),
+        "guarded" => Ok(Idempotency::Keyed { dedup_window: class.int("WindowUs")? }),
         "single_shot" => Ok(Idempotency::NonIdempotent),
         _ => Err(class.error("Semantics", "one of free, guarded, single_shot")),
     }
