--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -28,7 +28,7 @@
 use crate::discovery::Discovery;
 use crate::front::{flight, http};
 use crate::lifecycle::{Lifecycle, Phase};
-use crate::peers::Peers;
+use crate::peers::{self, Peers};
 use crate::takeover::TakeoverAdapter;
 use crate::tls::{Connector, TlsError};
 use crate::upstream::flight_connection::FlightOptions;
@@ -64,8 +64,8 @@
     #[error(transparent)]
     Tls(#[from] TlsError),
     /// Connections to other instances cannot be set up.
-    #[error("{0}")]
-    Peers(String),
+    #[error(transparent)]
+    Peers(#[from] peers::StartError),
     /// The event loop failed.
     #[error(transparent)]
     EventLoop(#[from] calloop::Error),
@@ -285,6 +285,6 @@
     incarnation: u64,
 ) -> Result<Option<Peers>, ServerError> {
     let Some((fleet, room)) = &config.fleet else { return Ok(None) };
-    let peers = Peers::start(now, handle, (fleet, *room), incarnation, config.seed);
-    peers.map(Some).map_err(ServerError::Peers)
+    let peers = Peers::start(now, handle, (fleet, *room), incarnation, config.seed)?;
+    Ok(Some(peers))
 }
