--- a/crates/router/tests/admission.rs
+++ b/crates/router/tests/admission.rs
@@ -104,9 +104,9 @@
 
 #[test]
 fn a_retry_past_its_objective_is_rejected_where_late_answers_are_worthless() {
-    // Found at full size: a seventh of all parts were sent for retries that could no longer earn.
+    // Guards against work for retries whose answers have no value any more.
     assert!(sends(&query_whose_late_answer_is_worthless(true, 3 * SECOND)).is_empty());
-    // With most of the six seconds left, and for a first try, whatever its time, there is work to do.
+    // With most of the six seconds left, and for a first attempt, whatever its time, there is work to do.
     assert_eq!(sends(&query_whose_late_answer_is_worthless(true, 5 * SECOND)).len(), 2);
     assert_eq!(sends(&query_whose_late_answer_is_worthless(false, 3 * SECOND)).len(), 2);
 }
@@ -122,7 +122,7 @@
     }
 }
 
-/// Found on a day with a few crowded replicas: their misses shed queries that never touched them.
+/// Guards against load shed for a few crowded replicas: their misses would reject queries that never touch them.
 #[test]
 fn misses_at_an_overdue_part_shed_no_load() {
     let mut s = settings(vec![class(Idempotency::Idempotent), class(Idempotency::Idempotent)]);
--- a/crates/router/tests/endpoints.rs
+++ b/crates/router/tests/endpoints.rs
@@ -41,8 +41,7 @@
     assert!(!driver.advance(20 * SECOND).contains(&Action::WatchEndpoints));
 }
 
-// Guards the memory of a long day on which backends are replaced all the time: what is gone is forgotten,
-// once nothing is out there.
+/// Guards the bound on memory while backends are replaced all the time.
 #[test]
 fn removed_backends_are_forgotten() {
     let mut driver = Driver::ready(idempotent_settings());
--- a/crates/router/tests/many_routers.rs
+++ b/crates/router/tests/many_routers.rs
@@ -156,9 +156,7 @@
     (fleet, started)
 }
 
-// Found at full size: shares of less than a part were drawn for as if a backend got every part that it could
-// hold, and only while nothing had gone there in a second. Warming backends did a tenth of what they could, and
-// the warm ones turned parts away.
+/// Guards against quotas of less than a part that leave warming backends idle while the warm ones reject parts.
 #[test]
 fn a_hundred_routers_use_a_warming_backend_as_far_as_it_can_serve() {
     let (mut fleet, started) = fleet_with_warming(|s| s % 5 == 0, 30.0, 1);
@@ -205,8 +203,7 @@
     }
 }
 
-// Found at full size: an ejected backend was checked and tried after a fifth of a second, and then every 1.6 s at the
-// latest, by each of the routers. A hundred recovery attempts in that time are all the parts that a backend gets.
+/// Guards against recovery attempts of so many routers that together they are a healthy backend's whole load.
 #[test]
 fn a_hundred_routers_leave_a_failing_backend_nearly_alone() {
     let mut fleet = Fleet::new(100, 30, 60.0, 4);
--- a/crates/router/tests/outlier.rs
+++ b/crates/router/tests/outlier.rs
@@ -72,7 +72,7 @@
     driver
 }
 
-/// Found at full size: with seconds between two answers the median had faded, and all stood out.
+/// Guards against an outdated median: with seconds between two answers every attempt would be overdue beside it.
 #[test]
 fn backends_that_are_slow_alike_are_not_ejected_however_few_the_queries() {
     let mut driver = driver_with_little_traffic();
@@ -87,7 +87,7 @@
     }
 }
 
-/// The other side of it: one that hangs is found out by the answers of its query's other parts.
+/// Guards against a backend that hangs unseen: the answers of its query's other parts show it.
 #[test]
 fn a_backend_that_hangs_is_ejected_however_few_the_queries() {
     let mut driver = driver_with_little_traffic();
@@ -105,9 +105,8 @@
     assert_eq!(ejected, [2]);
 }
 
-// Guards against ejecting healthy backends on days on which each breaks a connection now and then: at one time
-// half of them were passed over and the rest had to carry their load. A connection that breaks under many
-// parts is one failure, one failure is no proof, and a backend that goes on failing is found all the same.
+/// Guards against ejecting backends that break a connection now and then, until the rest carry their load. A
+/// connection that breaks under many parts is one failure, and a backend that goes on failing is ejected all the same.
 #[test]
 fn a_broken_connection_now_and_then_ejects_nothing() {
     let mut driver = Driver::ready(idempotent_settings());
--- a/crates/router/tests/planned_queries.rs
+++ b/crates/router/tests/planned_queries.rs
@@ -18,8 +18,8 @@
     driver.handle(events)
 }
 
-// Guards planned queries: the router sends what comes and repeats what is idempotent, but answers nothing by
-// itself, and a later part goes out without another chance of rejection.
+/// Guards planned queries: the router sends what comes and retries what is idempotent, but answers nothing by
+/// itself, and a later part is sent without another chance of rejection.
 #[test]
 fn a_planned_query_is_answered_by_whoever_planned_it() {
     let mut driver = Driver::ready(settings(vec![class(Idempotency::NonIdempotent)]));
@@ -47,7 +47,7 @@
     assert!(final_actions(&driver.advance(8 * SECOND)).is_empty(), "nothing more is said of it");
 }
 
-// Guards the rate's counters: a planned query counts once, as any other does, however many parts it had.
+/// Guards the drop rate's counts: a planned query counts once, as any other does, however many parts it had.
 #[test]
 fn a_planned_query_counts_once() {
     let misses = |planned_ones: bool| {
@@ -89,8 +89,8 @@
     assert!(sends(&driver.advance(SECOND)).iter().all(|(part, _)| *part != sent[0].0));
 }
 
-// Guards others against planned queries under overload: the rate rejects these whole and before any part, as it
-// does others, and one that was admitted keeps its later parts.
+/// Guards other queries against planned ones under overload: these are rejected at the same rate, before any part, and
+/// one that was admitted keeps its later parts.
 #[test]
 fn overload_rejects_planned_queries_before_their_first_part() {
     let mut driver = Driver::ready(idempotent_settings());
--- a/crates/router/tests/replica_selection.rs
+++ b/crates/router/tests/replica_selection.rs
@@ -29,7 +29,7 @@
     assert_ne!(first, second);
 }
 
-/// Found on quiet days: half of all parts crossed zones for nothing.
+/// Guards against parts that cross zones for nothing while there is little load.
 #[test]
 fn ties_stay_in_the_own_zone_where_cross_zone_traffic_costs() {
     for (costs, known) in [(true, true), (false, true), (true, false)] {
--- a/crates/router/tests/retry.rs
+++ b/crates/router/tests/retry.rs
@@ -126,7 +126,7 @@
     }
 }
 
-/// Guards against one part alone on a silent backend that makes one failure and is then forgotten.
+/// Guards against one part alone on a silent backend that counts as one failure and is then forgotten.
 #[test]
 fn a_single_part_at_a_silent_backend_is_moved() {
     let mut driver = driver_without_hedging();
@@ -141,7 +141,7 @@
     assert!(moved.iter().any(|(part, to)| *part == stuck && *to != backend), "{moved:?}");
 }
 
-/// Guards against hedges that take the capacity which shedding has just made room for.
+/// Guards against hedges that take the capacity that load shedding has just freed.
 #[test]
 fn nothing_is_hedged_while_the_class_sheds_load() {
     for shed in [false, true] {
@@ -175,7 +175,7 @@
     }
 }
 
-/// Found on a day with queries that kill: each retry took one more backend down.
+/// Guards against a query that brings down one more backend with each retry.
 #[test]
 fn a_query_with_which_two_backends_fell_is_not_retried() {
     let mut driver = Driver::ready(idempotent_settings());
@@ -192,8 +192,8 @@
     assert_eq!(sends(&driver.completed(sent[2].0, 0, Outcome::ConnectionLost, 20 * MS)).len(), 1);
 }
 
-/// Found at the whole fleet's size: a search of thirty parts met three full backends, and some of its parts
-/// waited for the budget of retries until the objective had passed, though nothing had run twice.
+/// Guards wide queries that meet a few full backends: their rejected parts must not wait for the retry budget until
+/// the objective has passed, as nothing runs twice.
 #[test]
 fn parts_that_were_only_rejected_are_all_retried_while_no_load_is_shed() {
     let mut driver = Driver::ready(idempotent_settings());
--- a/crates/router/tests/slow_start_bound.rs
+++ b/crates/router/tests/slow_start_bound.rs
@@ -40,7 +40,7 @@
     Zone,
     /// Six come back under their old names with a new start, each second two.
     Again,
-    /// Two thirds are warming, and all routers have just started.
+    /// Two thirds have just started, and so have all routers.
     Herd,
 }
 
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Case {
     routers: usize,
-    /// How many routers each is told that there are.
+    /// How many routers each is configured with.
     configured_routers: u32,
     spread: Spread,
     scene: Scene,
@@ -116,15 +116,20 @@
     case: Case,
     rng: fastrand::Rng,
     routers: Vec<Router>,
-    /// What each router has to be told, and in which of its batches.
+    /// The events of each router, by its batches.
     due: BTreeMap<(Micros, usize), Vec<Event>>,
     attempts: BTreeMap<PartId, u32>,
     sent: Vec<Sent>,
-    /// When each backend last started warming.
+    /// When each backend last started.
     started: BTreeMap<u32, Micros>,
 }
 
-/// The window in which a backend was sent the most beside its bound, over all backends that were warming.
+fn snapshot(list: &BTreeMap<u32, Option<Micros>>) -> Event {
+    let endpoints = list.iter().map(|(id, started_at)| endpoint(*id, EndpointState::Ready, *started_at));
+    Event::EndpointUpdate(EndpointUpdate::Snapshot(endpoints.collect()))
+}
+
+/// The window in which a backend was sent the most beside its bound, over all backends that warmed up.
 #[derive(Debug, Default)]
 struct WorstWindow {
     /// What it was sent, in calls of mean work.
@@ -132,18 +137,19 @@
     /// What the settings let it bear then, in the same.
     allowed: f64,
     bound: f64,
-    /// What warming backends were sent in all, as a share of all that they could do while they were warming.
+    /// What warming backends were sent in all, as a fraction of what they could do meanwhile.
     used: f64,
 }
 
 impl Fleet {
     fn new(case: Case) -> Self {
         let rng = fastrand::Rng::with_seed(case.seed);
-        let router = |i: usize| Router::new(case.seed * 1_000 + i as u64, case.settings()).expect("healthy");
+        let router =
+            |i: usize| Router::new(case.seed * 1_000 + i as u64, case.settings()).expect("valid settings");
         let routers = (0..case.routers).map(router).collect();
         let (due, attempts, started) = Default::default();
         let mut fleet = Self { case, rng, routers, due, attempts, sent: Vec::new(), started };
-        fleet.lists();
+        fleet.endpoint_updates();
         fleet.queries();
         fleet
     }
@@ -152,60 +158,59 @@
         at.div_ceil(TICK) * TICK
     }
 
-    /// What discovery says, and when.
-    fn lists(&mut self) {
-        let begin = START - BEFORE;
-        let base: Vec<(u32, Option<Micros>)> = (0..BACKENDS).map(|s| (s, None)).collect();
-        let third = |s: &u32| s % 3 == 1;
-        // From when on, what has a new start.
-        let mut news: Vec<(Micros, Vec<u32>)> = Vec::new();
+    /// Which backends start, and when.
+    fn starts(&self) -> Vec<(Micros, Vec<u32>)> {
+        let each_second = |i: u32| START + u64::from(i) * SECOND;
         match self.case.scene {
-            Scene::OneByOne => news.extend((0..6).map(|i| (START + u64::from(i) * SECOND, vec![i * 3 + 1]))),
-            Scene::Several => news.push((START, (0..BACKENDS).filter(third).collect())),
-            Scene::Zone => news.push((START, (0..BACKENDS).collect())),
-            Scene::Again => {
-                news.extend((0..3).map(|i| (START + u64::from(i) * SECOND, vec![i * 6, i * 6 + 4])))
-            }
-            Scene::Herd => news.push((START, (0..BACKENDS).filter(|s| s % 3 > 0).collect())),
+            Scene::OneByOne => (0..6).map(|i| (each_second(i), vec![i * 3 + 1])).collect(),
+            Scene::Several => vec![(START, (0..BACKENDS).filter(|id| id % 3 == 1).collect())],
+            Scene::Zone => vec![(START, (0..BACKENDS).collect())],
+            Scene::Again => (0..3).map(|i| (each_second(i), vec![i * 6, i * 6 + 4])).collect(),
+            Scene::Herd => vec![(START, (0..BACKENDS).filter(|id| id % 3 > 0).collect())],
         }
-        let mut list: BTreeMap<u32, Option<Micros>> = base.into_iter().collect();
-        let starts: Vec<u32> = news.iter().flat_map(|(_, ids)| ids.clone()).collect();
+    }
+
+    /// What discovery says, and when.
+    fn endpoint_updates(&mut self) {
+        let starts = self.starts();
+        let starting: Vec<u32> = starts.iter().flat_map(|(_, ids)| ids.clone()).collect();
+        let mut list: BTreeMap<u32, Option<Micros>> = (0..BACKENDS).map(|id| (id, None)).collect();
         let was_there = matches!(self.case.scene, Scene::Zone | Scene::Again);
         if !was_there {
-            starts.iter().for_each(|id| _ = list.remove(id));
+            starting.iter().for_each(|id| _ = list.remove(id));
         }
-        let entries = |list: &BTreeMap<u32, Option<Micros>>| {
-            let all =
-                list.iter().map(|(id, started)| endpoint(*id, EndpointState::Ready, *started)).collect();
-            Event::EndpointUpdate(EndpointUpdate::Snapshot(all))
-        };
         let herd = self.case.scene == Scene::Herd;
-        for at in (0..self.case.routers).filter(|_| !herd) {
-            self.due.entry((Self::batch_time(begin), at)).or_default().push(entries(&list));
+        for router in (0..self.case.routers).filter(|_| !herd) {
+            self.add_event(START - BEFORE, router, snapshot(&list));
         }
-        let mut configured_routers = Vec::new();
+        let mut updates = Vec::new();
         if was_there {
             // What comes back was lost before, and nobody sends to it: what is sent from the start on is sent
             // by routers that know of it.
-            starts.iter().for_each(|id| _ = list.remove(id));
-            configured_routers.push((START - SECOND, entries(&list)));
+            starting.iter().for_each(|id| _ = list.remove(id));
+            updates.push((START - SECOND, snapshot(&list)));
         }
-        for (when, ids) in news {
+        for (at, ids) in starts {
             for id in ids {
-                list.insert(id, Some(when));
-                self.started.insert(id, when);
+                list.insert(id, Some(at));
+                self.started.insert(id, at);
             }
-            configured_routers.push((when, entries(&list)));
+            updates.push((at, snapshot(&list)));
         }
-        for (when, news) in configured_routers {
-            for at in 0..self.case.routers {
+        for (at, update) in updates {
+            for router in 0..self.case.routers {
                 // Each hears of it a little later than the other.
-                let after = if herd { 0 } else { self.rng.u64(0..200 * MS) };
-                self.due.entry((Self::batch_time(when + after), at)).or_default().push(news.clone());
+                let delay = if herd { 0 } else { self.rng.u64(0..200 * MS) };
+                self.add_event(at + delay, router, update.clone());
             }
         }
     }
 
+    /// Hands a router an event in its next batch.
+    fn add_event(&mut self, at: Micros, router: usize, event: Event) {
+        self.due.entry((Self::batch_time(at), router)).or_default().push(event);
+    }
+
     /// Every query that comes to a router.
     fn queries(&mut self) {
         let case = self.case;
@@ -388,7 +393,7 @@
     hold_all("light", 0.1, |case| case.seen = 0.8);
 }
 
-// A warming backend that seems twice as slow as it is answers hardly in time, and is sent little.
+// A warming backend that seems twice as slow as it is hardly answers in time, and is sent little.
 #[test]
 fn warming_backends_hold_where_parts_look_heavier_than_they_are() {
     hold_all("heavy", 0.03, |case| case.seen = 2.0);
