--- a/crates/router/src/admission.rs
+++ b/crates/router/src/admission.rs
@@ -10,7 +10,8 @@
 //!   (`excluded_from_objective`);
 //! - so many of its parts have no replica that answers in time that it [`cannot_meet_objective`].
 //!
-//! A retry is told when to come back at the earliest by `retry_after`.
+//! Which parts of an admitted query are sent, and when it is rejected later after all, is in [`crate::completion`]. A
+//! rejected client is told when it may come back by `retry_after`.
 
 use crate::events::{Outcome, QueryArrival};
 use crate::ids::{BackendId, ClassId, Micros};
@@ -31,7 +32,7 @@
 /// With lower counts too little was seen to judge by: queries are taken to meet their objective.
 const MIN_COUNT: f64 = 0.3;
 /// A part that is expected to take more than this fraction of the time to the objective is taken to miss it.
-const MAX_OBJECTIVE_FRACTION_OF_PART: f64 = 0.3;
+const MAX_PART_OBJECTIVE_FRACTION: f64 = 0.3;
 
 /// The state of one class.
 #[derive(Clone, Debug, Default)]
@@ -155,7 +156,7 @@
     time_left: Micros,
     parts: impl Iterator<Item = ExpectedPart>,
 ) -> bool {
-    let longest_wait = MAX_OBJECTIVE_FRACTION_OF_PART * time_left as f64;
+    let longest_wait = MAX_PART_OBJECTIVE_FRACTION * time_left as f64;
     let late = parts.filter(|part| part.wait.is_some_and(|wait| wait > longest_wait));
     let late_weight: f64 = late.map(|part| part.weight).sum();
     late_weight > 1.0 - class.minimum_completeness + ROUNDING
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -88,7 +88,6 @@
 
 pub mod admission;
 pub mod completion;
-pub mod latency;
 pub mod outlier;
 pub mod overdue;
 pub mod random;
@@ -102,6 +101,7 @@
 mod events;
 mod hash;
 mod ids;
+mod latency;
 mod query;
 mod replica_selection;
 mod router;
--- a/crates/router/src/replica_selection.rs
+++ b/crates/router/src/replica_selection.rs
@@ -44,7 +44,7 @@
     }
 
     /// Whether one more part fits into the batch's last call to a backend.
-    pub(crate) fn has_room(&self, backend: BackendId, parts_per_call: u32) -> bool {
+    pub(crate) fn has_space(&self, backend: BackendId, parts_per_call: u32) -> bool {
         self.0.get(&backend).is_some_and(|call| call.parts < parts_per_call)
     }
 
--- a/crates/router/src/router/sending.rs
+++ b/crates/router/src/router/sending.rs
@@ -16,12 +16,14 @@
 const RESEND_INTERVAL_US: Micros = 50_000;
 
 /// What becomes of a part that is to be sent.
-enum Step {
+enum NextStep {
+    /// Its query has ended, or no time is left, or an attempt is in flight that has to do.
     Skip,
     /// It has failed for good.
     PartFailed,
     /// No backend can take it now, or the retry budget is used up.
     Wait,
+    /// This backend takes it.
     Send(BackendId),
 }
 
@@ -36,31 +38,32 @@
         for id in std::mem::take(&mut self.to_send) {
             let Some(part) = self.parts.get(id) else { continue };
             match self.next_step(part, &batch) {
-                Step::Skip => {}
-                Step::PartFailed => self.part_failed(id),
-                Step::Wait => self.timers.set(self.now + RESEND_INTERVAL_US, Timer::Resend(id)),
-                Step::Send(backend) => self.send(id, backend, overdue_at, &mut batch),
+                NextStep::Skip => {}
+                NextStep::PartFailed => self.part_failed(id),
+                NextStep::Wait => self.timers.set(self.now + RESEND_INTERVAL_US, Timer::Resend(id)),
+                NextStep::Send(backend) => self.send(id, backend, overdue_at, &mut batch),
             }
         }
     }
 
-    fn next_step(&self, part: &Part, batch: &BatchCalls) -> Step {
+    /// Asks the rules in turn: may it be repeated, is there budget, is there a replica?
+    fn next_step(&self, part: &Part, batch: &BatchCalls) -> NextStep {
         let Some(query) = self.queries.get(&part.query).filter(|_| part.is_wanted()) else {
-            return Step::Skip;
+            return NextStep::Skip;
         };
         if self.now + MIN_TIME_LEFT_US >= query.ends_at {
-            return Step::Skip;
+            return NextStep::Skip;
         }
         let in_flight = part.is_in_flight();
         if !part.attempts.is_empty() && !self.retries.may_repeat(self.now, &self.history(part), false) {
-            return if in_flight { Step::Skip } else { Step::PartFailed };
+            return if in_flight { NextStep::Skip } else { NextStep::PartFailed };
         }
         let arrivals = self.traffic.arrivals();
         let has_budget = !self.draws_on_retry_budget(part) || self.retry_budget.allows_retry(arrivals);
         match has_budget.then(|| self.choose_replica(part, batch)).flatten() {
-            Some(backend) => Step::Send(backend),
-            None if in_flight => Step::Skip,
-            None => Step::Wait,
+            Some(backend) => NextStep::Send(backend),
+            None if in_flight => NextStep::Skip,
+            None => NextStep::Wait,
         }
     }
 
@@ -93,7 +96,7 @@
 
     fn send(&mut self, id: PartId, to: BackendId, overdue_at: Micros, batch: &mut BatchCalls) {
         let Some(part) = self.parts.get(id) else { return };
-        let joins_call = batch.has_room(to, self.settings.layout.parts_per_call);
+        let joins_call = batch.has_space(to, self.settings.layout.parts_per_call);
         let work = self.part_work(part.class, joins_call).added();
         let draws_on_budget = self.draws_on_retry_budget(part);
         let repeat_by = self.retries.repeat_by(&self.history(part));
