--- a/crates/router/src/completion.rs
+++ b/crates/router/src/completion.rs
@@ -23,6 +23,13 @@
     limit.saturating_sub(RESPONSE_MARGIN_US).max(now)
 }
 
+/// How long an attempt that is sent now is waited for, in microseconds: until its answer has no value any more.
+pub(crate) fn attempt_timeout(now: Micros, query: &Query, class: &Class) -> Micros {
+    let has_late_value = class.late_value > 0.0;
+    let useful_until = if has_late_value { query.ends_at } else { query.objective_at.min(query.ends_at) };
+    useful_until.saturating_sub(now).max(1)
+}
+
 /// What is to become of a query when one of its limits is near.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
--- a/crates/router/src/outlier.rs
+++ b/crates/router/src/outlier.rs
@@ -6,6 +6,7 @@
 //! unsuccessful try, an ejected backend is tried with one part (after a health check, where health checks are
 //! allowed), and the answer to it counts for more than an ordinary one.
 
+use crate::events::Outcome;
 use crate::ids::Micros;
 use crate::settings::Settings;
 use crate::traffic::MAX_FADE_TIME_US;
@@ -47,6 +48,29 @@
 }
 
 impl HealthSignal {
+    /// What the end of an attempt says of its backend, if anything. An attempt that was overdue has counted
+    /// against its backend already. `is_recovery`: it was sent after the backend's ejection.
+    pub fn of(outcome: Outcome, was_overdue: bool, is_recovery: bool) -> Option<Self> {
+        match outcome {
+            Outcome::BackendError | Outcome::ConnectFailed => Some(Self::StrongFailure),
+            Outcome::ConnectionLost | Outcome::Rejected => Some(Self::WeakFailure),
+            Outcome::Succeeded | Outcome::TimedOut if was_overdue => None,
+            Outcome::TimedOut => Some(Self::WeakFailure),
+            Outcome::Succeeded if is_recovery => Some(Self::RecoverySuccess),
+            Outcome::Succeeded => Some(Self::Success),
+            Outcome::Cancelled | Outcome::NotSent => None,
+        }
+    }
+
+    /// What an overdue attempt says of its backend: a strong failure if nothing was heard from it since.
+    pub fn of_overdue(is_silent: bool) -> Self {
+        if is_silent {
+            Self::StrongFailure
+        } else {
+            Self::WeakFailure
+        }
+    }
+
     fn is_failure(self) -> bool {
         matches!(self, Self::StrongFailure | Self::WeakFailure)
     }
--- a/crates/router/src/retry.rs
+++ b/crates/router/src/retry.rs
@@ -44,17 +44,30 @@
     }
 }
 
+/// What to do about an overdue attempt of a part that may have one more.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum OverdueResponse {
+    /// Send another attempt beside it.
+    Hedge,
+    /// Cancel it; the part is sent elsewhere once that is confirmed, so that never two are in flight.
+    Cancel,
+    /// Leave it, and look at it again later.
+    CheckAgain,
+}
+
 /// Which repeats are harmless and within the deployment's limits.
 #[derive(Debug)]
 pub struct RetryPolicy {
     max_attempts: usize,
     hedging: bool,
+    cancellation: bool,
 }
 
 impl RetryPolicy {
-    /// Takes the most attempts of a part, and whether two of them may be in flight at once.
+    /// Takes the most attempts of a part, and whether two may be in flight at once and one be cancelled.
     pub fn new(limits: &DeploymentLimits) -> Self {
-        Self { max_attempts: limits.max_attempts as usize, hedging: limits.hedging }
+        let DeploymentLimits { hedging, cancellation, .. } = *limits;
+        Self { max_attempts: limits.max_attempts as usize, hedging, cancellation }
     }
 
     /// Whether one more attempt may begin now. `after_cancelling`: the one in flight is cancelled first.
@@ -63,6 +76,18 @@
         !blocked && part.attempts < self.max_attempts && now < self.repeat_by(part)
     }
 
+    /// What to do about an overdue attempt. Without hedging, only a backend that was ejected before and is silent
+    /// loses the part: one that still answers, if slowly, does the work in any case, and moving it does it twice.
+    pub fn overdue_response(&self, was_ejected: bool, is_silent: bool) -> OverdueResponse {
+        if self.hedging {
+            OverdueResponse::Hedge
+        } else if was_ejected && is_silent && self.cancellation {
+            OverdueResponse::Cancel
+        } else {
+            OverdueResponse::CheckAgain
+        }
+    }
+
     /// Until when one more attempt may begin without taking effect a second time: without limit for an
     /// idempotent part, inside the dedup window for one with an idempotency key, and never for another,
     /// unless no attempt can have run.
--- a/crates/router/src/router/attempts.rs
+++ b/crates/router/src/router/attempts.rs
@@ -6,7 +6,7 @@
 use crate::ids::{BackendId, ClassId, Micros, PartId, QueryId};
 use crate::outlier::HealthSignal;
 use crate::query::{Attempt, CallId, Part};
-use crate::retry::is_poison_query;
+use crate::retry::{is_poison_query, OverdueResponse};
 use crate::timers::Timer;
 
 /// An attempt that has ended, with what is needed of its part.
@@ -32,9 +32,7 @@
         let Some(ended) = self.end_attempt(id, number, outcome, took) else { return };
         self.update_backend(&ended);
         self.record_latency(&ended);
-        if let Some(signal) = self.health_signal(&ended) {
-            self.record_health_signal(ended.backend, signal);
-        }
+        self.record_health(&ended);
         let query = ended.query;
         if ended.unanswered && outcome == Outcome::ConnectionLost && self.is_poison_query(query) {
             self.give_up(query);
@@ -105,19 +103,11 @@
         }
     }
 
-    /// What an ended attempt says of its backend. One that was overdue has been held against it already.
-    fn health_signal(&self, ended: &EndedAttempt) -> Option<HealthSignal> {
-        match ended.outcome {
-            Outcome::BackendError | Outcome::ConnectFailed => Some(HealthSignal::StrongFailure),
-            Outcome::ConnectionLost | Outcome::Rejected => Some(HealthSignal::WeakFailure),
-            Outcome::Succeeded | Outcome::TimedOut if ended.was_overdue => None,
-            Outcome::TimedOut => Some(HealthSignal::WeakFailure),
-            Outcome::Succeeded => {
-                let backend = self.endpoints.get(ended.backend)?;
-                let is_recovery = backend.health.is_recovery(ended.sent_at);
-                Some(if is_recovery { HealthSignal::RecoverySuccess } else { HealthSignal::Success })
-            }
-            Outcome::Cancelled | Outcome::NotSent => None,
+    fn record_health(&mut self, ended: &EndedAttempt) {
+        let Some(backend) = self.endpoints.get(ended.backend) else { return };
+        let is_recovery = backend.health.is_recovery(ended.sent_at);
+        if let Some(signal) = HealthSignal::of(ended.outcome, ended.was_overdue, is_recovery) {
+            self.record_health_signal(ended.backend, signal);
         }
     }
 
@@ -138,11 +128,9 @@
             self.timers.set(next_check, Timer::Overdue(id, number));
             return;
         }
-        // A backend that still answers, if slowly, does the work in any case: moving it does it twice.
         let is_silent = self.endpoints.get(backend).is_some_and(|b| !b.latency.heard_since(sent_at));
         let was_ejected = self.endpoints.is_ejected(backend);
-        let signal = if is_silent { HealthSignal::StrongFailure } else { HealthSignal::WeakFailure };
-        self.record_health_signal(backend, signal);
+        self.record_health_signal(backend, HealthSignal::of_overdue(is_silent));
         self.send_spare_part(query);
         if let Some(attempt) = self.parts.get_mut(id).and_then(|p| p.attempts.get_mut(number as usize)) {
             attempt.overdue = true;
@@ -150,13 +138,10 @@
         if !self.may_hedge(id) {
             return;
         }
-        if self.settings.limits.hedging {
-            self.to_send.push(id);
-        } else if was_ejected && is_silent && self.settings.limits.cancellation {
-            // Never two at once: cancelled here, sent elsewhere once that is confirmed.
-            self.actions.push(Action::Cancel { part: id, attempt: number });
-        } else {
-            self.timers.set(next_check, Timer::Overdue(id, number));
+        match self.retries.overdue_response(was_ejected, is_silent) {
+            OverdueResponse::Hedge => self.to_send.push(id),
+            OverdueResponse::Cancel => self.actions.push(Action::Cancel { part: id, attempt: number }),
+            OverdueResponse::CheckAgain => self.timers.set(next_check, Timer::Overdue(id, number)),
         }
     }
 
--- a/crates/router/src/router/sending.rs
+++ b/crates/router/src/router/sending.rs
@@ -2,11 +2,11 @@
 
 use super::Router;
 use crate::backend::Backend;
+use crate::completion::attempt_timeout;
 use crate::events::Action;
 use crate::ids::{BackendId, Micros, PartId};
-use crate::query::{Attempt, CallId, Part, Query};
+use crate::query::{Attempt, CallId, Part};
 use crate::replica_selection::BatchCalls;
-use crate::settings::Class;
 use crate::slow_start::Demand;
 use crate::timers::Timer;
 
@@ -127,11 +127,3 @@
         }
     }
 }
-
-/// How long an attempt that is sent now is waited for, in microseconds: until its answer can no longer earn
-/// anything.
-fn attempt_timeout(now: Micros, query: &Query, class: &Class) -> Micros {
-    let is_late_useful = class.late_value > 0.0;
-    let useful_until = if is_late_useful { query.ends_at } else { query.objective_at.min(query.ends_at) };
-    useful_until.saturating_sub(now).max(1)
-}
--- a/crates/router/tests/outlier.rs
+++ b/crates/router/tests/outlier.rs
@@ -206,3 +206,23 @@
         assert_ne!(health.avoidance(), 0);
     }
 }
+
+#[test]
+fn each_outcome_says_of_its_backend_what_it_can() {
+    use HealthSignal::*;
+    let cases = [
+        (Outcome::Succeeded, Some(Success), None),
+        (Outcome::BackendError, Some(StrongFailure), Some(StrongFailure)),
+        (Outcome::ConnectFailed, Some(StrongFailure), Some(StrongFailure)),
+        (Outcome::ConnectionLost, Some(WeakFailure), Some(WeakFailure)),
+        (Outcome::Rejected, Some(WeakFailure), Some(WeakFailure)),
+        (Outcome::TimedOut, Some(WeakFailure), None),
+        (Outcome::Cancelled, None, None),
+        (Outcome::NotSent, None, None),
+    ];
+    for (outcome, signal, signal_of_overdue) in cases {
+        assert_eq!(HealthSignal::of(outcome, false, false), signal, "{outcome:?}");
+        assert_eq!(HealthSignal::of(outcome, true, false), signal_of_overdue, "{outcome:?}, overdue");
+    }
+    assert_eq!(HealthSignal::of(Outcome::Succeeded, false, true), Some(RecoverySuccess));
+}
--- a/crates/router/tests/retry.rs
+++ b/crates/router/tests/retry.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use mallowgauge_router::overdue::RecentAnswers;
-use mallowgauge_router::retry::{PartHistory, RetryBudget, RetryPolicy};
+use mallowgauge_router::retry::{OverdueResponse, PartHistory, RetryBudget, RetryPolicy};
 use mallowgauge_router::*;
 
 /// A warmed-up router that may have only one attempt of a part out.
@@ -300,3 +300,17 @@
     assert_eq!(answers.overdue_after(), 1_500 * MS);
     assert!(!answers.is_overdue(now, sent_at, 0));
 }
+
+#[test]
+fn an_overdue_attempt_is_hedged_or_moved_only_from_an_ejected_silent_backend() {
+    let limits = idempotent_settings().limits;
+    let response = |hedging: bool, cancellation: bool, was_ejected: bool, is_silent: bool| {
+        let policy = RetryPolicy::new(&DeploymentLimits { hedging, cancellation, ..limits.clone() });
+        policy.overdue_response(was_ejected, is_silent)
+    };
+    assert_eq!(response(true, true, false, false), OverdueResponse::Hedge);
+    assert_eq!(response(false, true, true, true), OverdueResponse::Cancel);
+    assert_eq!(response(false, false, true, true), OverdueResponse::CheckAgain);
+    assert_eq!(response(false, true, false, true), OverdueResponse::CheckAgain);
+    assert_eq!(response(false, true, true, false), OverdueResponse::CheckAgain);
+}
