--- a/crates/router/tests/outlier.rs
+++ b/crates/router/tests/outlier.rs
@@ -72,7 +72,7 @@
     driver
 }
 
-/// Found at full size: with seconds between two answers the median had faded, and all stood out.
+/// Guards against an outdated median: with seconds between two answers every attempt would be overdue beside it.
 #[test]
 fn backends_that_are_slow_alike_are_not_ejected_however_few_the_queries() {
     let mut driver = driver_with_little_traffic();
@@ -87,7 +87,7 @@
     }
 }
 
-/// The other side of it: one that hangs is found out by the answers of its query's other parts.
+/// Guards against a backend that hangs unseen: the answers of its query's other parts show it.
 #[test]
 fn a_backend_that_hangs_is_ejected_however_few_the_queries() {
     let mut driver = driver_with_little_traffic();
@@ -105,9 +105,8 @@
     assert_eq!(ejected, [2]);
 }
 
-// Guards against ejecting healthy backends on days on which each breaks a connection now and then: at one time
-// half of them were passed over and the rest had to carry their load. A connection that breaks under many
-// parts is one failure, one failure is no proof, and a backend that goes on failing is found all the same.
+/// Guards against ejecting backends that break a connection now and then, until the rest carry their load. A
+/// connection that breaks under many parts is one failure, and a backend that goes on failing is ejected all the same.
 #[test]
 fn a_broken_connection_now_and_then_ejects_nothing() {
     let mut driver = Driver::ready(idempotent_settings());
@@ -207,3 +206,23 @@
         assert_ne!(health.avoidance(), 0);
     }
 }
+
+#[test]
+fn each_outcome_says_of_its_backend_what_it_can() {
+    use HealthSignal::*;
+    let cases = [
+        (Outcome::Succeeded, Some(Success), None),
+        (Outcome::BackendError, Some(StrongFailure), Some(StrongFailure)),
+        (Outcome::ConnectFailed, Some(StrongFailure), Some(StrongFailure)),
+        (Outcome::ConnectionLost, Some(WeakFailure), Some(WeakFailure)),
+        (Outcome::Rejected, Some(WeakFailure), Some(WeakFailure)),
+        (Outcome::TimedOut, Some(WeakFailure), None),
+        (Outcome::Cancelled, None, None),
+        (Outcome::NotSent, None, None),
+    ];
+    for (outcome, signal, signal_of_overdue) in cases {
+        assert_eq!(HealthSignal::of(outcome, false, false), signal, "{outcome:?}");
+        assert_eq!(HealthSignal::of(outcome, true, false), signal_of_overdue, "{outcome:?}, overdue");
+    }
+    assert_eq!(HealthSignal::of(Outcome::Succeeded, false, true), Some(RecoverySuccess));
+}
