--- /dev/null
+++ b/crates/edge/src/takeover/mod.rs
@@ -0,0 +1,288 @@
+//! Between the core, which runs queries with side effects, and the cluster, which permits their attempts and records how
+//! they end. Decides nothing: what is permitted is decided in `mallowgauge_cluster::register`.
+
+pub mod records;
+
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::sync::Arc;
+
+use mallowgauge_cluster::takeover::{Action, ClientRequest, QueryEnd, RequestState};
+use mallowgauge_core::{
+    AttemptId, AttemptRequest, CompletedQuery, Core, Failure, QueryRequest, QueryResponse, ResponseHandle,
+};
+use mallowgauge_router::{BackendId, Micros, Outcome};
+
+use crate::peers::Peers;
+use records::{decode_request, decode_response, encode_request, query_end, request_digest};
+
+/// An attempt of a query's part.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct AttemptKey {
+    query: Rc<str>,
+    part: u32,
+    attempt: u32,
+}
+
+/// An attempt that waits for its permit.
+struct PendingAttempt {
+    backend: BackendId,
+    request: AttemptRequest,
+}
+
+/// Queries between the core and the cluster.
+#[derive(Default)]
+pub struct TakeoverAdapter {
+    pending: BTreeMap<AttemptKey, PendingAttempt>,
+    /// Clients that wait for a query's outcome after the core has released the query.
+    waiting: BTreeMap<Rc<str>, Vec<ResponseHandle>>,
+    /// Queries that were taken over so far.
+    taken_over: u64,
+}
+
+/// What is to be done by the rest of the program.
+pub enum Task {
+    /// An attempt is permitted: send it.
+    Send(BackendId, AttemptRequest),
+    /// Answer a client.
+    Reply(ResponseHandle, QueryResponse),
+}
+
+fn reply_to_all(handles: Vec<ResponseHandle>, response: &QueryResponse) -> Vec<Task> {
+    handles.into_iter().map(|handle| Task::Reply(handle, response.clone())).collect()
+}
+
+/// The response for clients of a query that ended so.
+fn response_to(end: &QueryEnd, core: &mut Core) -> QueryResponse {
+    match end {
+        QueryEnd::Answered(bytes) => {
+            decode_response(bytes).unwrap_or(QueryResponse::Failed(Failure::PartsFailed))
+        }
+        QueryEnd::PossiblyExecuted => QueryResponse::Failed(Failure::PartsFailed),
+        QueryEnd::NotExecuted => rejected(core),
+    }
+}
+
+fn rejected(core: &mut Core) -> QueryResponse {
+    QueryResponse::Rejected { retry_after: core.retry_after(), not_executed: true }
+}
+
+impl TakeoverAdapter {
+    /// The core wants to send an attempt: asks the cluster for a permit. If the query is owned by another instance, or
+    /// cannot be stored, the core releases it instead.
+    pub fn request_permit(
+        &mut self,
+        now: Micros,
+        backend: BackendId,
+        request: AttemptRequest,
+        core: &mut Core,
+        peers: &mut Peers,
+    ) -> Vec<Task> {
+        let Some((query, time_left)) = core.open_request(now, &request.query) else { return Vec::new() };
+        let state = peers.with_takeover_manager(now, |manager| manager.request_state(&request.query));
+        if state == Some(RequestState::AwaitingOutcome) {
+            // Submitted again here while it is being taken over, or its outcome comes from another instance.
+            let handles = core.release_query(&request.query);
+            self.await_outcome(now, &request.query, now + time_left, handles, peers);
+            return Vec::new();
+        }
+        let (payload, is_first_attempt) = (encode_request(query, time_left), !query.retry);
+        if payload.len() > peers.largest_record() {
+            let failed = QueryResponse::Failed(Failure::Invalid("more is asked than other gatherers keep"));
+            return reply_to_all(core.release_query(&request.query), &failed);
+        }
+        let (part, attempt) = (request.shard.0, request.attempt.number);
+        let id = Arc::from(&*request.query);
+        let key = AttemptKey { query: Rc::clone(&request.query), part, attempt };
+        self.pending.insert(key, PendingAttempt { backend, request });
+        let client_request =
+            ClientRequest { id: &id, payload: &payload, deadline: now + time_left, is_first_attempt };
+        peers
+            .with_takeover_manager(now, |manager| manager.request_permit(now, client_request, part, attempt));
+        Vec::new()
+    }
+
+    /// Nobody waits for an attempt any more; `true` if it was not sent yet, and will not be.
+    pub fn cancel_unsent(&mut self, now: Micros, attempt: AttemptId, peers: &mut Peers) -> bool {
+        let found = self.pending.iter().find(|(_, pending)| pending.request.attempt == attempt);
+        let Some(key) = found.map(|(key, _)| key.clone()) else { return false };
+        self.pending.remove(&key);
+        peers.with_takeover_manager(now, |manager| {
+            manager.mark_not_executed(&key.query, key.part, key.attempt);
+        });
+        true
+    }
+
+    /// An attempt ended in a way that proves that it was not executed.
+    pub fn attempt_not_executed(&mut self, now: Micros, attempt: AttemptId, core: &Core, peers: &mut Peers) {
+        if let Some((id, shard)) = core.attempt_target(attempt) {
+            peers.with_takeover_manager(now, |manager| {
+                manager.mark_not_executed(&id, shard.0, attempt.number);
+            });
+        }
+    }
+
+    /// A query with side effects has ended in the core: its clients are answered once its outcome is recorded, or at once
+    /// if no attempt ever asked for a permit and no other instance can have seen the query.
+    pub fn replicate_outcome(
+        &mut self,
+        now: Micros,
+        completed: CompletedQuery,
+        peers: &mut Peers,
+    ) -> Vec<Task> {
+        let CompletedQuery { request, deadline, response_handles, response, possibly_executed } = completed;
+        self.drop_pending(&request.id);
+        let state = peers
+            .with_takeover_manager(now, |manager| manager.request_state(&request.id))
+            .unwrap_or(RequestState::Unknown);
+        let is_final =
+            matches!(response, QueryResponse::Completed { .. } | QueryResponse::Failed(Failure::Invalid(_)));
+        // A query that was submitted before may have been executed elsewhere, whatever was decided here.
+        let maybe_elsewhere = request.retry && !is_final;
+        if state == RequestState::Unknown && !maybe_elsewhere {
+            return reply_to_all(response_handles, &response);
+        }
+        match state {
+            RequestState::Running => {
+                self.await_outcome(now, &request.id, deadline, response_handles, peers);
+                let end = query_end(&response, possibly_executed, peers.largest_record());
+                let id = Arc::from(&*request.id);
+                peers.with_takeover_manager(now, |manager| manager.query_ended(now, &id, end));
+            }
+            RequestState::Unknown => {
+                let is_taken_over = |handle: &ResponseHandle| matches!(handle, ResponseHandle::TakenOver(_));
+                if !response_handles.iter().all(is_taken_over) {
+                    Self::reject(now, &request, deadline, peers);
+                }
+                self.await_outcome(now, &request.id, deadline, response_handles, peers);
+            }
+            RequestState::AwaitingOutcome => {
+                self.await_outcome(now, &request.id, deadline, response_handles, peers);
+            }
+        }
+        Vec::new()
+    }
+
+    /// Has the cluster record that a query is not executed. Nobody is to run it, so its digest is enough, however large it
+    /// is.
+    fn reject(now: Micros, request: &QueryRequest, deadline: Micros, peers: &mut Peers) {
+        let (id, payload) = (Arc::from(&*request.id), request_digest(request).into());
+        let client_request = ClientRequest { id: &id, payload: &payload, deadline, is_first_attempt: false };
+        peers.with_takeover_manager(now, |manager| manager.reject(now, client_request));
+    }
+
+    /// Keeps clients until a query's outcome is known; one that was taken over has no client here.
+    fn await_outcome(
+        &mut self,
+        now: Micros,
+        id: &Rc<str>,
+        deadline: Micros,
+        handles: Vec<ResponseHandle>,
+        peers: &mut Peers,
+    ) {
+        let clients = handles.into_iter().filter(|handle| !matches!(handle, ResponseHandle::TakenOver(_)));
+        let clients: Vec<ResponseHandle> = clients.collect();
+        if !clients.is_empty() {
+            self.waiting.entry(Rc::clone(id)).or_default().extend(clients);
+            peers.with_takeover_manager(now, |manager| manager.await_outcome(id, deadline));
+        }
+    }
+
+    fn drop_pending(&mut self, id: &str) {
+        self.pending.retain(|key, _| &*key.query != id);
+    }
+
+    /// Carries out what the cluster has decided.
+    pub fn handle_action(
+        &mut self,
+        now: Micros,
+        action: Action,
+        core: &mut Core,
+        peers: &mut Peers,
+    ) -> Vec<Task> {
+        match action {
+            Action::PermitDecided { id, part, attempt, granted } => {
+                let key = AttemptKey { query: Rc::from(&*id), part, attempt };
+                self.permit_decided(now, &key, granted, core, peers).into_iter().collect()
+            }
+            Action::QueryEnded { id, end } => {
+                let handles = self.release_clients(&id, core);
+                let response = response_to(&end, core);
+                reply_to_all(handles, &response)
+            }
+            Action::OwnedByPeer { id } => {
+                let handles = core.release_query(&id);
+                self.drop_pending(&id);
+                self.waiting.entry(Rc::from(&*id)).or_default().extend(handles);
+                Vec::new()
+            }
+            Action::RequestIdConflict { id } => {
+                let failed = QueryResponse::Failed(Failure::Invalid("this id was asked with another body"));
+                reply_to_all(self.release_clients(&id, core), &failed)
+            }
+            Action::OutcomeUnknown { id, not_executed } => {
+                let response = if not_executed {
+                    rejected(core)
+                } else {
+                    QueryResponse::Failed(Failure::DeadlineExceeded)
+                };
+                reply_to_all(self.release_clients(&id, core), &response)
+            }
+            Action::TakeOver { id, payload, age } => {
+                if !self.run_taken_over(now, &id, &payload, age, core) {
+                    peers.with_takeover_manager(now, |manager| {
+                        manager.query_ended(now, &id, QueryEnd::NotExecuted);
+                    });
+                }
+                Vec::new()
+            }
+            Action::Send { .. } => Vec::new(),
+        }
+    }
+
+    /// Sends a permitted attempt, unless nobody waits for it any more.
+    fn permit_decided(
+        &mut self,
+        now: Micros,
+        key: &AttemptKey,
+        granted: bool,
+        core: &mut Core,
+        peers: &mut Peers,
+    ) -> Option<Task> {
+        let PendingAttempt { backend, request } = self.pending.remove(key)?;
+        if !granted {
+            core.attempt_completed(now, request.attempt, Outcome::NotSent, None);
+            return None;
+        }
+        if core.is_in_flight(request.attempt) {
+            return Some(Task::Send(backend, request));
+        }
+        peers.with_takeover_manager(now, |manager| {
+            manager.mark_not_executed(&key.query, key.part, key.attempt);
+        });
+        None
+    }
+
+    /// Submits a query that was taken over to the core; `false` if it cannot be run here.
+    fn run_taken_over(
+        &mut self,
+        now: Micros,
+        id: &str,
+        payload: &[u8],
+        age: Micros,
+        core: &mut Core,
+    ) -> bool {
+        self.taken_over += 1;
+        let handle = ResponseHandle::TakenOver(self.taken_over);
+        let Some(request) = decode_request(id, payload, age) else { return false };
+        request.class.0 < core.classes().count() && core.submit(now, handle, request).is_ok()
+    }
+
+    /// Takes out all clients here that wait for a query.
+    fn release_clients(&mut self, id: &str, core: &mut Core) -> Vec<ResponseHandle> {
+        self.drop_pending(id);
+        let mut handles = self.waiting.remove(id).unwrap_or_default();
+        handles.extend(core.release_query(id));
+        handles
+    }
+}
