--- a/crates/settings/tests/error_lines.rs
+++ b/crates/settings/tests/error_lines.rs
@@ -186,6 +186,11 @@
         ("/flight/host_tls", Some(json!({"other": 1}))),
         ("/flight/host_tls", Some(json!({}))),
         ("/flight/host_tls", Some(json!({"name": 1}))),
+    ]
+}
+
+fn peer_cases() -> Vec<Case> {
+    vec![
         ("/fleet", Some(json!([]))),
         ("/fleet/nmae", Some(json!("n1"))),
         ("/fleet/name", Some(json!(1))),
@@ -300,7 +305,7 @@
         let error = hosts::parse(&change(list(), case.0, case.1.clone())).expect_err("no list").to_string();
         lines.push(format!("{} => {error}", name("list", &case)));
     }
-    for case in operator_cases() {
+    for case in operator_cases().into_iter().chain(peer_cases()) {
         let error = load_error(&platform(), Some(&change(operator(), case.0, case.1.clone())));
         lines.push(format!("{} => {error}", name("operator", &case)));
     }
