--- a/crates/settings/tests/bad_input.rs
+++ b/crates/settings/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Spoilt files and lists: each is read or refused in one line, never more than that, and what is read is inside the
+//! Malformed files and lists: each is read, or rejected in one line, never more than that, and what is read is inside the
 //! bounds that the programs rest on.
 
 mod examples;
@@ -35,7 +35,7 @@
 }
 
 /// No text with a colon: one could be taken for an address, and looked up by its name.
-fn odd() -> impl Strategy<Value = Value> {
+fn unexpected_value() -> impl Strategy<Value = Value> {
     prop_oneof![
         Just(Value::Null),
         Just(json!(0)),
@@ -69,12 +69,12 @@
 
 fn change() -> impl Strategy<Value = Change> {
     prop_oneof![
-        4 => (any::<prop::sample::Index>(), odd()).prop_map(|(at, value)| Change::Put(at, value)),
+        4 => (any::<prop::sample::Index>(), unexpected_value()).prop_map(|(at, value)| Change::Put(at, value)),
         1 => any::<prop::sample::Index>().prop_map(Change::Take),
     ]
 }
 
-fn spoil(mut value: Value, changes: &[Change]) -> Value {
+fn mutate(mut value: Value, changes: &[Change]) -> Value {
     for change in changes {
         let mut all = Vec::new();
         places(&value, "", &mut all);
@@ -124,14 +124,14 @@
 }
 
 /// What is wrong is one line, and not one that holds all of what was sent.
-fn check_words(words: &str) -> Result<(), TestCaseError> {
+fn check_error_text(words: &str) -> Result<(), TestCaseError> {
     prop_assert!(!words.is_empty() && !words.contains(char::is_control), "{words:.300?}");
     prop_assert!(words.len() <= 510, "{} bytes: {words:.300}", words.len());
     Ok(())
 }
 
 #[test]
-fn what_is_spoilt_below_is_sound() {
+fn the_inputs_that_are_changed_below_are_valid() {
     assert_eq!(hosts::parse(&list()).expect("a list").hosts.len(), 3);
     assert!(Site::read(&platform()["settings"]).is_ok());
     let loaded = load(platform().to_string().as_bytes(), Some(operator().to_string().as_bytes()));
@@ -154,8 +154,8 @@
     #![proptest_config(cases(1500))]
 
     #[test]
-    fn a_spoilt_list_is_read_or_refused(changes in prop::collection::vec(change(), 1..4)) {
-        let value = spoil(list(), &changes);
+    fn a_malformed_list_is_read_or_rejected(changes in prop::collection::vec(change(), 1..4)) {
+        let value = mutate(list(), &changes);
         match hosts::parse(&value) {
             Ok(read) => {
                 prop_assert_eq!(Some(read.generation), value["generation"].as_u64());
@@ -165,36 +165,36 @@
                     prop_assert!(host.phase == EndpointState::Removed || host.addr.is_some());
                 }
             }
-            Err(error) => check_words(&error.to_string())?,
+            Err(error) => check_error_text(&error.to_string())?,
         }
     }
 
     #[test]
-    fn spoilt_settings_are_read_or_refused(changes in prop::collection::vec(change(), 1..4)) {
-        let value = spoil(platform()["settings"].clone(), &changes);
+    fn malformed_settings_are_read_or_rejected(changes in prop::collection::vec(change(), 1..4)) {
+        let value = mutate(platform()["settings"].clone(), &changes);
         match Site::read(&value) {
             Ok(site) => prop_assert_eq!(site.classes.len(), site.settings.classes.len()),
-            Err(error) => check_words(&error.to_string())?,
+            Err(error) => check_error_text(&error.to_string())?,
         }
     }
 
     #[test]
-    fn a_spoilt_configuration_is_read_or_refused(
+    fn a_malformed_configuration_is_read_or_rejected(
         changes in prop::collection::vec(change(), 0..3), others in prop::collection::vec(change(), 0..3),
     ) {
-        let (platform, operator) = (spoil(platform(), &changes), spoil(operator(), &others));
+        let (platform, operator) = (mutate(platform(), &changes), mutate(operator(), &others));
         match load(platform.to_string().as_bytes(), Some(operator.to_string().as_bytes())) {
             Ok(config) => check(&config)?,
-            Err(words) => check_words(&words)?,
+            Err(words) => check_error_text(&words)?,
         }
     }
 
     #[test]
-    fn a_cut_configuration_is_none(at in any::<prop::sample::Index>(), operators: bool) {
+    fn a_truncated_configuration_is_rejected(at in any::<prop::sample::Index>(), operators: bool) {
         let (mut platform, mut operator) = (platform().to_string().into_bytes(), operator().to_string().into_bytes());
         let cut = if operators { &mut operator } else { &mut platform };
         cut.truncate(at.index(cut.len()));
         let words = load(&platform, Some(&operator)).err().expect("no configuration");
-        check_words(&words)?;
+        check_error_text(&words)?;
     }
 }
