--- a/crates/edge/tests/discovery_timing.rs
+++ b/crates/edge/tests/discovery_timing.rs
@@ -1,7 +1,8 @@
 //! How soon a change is told, on every path that a call to discovery can fail on. Sockets are real, time is not:
 //! the connection and the core are given the time, so that a silence of seconds takes none.
 
-use std::net::TcpListener;
+use std::any::Any;
+use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
 use calloop::EventLoop;
@@ -39,6 +40,9 @@
     now: Micros,
     lists: usize,
     failures: Vec<Micros>,
+    /// What holds the ports that may still be dialled: one that is free would be given to the listener of another test,
+    /// which would then be dialled in its place.
+    ports: Vec<Box<dyn Any>>,
 }
 
 impl World {
@@ -51,7 +55,21 @@
         core.endpoint_update(EndpointUpdate::CachedSnapshot(Vec::new()));
         let discovery = Discovery::new(addr(at), 1, false);
         let (ready, now) = (Ready::default(), 1_000_000);
-        Self { events, handle, ready, discovery, core, now, lists: 0, failures: Vec::new() }
+        Self {
+            events,
+            handle,
+            ready,
+            discovery,
+            core,
+            now,
+            lists: 0,
+            failures: Vec::new(),
+            ports: Vec::new(),
+        }
+    }
+
+    fn keep(&mut self, port: impl Any) {
+        self.ports.push(Box::new(port));
     }
 
     fn take(&mut self, events: impl IntoIterator<Item = DiscoveryEvent>) {
@@ -139,6 +157,20 @@
     }
 }
 
+/// A port that refuses connections; the one that was accepted on it holds it.
+struct ClosedPort {
+    _client: TcpStream,
+    _accepted: TcpStream,
+}
+
+impl ClosedPort {
+    fn of(listener: TcpListener) -> Self {
+        let client = TcpStream::connect(addr(&listener)).expect("a connection");
+        let (accepted, _) = listener.accept().expect("a connection");
+        Self { _client: client, _accepted: accepted }
+    }
+}
+
 /// The longest time, over many seeds, from `from` until the next call is under way.
 fn worst(path: impl Fn(u64) -> (World, Micros)) -> Micros {
     let gap = |seed| {
@@ -159,9 +191,10 @@
     in_time(
         "a silent watch",
         worst(|seed| {
-            let (mut world, _wire, _at) = World::watched(seed);
+            let (mut world, _wire, at) = World::watched(seed);
             let from = world.now;
             world.fails();
+            world.keep(at);
             (world, from)
         }),
     );
@@ -172,11 +205,12 @@
     in_time(
         "half an answer",
         worst(|seed| {
-            let (mut world, mut wire, _at) = World::watched(seed);
+            let (mut world, mut wire, at) = World::watched(seed);
             let from = world.now;
             wire.send("HTTP/1.1 200 OK\r\nContent-Length: 60\r\n\r\n{\"generation\":3,");
             world.socket();
             world.fails();
+            world.keep(at);
             (world, from)
         }),
     );
@@ -187,7 +221,7 @@
     in_time(
         "a silent fetch",
         worst(|seed| {
-            let (mut world, _wire, _at) = World::watched(seed);
+            let (mut world, _wire, at) = World::watched(seed);
             let other = listener();
             let events = world.discovery.relocate(world.now, &world.handle, addr(&other));
             world.take(events);
@@ -196,6 +230,8 @@
             let from = world.now;
             world.fails();
             drop(wire);
+            world.keep(at);
+            world.keep(other);
             (world, from)
         }),
     );
@@ -206,12 +242,13 @@
     in_time(
         "503",
         worst(|seed| {
-            let (mut world, mut wire, _at) = World::watched(seed);
+            let (mut world, mut wire, at) = World::watched(seed);
             // Discovery ends a call that has waited 2 s for its turn.
             let from = world.now;
             world.now += 2_000_000;
             wire.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             world.socket();
+            world.keep(at);
             (world, from)
         }),
     );
@@ -222,11 +259,12 @@
     in_time(
         "a reset",
         worst(|seed| {
-            let (mut world, wire, _at) = World::watched(seed);
+            let (mut world, wire, at) = World::watched(seed);
             let from = world.now;
             wire.reset();
             world.socket();
             assert_eq!(world.failures.len(), 1);
+            world.keep(at);
             (world, from)
         }),
     );
@@ -241,7 +279,7 @@
         worst(|seed| {
             let gone = listener();
             let mut world = World::new(seed, &gone);
-            drop(gone);
+            world.keep(ClosedPort::of(gone));
             for _ in 0..12 {
                 world.refused();
             }
@@ -253,13 +291,15 @@
         "dials that nobody answers",
         worst(|seed| {
             let silent = listener();
-            let _held = Held::dials(&silent);
+            let held = Held::dials(&silent);
             let mut world = World::new(seed, &silent);
             let mut from = 0;
             for _ in 0..12 {
                 from = world.calls();
                 world.fails();
             }
+            drop(held);
+            world.keep(silent);
             (world, from)
         }),
     );
@@ -274,6 +314,7 @@
                 from = world.now;
                 world.fails();
             }
+            world.keep(silent);
             (world, from)
         }),
     );
@@ -295,13 +336,16 @@
 #[test]
 fn a_moved_discovery_that_is_silent_at_first_is_asked_again_within_4_s() {
     let gap = worst(|seed| {
-        let (mut world, _wire, _at) = World::watched(seed);
+        let (mut world, _wire, at) = World::watched(seed);
         let silent = listener();
-        let _held = Held::dials(&silent);
+        let held = Held::dials(&silent);
         let events = world.discovery.relocate(world.now, &world.handle, addr(&silent));
         world.take(events);
         let from = world.now;
         world.fails();
+        drop(held);
+        world.keep(at);
+        world.keep(silent);
         (world, from)
     });
     assert!(gap + TURN + ANSWER <= 4_000_000, "the next call only after {gap} us");
@@ -320,7 +364,8 @@
         calls += 1;
     }
     assert_eq!(calls, 28, "watches with nothing to tell");
-    drop((wire, at));
+    drop(wire);
+    world.keep(ClosedPort::of(at));
     world.socket();
     let (from, before) = (world.now, world.failures.len());
     while world.now < from + 60_000_000 {
