--- a/crates/mallowgauge/tests/leaving.rs
+++ b/crates/mallowgauge/tests/leaving.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-use mallowgauge_edge::peers::wire::{read, write, Said};
+use mallowgauge_edge::peers::wire::{decode, encode, Frame};
 use mallowgauge_testkit::hand::{accept, accept_within, addr, listener, query, Wire};
 use mallowgauge_testkit::{config, Program};
 use serde_json::{json, Value};
@@ -128,14 +128,14 @@
         let mut byte = [0];
         dialed.0.read_exact(&mut byte).expect("a hello");
         said.push(byte[0]);
-        if let Some((Said::Hello(hello), _)) = read(&said, 64 * 1024).expect("a message") {
+        if let Some((Frame::Hello(hello), _)) = decode(&said, 64 * 1024).expect("a message") {
             break hello;
         }
     };
     drop(dialed);
     let mut own = hello.clone();
     (own.name, own.known, own.incarnation.nonce) = ("g2".to_owned(), None, hello.incarnation.nonce + 1);
-    let bytes = write(&Said::Hello(own));
+    let bytes = encode(&Frame::Hello(own));
     for cut in 0..bytes.len() {
         let mut ended = Wire::dial(first);
         ended.send(&bytes[..cut]);
