--- a/crates/core/src/query.rs
+++ b/crates/core/src/query.rs
@@ -182,8 +182,6 @@
     ReplicateOutcome(Box<CompletedQuery>),
     /// Watch the endpoint list.
     WatchEndpoints,
-    /// Fetch a snapshot of the endpoint list once.
-    FetchEndpoints,
     /// Send a health check to a backend.
     HealthCheck(BackendId),
 }
--- a/crates/core/tests/resource_counts.rs
+++ b/crates/core/tests/resource_counts.rs
@@ -257,7 +257,7 @@
             Action::ReplicateOutcome(recorded) => {
                 recorded.response_handles.into_iter().for_each(|handle| self.reply(handle))
             }
-            Action::WatchEndpoints | Action::FetchEndpoints => {
+            Action::WatchEndpoints => {
                 let after = self.rng.u64(MS..300 * MS);
                 self.put(after, Due::Endpoints);
             }
--- a/crates/edge/src/discovery.rs
+++ b/crates/edge/src/discovery.rs
@@ -116,10 +116,6 @@
     in_flight: Option<InFlight>,
     /// Version of the list in use.
     generation: u64,
-    /// A watch has been answered, so the next one follows at once.
-    watching: bool,
-    /// A snapshot was asked for while another call was in flight.
-    fetch_requested: bool,
     /// The versions that discovery counts need not go on from the present one: it has moved, or answered with an
     /// older one. The next call fetches the snapshot, which is taken whatever its version.
     restart_with_snapshot: bool,
@@ -141,8 +137,6 @@
             reader: ResponseReader::new(LONGEST_RESPONSE),
             in_flight: None,
             generation,
-            watching: false,
-            fetch_requested: false,
             restart_with_snapshot: false,
             poll_first,
         }
@@ -156,15 +150,6 @@
         self.start_call(now, handle, Call::Watch)
     }
 
-    /// Fetches the whole list once, after the call that is in flight.
-    pub fn fetch_snapshot(&mut self, now: Micros, handle: &Handle) -> Option<DiscoveryEvent> {
-        if self.in_flight.is_some() {
-            self.fetch_requested = true;
-            return None;
-        }
-        self.start_call(now, handle, Call::FetchSnapshot)
-    }
-
     /// Calls another address from now on, at once; the answer that the old one owes is not waited for.
     pub fn relocate(&mut self, now: Micros, handle: &Handle, addr: SocketAddr) -> Option<DiscoveryEvent> {
         if addr == self.addr {
@@ -252,7 +237,6 @@
         self.input = Vec::new();
         self.output = Vec::new();
         self.in_flight = None;
-        self.watching = false;
         DiscoveryEvent::Failed(error)
     }
 
@@ -316,16 +300,11 @@
         self.generation = list.generation;
         self.poll_first = false;
         let answered = self.in_flight.take().map(|in_flight| in_flight.call);
-        let restarted =
-            answered == Some(Call::FetchSnapshot) && std::mem::take(&mut self.restart_with_snapshot);
-        self.watching |= restarted || answered != Some(Call::FetchSnapshot);
+        if answered == Some(Call::FetchSnapshot) {
+            self.restart_with_snapshot = false;
+        }
         let mut events = vec![DiscoveryEvent::Endpoints(list)];
-        let next = if std::mem::take(&mut self.fetch_requested) {
-            Some(Call::FetchSnapshot)
-        } else {
-            self.watching.then_some(Call::Watch)
-        };
-        events.extend(next.and_then(|call| self.start_call(now, handle, call)));
+        events.extend(self.start_call(now, handle, Call::Watch));
         events
     }
 
--- a/crates/edge/src/server/dispatch.rs
+++ b/crates/edge/src/server/dispatch.rs
@@ -50,10 +50,6 @@
                 let event = self.discovery.watch(now, &self.handle);
                 self.handle_discovery_events(event);
             }
-            Action::FetchEndpoints => {
-                let event = self.discovery.fetch_snapshot(now, &self.handle);
-                self.handle_discovery_events(event);
-            }
         }
     }
 
