--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -13,9 +13,9 @@
 //!
 //! The other modules are decisions of their own, which the frontends and backend connections use.
 
-pub mod batch;
 pub mod connection_limits;
 pub mod polled_queries;
+pub mod query_stream;
 pub mod sessions;
 pub mod stream_admission;
 pub mod stream_outcome;
--- a/crates/core/tests/batch.rs
+++ b/crates/core/tests/batch.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use mallowgauge_core::batch::{Batch, Bounds, Phase, Why};
+use mallowgauge_core::query_stream::{Batch, Bounds, Phase, Why};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/edge/src/backend_registry.rs
+++ b/crates/edge/src/backend_registry.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use mallowgauge_router::{BackendId, EndpointState};
-use mallowgauge_settings::hosts::{Host, List};
+use mallowgauge_settings::endpoint_list::{Host, List};
 
 /// The names of the listed backends with their numbers. A number is never given out twice.
 #[derive(Debug, Default)]
--- a/crates/edge/src/discovery.rs
+++ b/crates/edge/src/discovery.rs
@@ -11,8 +11,8 @@
 
 use mallowgauge_net::{Handle, ReadEnd, Stream};
 use mallowgauge_router::Micros;
+use mallowgauge_settings::endpoint_list::{parse, List};
 use mallowgauge_settings::error::{EndpointListError, OneLine};
-use mallowgauge_settings::hosts::{parse, List};
 use serde_json::Value;
 
 use crate::front::http1::{MessageError, Response, ResponseReader};
--- a/crates/edge/src/front/flight/batch_driver.rs
+++ b/crates/edge/src/front/flight/batch_driver.rs
@@ -1,14 +1,14 @@
 //! Drives a call that carries many queries: reads them, begins those that may begin, and cancels.
 //!
-//! How many may be open at once, and when the stream is over, is decided in `mallowgauge_core::batch`.
+//! How many may be open at once, and when the stream is over, is decided in `mallowgauge_core::query_stream`.
 
 use std::rc::Rc;
 use std::task::Context;
 
-use mallowgauge_core::batch::{Phase, Why as BatchError};
 use mallowgauge_core::polled_queries::{
     CancelResult, PolledQueryKey, PolledQuerySpec, RejectReason, RunId, WaiterId,
 };
+use mallowgauge_core::query_stream::{Phase, Why as BatchError};
 use mallowgauge_core::{Core, ResponseHandle};
 use mallowgauge_flight::grpc::{Code, Status};
 use mallowgauge_router::Micros;
--- a/crates/edge/src/front/flight/batch_stream.rs
+++ b/crates/edge/src/front/flight/batch_stream.rs
@@ -1,12 +1,12 @@
 //! Batch streams: `DoPut`, a table of queries with one result a row, and `DoExchange`, queries and answers in any
 //! order, each with a tag. Which queries may begin, and when the stream is over, is decided in
-//! `mallowgauge_core::batch`.
+//! `mallowgauge_core::query_stream`.
 
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use mallowgauge_core::batch::{Batch, Bounds, Phase};
 use mallowgauge_core::polled_queries::WaiterId;
+use mallowgauge_core::query_stream::{Batch, Bounds, Phase};
 use mallowgauge_core::stream_admission::Limits;
 use mallowgauge_core::Message;
 use mallowgauge_flight::grpc::Status;
--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -20,8 +20,8 @@
 use mallowgauge_core::Core;
 use mallowgauge_net::{Clock, Handle};
 use mallowgauge_router::{Discovery as EndpointDelivery, Micros, SettingsError};
+use mallowgauge_settings::endpoint_list::parse;
 use mallowgauge_settings::error::{ConfigError, EndpointListError, OneLine};
-use mallowgauge_settings::hosts::parse;
 use mallowgauge_settings::Config;
 
 use crate::backend_registry::BackendRegistry;
--- a/crates/edge/src/server/endpoints.rs
+++ b/crates/edge/src/server/endpoints.rs
@@ -1,7 +1,7 @@
 //! Endpoint updates: from the cached snapshot of the start and from discovery to the router and the connections.
 
 use mallowgauge_router::{Endpoint, EndpointState, EndpointUpdate, Micros, ZoneId};
-use mallowgauge_settings::hosts::{Host, List};
+use mallowgauge_settings::endpoint_list::{Host, List};
 use mallowgauge_settings::zone;
 
 use super::Server;
--- a/crates/edge/src/upstream/pool.rs
+++ b/crates/edge/src/upstream/pool.rs
@@ -19,7 +19,7 @@
 use mallowgauge_core::{AttemptId, AttemptRequest};
 use mallowgauge_net::{Handle, Stream};
 use mallowgauge_router::{BackendId, EndpointState, Micros};
-use mallowgauge_settings::hosts::Host;
+use mallowgauge_settings::endpoint_list::Host;
 use mallowgauge_settings::{Flight, Links};
 
 use super::connection::{BackendConnection, ProtocolConnection};
--- a/crates/edge/tests/bad_input.rs
+++ b/crates/edge/tests/bad_input.rs
@@ -16,7 +16,7 @@
 use mallowgauge_flight::grpc::{self, Deframer, Encoding};
 use mallowgauge_flight::proto;
 use mallowgauge_router::{ClassId, Outcome};
-use mallowgauge_settings::hosts;
+use mallowgauge_settings::endpoint_list;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use prost::Message;
@@ -311,8 +311,8 @@
             if extension.len().max(trailer.len()) > 1000);
         prop_assume!(!long);
         let read = read.ok().flatten().expect("a response");
-        let list = hosts::parse(&serde_json::from_slice(&read.body).expect("JSON")).expect("a list");
-        prop_assert_eq!(&list, &hosts::parse(&value).expect("a list"));
+        let list = endpoint_list::parse(&serde_json::from_slice(&read.body).expect("JSON")).expect("a list");
+        prop_assert_eq!(&list, &endpoint_list::parse(&value).expect("a list"));
         prop_assert_eq!(list.hosts.len(), count);
         // A reset looks like an end to `response`; what it cuts short is no JSON.
         let cut = &bytes[..at.index(bytes.len())];
@@ -331,7 +331,10 @@
     }
     for body in ["", "{}", "[]", "null", "{\"generation\":1}"] {
         let value = serde_json::from_str::<Value>(body).map_err(|e| e.to_string());
-        assert!(value.and_then(|value| hosts::parse(&value).map_err(|e| e.to_string())).is_err(), "{body}");
+        assert!(
+            value.and_then(|value| endpoint_list::parse(&value).map_err(|e| e.to_string())).is_err(),
+            "{body}"
+        );
     }
 }
 
--- a/crates/edge/tests/parts.rs
+++ b/crates/edge/tests/parts.rs
@@ -11,7 +11,7 @@
 use mallowgauge_flight::proto::FlightData;
 use mallowgauge_flight::{ipc, rows};
 use mallowgauge_router::ShardId;
-use mallowgauge_settings::hosts::parse;
+use mallowgauge_settings::endpoint_list::parse;
 use mallowgauge_testkit::inner::inside;
 use prost::Message;
 use serde_json::{json, Value};
@@ -207,7 +207,7 @@
         {"instanceId": "s-b", "hostPort": "127.0.0.1:7071", "cell": 4, "lifecycle": "leaving",
          "startedAtMs": 0},
         {"instanceId": "s-c", "lifecycle": "left"}]});
-    let list = mallowgauge_settings::hosts::parse(&list).expect("a list");
+    let list = mallowgauge_settings::endpoint_list::parse(&list).expect("a list");
     let hosts = list.hosts.iter().map(|h| format!("{} {} {:?} {:?}", h.name, h.cell, h.phase, h.started));
     assert_snapshot!(hosts.collect::<Vec<_>>().join("\n"), @r"
     s-a 3 Ready Some(1700000000123000)
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,9 +3,9 @@
 //!
 //! Whatever is wrong is a typed error ([`error`]) that names the file and the key. No socket is opened here.
 
+pub mod endpoint_list;
 pub mod error;
 mod flight;
-pub mod hosts;
 mod operator;
 mod peers;
 mod platform;
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -150,7 +150,7 @@
         }
         let seed = all.get("seed").and_then(Value::as_str).ok_or(PlatformError::Missing("seed"))?;
         let known = all.get("known").ok_or(PlatformError::Missing("known"))?;
-        crate::hosts::parse(known)?;
+        crate::endpoint_list::parse(known)?;
         Ok(Self {
             name: text("name", "RELAY_NAME")?,
             listen: address(&text("listen", "RELAY_LISTEN")?, "listen")?,
--- a/crates/settings/tests/bad_input.rs
+++ b/crates/settings/tests/bad_input.rs
@@ -5,7 +5,7 @@
 
 use examples::{list, operator, platform, File};
 use mallowgauge_router::EndpointState;
-use mallowgauge_settings::hosts;
+use mallowgauge_settings::endpoint_list;
 use mallowgauge_settings::{Config, Site};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -119,7 +119,7 @@
         .classes
         .iter()
         .all(|class| class.latency_objective > 0 && class.latency_objective <= class.deadline));
-    prop_assert!(hosts::parse(&config.known).is_ok());
+    prop_assert!(endpoint_list::parse(&config.known).is_ok());
     Ok(())
 }
 
@@ -132,7 +132,7 @@
 
 #[test]
 fn the_inputs_that_are_changed_below_are_valid() {
-    assert_eq!(hosts::parse(&list()).expect("a list").hosts.len(), 3);
+    assert_eq!(endpoint_list::parse(&list()).expect("a list").hosts.len(), 3);
     assert!(Site::read(&platform()["settings"]).is_ok());
     let loaded = load(platform().to_string().as_bytes(), Some(operator().to_string().as_bytes()));
     assert!(loaded.expect("a configuration").fleet.is_some());
@@ -145,7 +145,7 @@
         let mut value = list();
         value["instances"][0]["instanceId"] = json!(name);
         value["instances"][0]["lifecycle"] = json!("odd");
-        let words = hosts::parse(&value).expect_err("no list").to_string();
+        let words = endpoint_list::parse(&value).expect_err("no list").to_string();
         assert!(!words.contains(char::is_control) && words.len() <= 510, "{words:.200?}");
     }
 }
@@ -156,7 +156,7 @@
     #[test]
     fn a_malformed_list_is_read_or_rejected(changes in prop::collection::vec(change(), 1..4)) {
         let value = mutate(list(), &changes);
-        match hosts::parse(&value) {
+        match endpoint_list::parse(&value) {
             Ok(read) => {
                 prop_assert_eq!(Some(read.generation), value["generation"].as_u64());
                 prop_assert_eq!(Some(read.reset), value["reset"].as_bool());
--- a/crates/settings/tests/error_lines.rs
+++ b/crates/settings/tests/error_lines.rs
@@ -4,7 +4,7 @@
 mod examples;
 
 use examples::{list, operator, platform, File};
-use mallowgauge_settings::{hosts, Config, Site};
+use mallowgauge_settings::{endpoint_list, Config, Site};
 use serde_json::{json, Value};
 
 const GOLDEN: &str = include_str!("golden/error_lines.txt");
@@ -260,7 +260,7 @@
     let sound = platform().to_string();
     let long_name = change(list(), "/instances/0/instanceId", Some(json!("é".repeat(300))));
     let long_name = change(long_name, "/instances/0/lifecycle", None);
-    let long_name = hosts::parse(&long_name).expect_err("no list").to_string();
+    let long_name = endpoint_list::parse(&long_name).expect_err("no list").to_string();
     let few_sockets = change(platform(), "/limits/sockets", Some(json!(32)));
     let little_memory = change(platform(), "/limits/memory_mb", Some(json!(1)));
     let peers = |count: u32| -> Vec<Value> {
@@ -302,7 +302,8 @@
         lines.push(format!("{} => {error}", name("settings", &case)));
     }
     for case in list_cases() {
-        let error = hosts::parse(&change(list(), case.0, case.1.clone())).expect_err("no list").to_string();
+        let error =
+            endpoint_list::parse(&change(list(), case.0, case.1.clone())).expect_err("no list").to_string();
         lines.push(format!("{} => {error}", name("list", &case)));
     }
     for case in operator_cases().into_iter().chain(peer_cases()) {
