--- a/crates/adapter/src/message.rs
+++ b/crates/adapter/src/message.rs
@@ -101,7 +101,7 @@
             part: PartId(self.id()?),
             attempt: self.small_int(fields::ATTEMPT)?,
             outcome,
-            took: self.int(fields::LATENCY)?,
+            latency: self.int(fields::LATENCY)?,
         })
     }
 
--- a/crates/core/src/connection_limits.rs
+++ b/crates/core/src/connection_limits.rs
@@ -62,13 +62,13 @@
     /// Its number.
     pub id: u64,
     /// It has capacity for the call.
-    pub fits: bool,
+    pub has_capacity: bool,
     /// Something has been in flight for long, and nothing was received.
     pub silent: bool,
     /// Parts in flight on it.
-    pub load: usize,
+    pub attempts_in_flight: usize,
     /// When something was last sent or received.
-    pub used: Micros,
+    pub last_used_at: Micros,
 }
 
 /// Whether one more connection may be opened.
@@ -102,11 +102,11 @@
 #[must_use]
 pub fn choose(held: &[ConnectionView], most: usize, hosts: usize, room: ConnectionCapacity) -> Choice {
     let may_open = held.len() < MAX_CONNECTIONS_PER_BACKEND;
-    let rank = |view: &&ConnectionView| (view.silent, view.load, Reverse(view.used));
-    let Some(best) = held.iter().filter(|view| view.fits).min_by_key(rank) else {
+    let rank = |view: &&ConnectionView| (view.silent, view.attempts_in_flight, Reverse(view.last_used_at));
+    let Some(best) = held.iter().filter(|view| view.has_capacity).min_by_key(rank) else {
         return if may_open { Choice::Open(None) } else { Choice::Unavailable };
     };
-    if best.load == 0 {
+    if best.attempts_in_flight == 0 {
         return Choice::Use(best.id);
     }
     let spread = (most / hosts.max(1)).clamp(1, MAX_SPREAD_CONNECTIONS);
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -317,7 +317,12 @@
             self.revoke_unsent(id.part);
         }
         let took = now.saturating_sub(attempt.sent_at);
-        self.events.push(Event::AttemptCompleted { part: id.part, attempt: id.number, outcome, took });
+        self.events.push(Event::AttemptCompleted {
+            part: id.part,
+            attempt: id.number,
+            outcome,
+            latency: took,
+        });
     }
 
     /// Records what an attempt brought: its outcome, or a backend's error where its value is malformed.
--- a/crates/core/src/polled_queries/mod.rs
+++ b/crates/core/src/polled_queries/mod.rs
@@ -54,13 +54,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PolledQuerySpec {
     /// A hash of the whole request: the same id with another hash is another request.
-    pub body: u64,
+    pub request_hash: u64,
     /// It is non-idempotent: it must not be executed twice.
-    pub effect: bool,
+    pub non_idempotent: bool,
     /// It is polled: it goes on between calls, and its outcome is retained for the next.
     pub polled: bool,
     /// When its ticket was created; `None` where it was submitted without one.
-    pub made: Option<Micros>,
+    pub ticket_created_at: Option<Micros>,
 }
 
 /// Why a polled query is not executed.
@@ -117,13 +117,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PolledQueryLimits {
     /// Most polled queries.
-    pub flights: usize,
+    pub queries: usize,
     /// Most bytes of retained outcomes.
-    pub bytes: usize,
+    pub outcome_bytes: usize,
     /// How long an outcome is retained, in microseconds.
-    pub keep: Micros,
+    pub retention: Micros,
     /// A polled query that nobody has polled for so long is cancelled, in microseconds.
-    pub unpolled: Micros,
+    pub poll_timeout: Micros,
 }
 
 #[derive(Debug)]
@@ -165,7 +165,7 @@
     /// When its ticket was created. One without a ticket counts from when it was submitted: a ticket of that
     /// age may be for the same id.
     fn created_at(&self) -> Micros {
-        self.spec.made.unwrap_or(self.submitted_at)
+        self.spec.ticket_created_at.unwrap_or(self.submitted_at)
     }
 }
 
@@ -200,7 +200,7 @@
             waiters: BTreeMap::new(),
             expiries: BTreeSet::new(),
             outcome_bytes: 0,
-            tombstones: Tombstones::new(bounds.flights),
+            tombstones: Tombstones::new(bounds.queries),
         }
     }
 
@@ -223,13 +223,13 @@
         if let Some(submission) = self.submit_known(now, key, spec, caller) {
             return submission;
         }
-        if spec.effect && self.tombstones.cover(key, &spec) {
+        if spec.non_idempotent && self.tombstones.cover(key, &spec) {
             return Submission::Reject(RejectReason::Forgotten);
         }
         if !self.make_room(now) {
             return Submission::Reject(RejectReason::Full);
         }
-        let idle_at = spec.polled.then_some(now + self.limits.unpolled);
+        let idle_at = spec.polled.then_some(now + self.limits.poll_timeout);
         let running = Running { run, waiters: caller.into_iter().collect(), idle_at };
         let query = PolledQuery { spec, submitted_at: now, state: State::Running(running) };
         self.queries.insert(key.clone(), query);
@@ -247,12 +247,12 @@
         caller: Option<WaiterId>,
     ) -> Option<Submission<O>> {
         let query = self.queries.get_mut(key)?;
-        if query.spec.body != spec.body {
+        if query.spec.request_hash != spec.request_hash {
             return Some(Submission::Reject(RejectReason::DifferentBody));
         }
         Some(match &mut query.state {
             State::Running(running) => {
-                running.idle_at = running.idle_at.map(|_| now + self.limits.unpolled);
+                running.idle_at = running.idle_at.map(|_| now + self.limits.poll_timeout);
                 running.waiters.extend(caller);
                 let run = running.run;
                 self.waiters.extend(caller.map(|caller| (caller, run)));
@@ -285,11 +285,11 @@
             self.queries.remove(&key);
             return waiters.into_iter().collect();
         }
-        let retained_until = now + self.limits.keep;
+        let retained_until = now + self.limits.retention;
         query.state = State::Done { outcome, bytes, retained_until };
         self.expiries.insert(Expiry { at: retained_until, key });
         self.outcome_bytes += bytes;
-        while self.outcome_bytes > self.limits.bytes && self.evict_first_outcome() {}
+        while self.outcome_bytes > self.limits.outcome_bytes && self.evict_first_outcome() {}
         waiters.into_iter().collect()
     }
 
@@ -301,7 +301,7 @@
         let query = self.queries.get_mut(&key)?;
         let State::Running(running) = &mut query.state else { return None };
         running.waiters.remove(&caller);
-        if !running.waiters.is_empty() || query.spec.effect || query.spec.polled {
+        if !running.waiters.is_empty() || query.spec.non_idempotent || query.spec.polled {
             return None;
         }
         self.queries.remove(&key);
@@ -314,7 +314,7 @@
         self.remove_expired(now);
         match &mut self.queries.get_mut(key)?.state {
             State::Running(running) => {
-                running.idle_at = running.idle_at.map(|_| now + self.limits.unpolled);
+                running.idle_at = running.idle_at.map(|_| now + self.limits.poll_timeout);
                 Some(PolledState::Running(running.run))
             }
             State::Done { outcome, retained_until, .. } => {
@@ -340,7 +340,7 @@
             State::Done { .. } | State::OutcomeEvicted => return CancelResult::TooLate,
             State::Cancelled => return CancelResult::AlreadyCancelled,
         };
-        if query.spec.effect && possibly_executed(running.run) {
+        if query.spec.non_idempotent && possibly_executed(running.run) {
             return CancelResult::TooLate;
         }
         let (run, waiters) = (running.run, std::mem::take(&mut running.waiters));
@@ -349,7 +349,7 @@
             self.waiters.remove(waiter);
         }
         query.state = State::Cancelled;
-        self.expiries.insert(Expiry { at: now + self.limits.keep, key: key.clone() });
+        self.expiries.insert(Expiry { at: now + self.limits.retention, key: key.clone() });
         CancelResult::Cancelled(run, waiters.into_iter().collect())
     }
 
@@ -371,7 +371,7 @@
         }
         let query = PolledQuery { spec, submitted_at: now, state: State::Cancelled };
         self.queries.insert(key.clone(), query);
-        self.expiries.insert(Expiry { at: now + self.limits.keep, key: key.clone() });
+        self.expiries.insert(Expiry { at: now + self.limits.retention, key: key.clone() });
         Ok(())
     }
 
@@ -395,7 +395,7 @@
         let query = self.queries.get_mut(key)?;
         let State::Done { retained_until, .. } = &mut query.state else { return None };
         self.expiries.remove(&Expiry { at: *retained_until, key: key.clone() });
-        *retained_until = now + self.limits.keep;
+        *retained_until = now + self.limits.retention;
         self.expiries.insert(Expiry { at: *retained_until, key: key.clone() });
         Some(*retained_until)
     }
@@ -420,7 +420,7 @@
             self.runs.remove(run);
             let Some(query) = self.queries.get_mut(key) else { continue };
             query.state = State::Cancelled;
-            self.expiries.insert(Expiry { at: now + self.limits.keep, key: key.clone() });
+            self.expiries.insert(Expiry { at: now + self.limits.retention, key: key.clone() });
         }
         idle.into_iter().map(|(run, _)| run).collect()
     }
@@ -456,14 +456,14 @@
 
     /// Makes sure that one more query can be known; `false` if none can be evicted.
     fn make_room(&mut self, now: Micros) -> bool {
-        self.queries.len() < self.limits.flights || self.forget_first(now)
+        self.queries.len() < self.limits.queries || self.forget_first(now)
     }
 
     /// Forgets the query that expires first; `false` if none does, or there is no capacity for its tombstone.
     fn forget_first(&mut self, now: Micros) -> bool {
         let Some(Expiry { at, key }) = self.expiries.first().cloned() else { return false };
         let Some(query) = self.queries.get(&key) else { return false };
-        if query.spec.effect {
+        if query.spec.non_idempotent {
             let created_at = query.created_at();
             if at <= now {
                 self.tombstones.forget(created_at);
--- a/crates/core/src/polled_queries/tombstones.rs
+++ b/crates/core/src/polled_queries/tombstones.rs
@@ -56,7 +56,7 @@
     /// only its own tombstone tells.
     pub(super) fn cover(&self, key: &PolledQueryKey, spec: &PolledQuerySpec) -> bool {
         let has_own = self.created_at.contains_key(&KeyHash::of(key));
-        has_own || spec.made.is_some_and(|created_at| Some(created_at) <= self.forgotten_until)
+        has_own || spec.ticket_created_at.is_some_and(|created_at| Some(created_at) <= self.forgotten_until)
     }
 
     /// Leaves a tombstone that expires at `at`; `false` if there is no capacity for one.
--- a/crates/core/src/query.rs
+++ b/crates/core/src/query.rs
@@ -122,7 +122,7 @@
     /// The attempt.
     pub attempt: AttemptId,
     /// The client's id of the query.
-    pub query: Rc<str>,
+    pub request_id: Rc<str>,
     /// The core's number of the query: the lower, the older.
     pub call: CallId,
     /// The shard that is queried.
@@ -131,7 +131,7 @@
     /// it, so the backend is told what is left by then.
     pub deadline: Micros,
     /// From when on the attempt may not start any more, though its response might still come in time.
-    pub begin_by: Micros,
+    pub start_by: Micros,
     /// What the part carries.
     pub body: Rc<[u8]>,
 }
@@ -145,8 +145,8 @@
 
     /// Whether the attempt may still start.
     #[must_use]
-    pub fn may_begin(&self, now: Micros) -> bool {
-        now < self.begin_by
+    pub fn may_start(&self, now: Micros) -> bool {
+        now < self.start_by
     }
 }
 
--- a/crates/core/src/query_stream.rs
+++ b/crates/core/src/query_stream.rs
@@ -11,7 +11,7 @@
 
 /// How far a stream has got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum QueryStreamPhase {
     /// Queries are accepted.
     Open,
     /// The client has closed its side; responses are still owed.
@@ -22,18 +22,18 @@
     Over,
 }
 
-/// Why a query is rejected.
+/// QueryStreamRejection a query is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum QueryStreamRejection {
     /// The tag stands for a query that is open.
-    Busy,
+    TagInUse,
     /// The stream accepts no more queries.
     Closed,
 }
 
 /// The limits of one stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct QueryStreamLimits {
     /// Most queries that are open at a time.
     pub window: usize,
     /// Bytes of unread responses from which on the stream is not read.
@@ -42,52 +42,58 @@
 
 /// The queries of one stream, by their tags. `C` is what the caller knows an open one by.
 #[derive(Debug)]
-pub struct Batch<T, C> {
-    limits: Bounds,
-    phase: Phase,
+pub struct QueryStream<T, C> {
+    limits: QueryStreamLimits,
+    phase: QueryStreamPhase,
     open: BTreeMap<T, C>,
     /// Bytes of responses that the client has not read.
     unread_bytes: usize,
     answered: u64,
 }
 
-impl<T: Ord + Clone, C: Copy> Batch<T, C> {
+impl<T: Ord + Clone, C: Copy> QueryStream<T, C> {
     /// A stream without queries.
     #[must_use]
-    pub fn new(bounds: Bounds) -> Self {
-        Self { limits: bounds, phase: Phase::Open, open: BTreeMap::new(), unread_bytes: 0, answered: 0 }
+    pub fn new(bounds: QueryStreamLimits) -> Self {
+        Self {
+            limits: bounds,
+            phase: QueryStreamPhase::Open,
+            open: BTreeMap::new(),
+            unread_bytes: 0,
+            answered: 0,
+        }
     }
 
     /// How far it has got.
     #[must_use]
-    pub fn phase(&self) -> Phase {
+    pub fn phase(&self) -> QueryStreamPhase {
         self.phase
     }
 
     /// Whether the next query may be read.
     #[must_use]
-    pub fn reads(&self) -> bool {
+    pub fn may_read(&self) -> bool {
         let has_capacity = self.open.len() < self.limits.window && self.unread_bytes < self.limits.backlog;
-        has_capacity && matches!(self.phase, Phase::Open | Phase::Draining)
+        has_capacity && matches!(self.phase, QueryStreamPhase::Open | QueryStreamPhase::Draining)
     }
 
     /// Begins a query.
     ///
     /// # Errors
     /// It is rejected.
-    pub fn begin(&mut self, tag: T, call: C) -> Result<(), Why> {
-        if self.phase != Phase::Open {
-            return Err(Why::Closed);
+    pub fn begin(&mut self, tag: T, call: C) -> Result<(), QueryStreamRejection> {
+        if self.phase != QueryStreamPhase::Open {
+            return Err(QueryStreamRejection::Closed);
         }
         if self.open.contains_key(&tag) {
-            return Err(Why::Busy);
+            return Err(QueryStreamRejection::TagInUse);
         }
         self.open.insert(tag, call);
         Ok(())
     }
 
     /// The caller knows an open query by something else from now on.
-    pub fn known(&mut self, tag: &T, call: C) {
+    pub fn set_call(&mut self, tag: &T, call: C) {
         if let Some(open) = self.open.get_mut(tag) {
             *open = call;
         }
@@ -105,12 +111,12 @@
     }
 
     /// The stream sends so many bytes that answer no open query.
-    pub fn say(&mut self, bytes: usize) {
+    pub fn untagged_response(&mut self, bytes: usize) {
         self.unread_bytes += bytes;
     }
 
     /// The client has read so many bytes.
-    pub fn taken(&mut self, bytes: usize) {
+    pub fn bytes_read(&mut self, bytes: usize) {
         self.unread_bytes = self.unread_bytes.saturating_sub(bytes);
     }
 
@@ -122,23 +128,23 @@
 
     /// The client has closed its side.
     pub fn half_close(&mut self) {
-        if matches!(self.phase, Phase::Open | Phase::Draining) {
-            self.phase = Phase::HalfClosed;
+        if matches!(self.phase, QueryStreamPhase::Open | QueryStreamPhase::Draining) {
+            self.phase = QueryStreamPhase::HalfClosed;
             self.end_if_answered();
         }
     }
 
     /// The process shuts down.
     pub fn drain(&mut self) {
-        if self.phase == Phase::Open {
-            self.phase = Phase::Draining;
+        if self.phase == QueryStreamPhase::Open {
+            self.phase = QueryStreamPhase::Draining;
             self.end_if_answered();
         }
     }
 
     /// The client has aborted the stream: the queries that were open.
     pub fn abort(&mut self) -> Vec<(T, C)> {
-        self.phase = Phase::Over;
+        self.phase = QueryStreamPhase::Over;
         std::mem::take(&mut self.open).into_iter().collect()
     }
 
@@ -151,8 +157,10 @@
     /// A stream that accepts no more queries ends once none is open; a client sends the rest to another
     /// instance.
     fn end_if_answered(&mut self) {
-        if self.open.is_empty() && matches!(self.phase, Phase::HalfClosed | Phase::Draining) {
-            self.phase = Phase::Over;
+        if self.open.is_empty()
+            && matches!(self.phase, QueryStreamPhase::HalfClosed | QueryStreamPhase::Draining)
+        {
+            self.phase = QueryStreamPhase::Over;
         }
     }
 }
--- a/crates/core/src/router_actions.rs
+++ b/crates/core/src/router_actions.rs
@@ -118,7 +118,7 @@
         let Some(location) = self.open.locate(part) else {
             self.attempts.close_part(part);
             let (attempt, outcome) = (id.number, Outcome::NotSent);
-            self.events.push(Event::AttemptCompleted { part, attempt, outcome, took: 0 });
+            self.events.push(Event::AttemptCompleted { part, attempt, outcome, latency: 0 });
             return None;
         };
         let query = location.query;
@@ -129,11 +129,11 @@
         let part = &open.parts[location.index];
         Some(AttemptRequest {
             attempt: id,
-            query: Rc::clone(&open.request.id),
+            request_id: Rc::clone(&open.request.id),
             call: CallId(query.0),
             shard: open.request.parts[part.request_index].shard,
             deadline,
-            begin_by: deadline.min(now.saturating_add(window.begin_within)),
+            start_by: deadline.min(now.saturating_add(window.begin_within)),
             body: match &open.request.plan {
                 Some(plan) if part.kind == PartKind::Scout => Rc::clone(&plan.scout),
                 _ => Rc::clone(&open.request.body),
--- a/crates/core/src/sessions.rs
+++ b/crates/core/src/sessions.rs
@@ -40,9 +40,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bad {
     /// There is no such option.
-    Name,
+    UnknownName,
     /// The option takes no such value.
-    Value,
+    InvalidValue,
 }
 
 /// A value of an option.
@@ -75,18 +75,18 @@
                     "none" => Compression::None,
                     "lz4" => Compression::Lz4,
                     "zstd" => Compression::Zstd,
-                    _ => return Err(Bad::Value),
+                    _ => return Err(Bad::InvalidValue),
                 }
             }
             ("timeout_ms", Setting::Unset) => self.timeout = None,
             ("timeout_ms", Setting::Whole(ms)) => {
                 let ms = u64::try_from(*ms).ok().filter(|ms| TIMEOUT_MS.contains(ms));
-                self.timeout = Some(ms.ok_or(Bad::Value)? * MICROS_PER_MS);
+                self.timeout = Some(ms.ok_or(Bad::InvalidValue)? * MICROS_PER_MS);
             }
             ("whole_only", Setting::Unset) => self.whole_only = false,
             ("whole_only", Setting::Flag(flag)) => self.whole_only = *flag,
-            ("compression" | "timeout_ms" | "whole_only", _) => return Err(Bad::Value),
-            _ => return Err(Bad::Name),
+            ("compression" | "timeout_ms" | "whole_only", _) => return Err(Bad::InvalidValue),
+            _ => return Err(Bad::UnknownName),
         }
         Ok(())
     }
@@ -169,7 +169,7 @@
 
     /// How many are open or expired and not yet closed.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn count(&self) -> usize {
         self.sessions.len()
     }
 }
--- a/crates/core/src/stream_admission/limits.rs
+++ b/crates/core/src/stream_admission/limits.rs
@@ -46,30 +46,30 @@
     /// Calls of all connections.
     pub calls: usize,
     /// Bytes of a message of a client, after decompression.
-    pub message: usize,
+    pub message_bytes: usize,
     /// Bytes of header lines of a call.
-    pub head: u32,
+    pub header_bytes: u32,
     /// Bytes of a call's response that may be in the connection, beyond what is held as a table.
     pub send_buffer: usize,
     /// Bytes that one connection of a client may hold: headers, a message for each stream, what is on its way
     /// out, and TLS.
-    pub connection: usize,
+    pub connection_bytes: usize,
     /// Bytes of tables, for all queries.
-    pub tables: usize,
+    pub table_bytes: usize,
     /// Bytes of tables, for one query.
-    pub tables_a_call: usize,
+    pub table_bytes_per_query: usize,
     /// The initial window of a backend's stream, in bytes.
-    pub window: u32,
+    pub backend_window: u32,
     /// Polled queries that are known.
-    pub flights: usize,
+    pub polled_queries: usize,
     /// Bytes of their retained outcomes.
-    pub outcomes: usize,
+    pub outcome_bytes: usize,
     /// Sessions with options of their own.
     pub sessions: usize,
     /// Queries that one stream of queries may have open.
-    pub batch: usize,
+    pub queries_per_stream: usize,
     /// Passwords that are checked in a second.
-    pub handshakes: u32,
+    pub handshakes_per_second: u32,
 }
 
 impl Limits {
@@ -89,29 +89,29 @@
             connections,
             streams: MAX_STREAMS,
             calls: connections * MAX_STREAMS as usize,
-            message: MAX_MESSAGE_BYTES,
-            head: MAX_HEADER_BYTES,
+            message_bytes: MAX_MESSAGE_BYTES,
+            header_bytes: MAX_HEADER_BYTES,
             send_buffer,
-            connection,
-            tables,
-            tables_a_call: (tables / 2).max(MIN_TABLES_PER_QUERY_BYTES),
-            window: clamp(memory / 8 / streams.max(1), BACKEND_WINDOW_BYTES) as u32,
-            flights: clamp(retained / 2 / POLLED_QUERY_BYTES, POLLED_QUERIES),
-            outcomes: retained / 2,
+            connection_bytes: connection,
+            table_bytes: tables,
+            table_bytes_per_query: (tables / 2).max(MIN_TABLES_PER_QUERY_BYTES),
+            backend_window: clamp(memory / 8 / streams.max(1), BACKEND_WINDOW_BYTES) as u32,
+            polled_queries: clamp(retained / 2 / POLLED_QUERY_BYTES, POLLED_QUERIES),
+            outcome_bytes: retained / 2,
             sessions: clamp(retained / 16 / SESSION_BYTES, SESSIONS),
-            batch: MAX_QUERIES_PER_STREAM,
-            handshakes: MAX_HANDSHAKES_PER_SECOND,
+            queries_per_stream: MAX_QUERIES_PER_STREAM,
+            handshakes_per_second: MAX_HANDSHAKES_PER_SECOND,
         }
     }
 
     /// What all of it adds up to at worst, in bytes, with so many streams of backends open.
     #[must_use]
-    pub fn worst(&self, streams: usize) -> usize {
-        self.connections * self.connection
-            + self.tables
-            + streams * self.window as usize
-            + self.outcomes
-            + self.flights * POLLED_QUERY_BYTES
+    pub fn worst_case_bytes(&self, streams: usize) -> usize {
+        self.connections * self.connection_bytes
+            + self.table_bytes
+            + streams * self.backend_window as usize
+            + self.outcome_bytes
+            + self.polled_queries * POLLED_QUERY_BYTES
             + self.sessions * SESSION_BYTES
     }
 }
--- a/crates/core/src/stream_admission/mod.rs
+++ b/crates/core/src/stream_admission/mod.rs
@@ -20,9 +20,9 @@
 
 /// Why a call is rejected, and when to come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Full {
+pub struct AdmissionRejection {
     /// What there are too many of, as the client is told.
-    pub what: &'static str,
+    pub message: &'static str,
     /// When to come back, in microseconds.
     pub retry_after: Micros,
 }
@@ -53,7 +53,7 @@
 
     /// Whether another connection may be accepted.
     #[must_use]
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.connections < self.limits.connections
     }
 
@@ -71,17 +71,20 @@
     ///
     /// # Errors
     /// Too many calls are open.
-    pub fn call(&mut self) -> Result<(), Full> {
+    pub fn admit_call(&mut self) -> Result<(), AdmissionRejection> {
         if self.calls >= self.limits.calls {
             self.rejected += 1;
-            return Err(Full { what: "too many calls are open", retry_after: CALL_RETRY_AFTER_US });
+            return Err(AdmissionRejection {
+                message: "too many calls are open",
+                retry_after: CALL_RETRY_AFTER_US,
+            });
         }
         self.calls += 1;
         Ok(())
     }
 
     /// A call has ended.
-    pub fn call_over(&mut self) {
+    pub fn call_ended(&mut self) {
         self.calls = self.calls.saturating_sub(1);
     }
 
@@ -89,15 +92,15 @@
     ///
     /// # Errors
     /// Too many passwords were checked within the last second.
-    pub fn handshake(&mut self, now: Micros) -> Result<(), Full> {
+    pub fn admit_handshake(&mut self, now: Micros) -> Result<(), AdmissionRejection> {
         while self.recent_handshakes.front().is_some_and(|&at| at + SECOND_US <= now) {
             self.recent_handshakes.pop_front();
         }
-        if self.recent_handshakes.len() >= self.limits.handshakes as usize {
+        if self.recent_handshakes.len() >= self.limits.handshakes_per_second as usize {
             self.rejected += 1;
             let oldest = self.recent_handshakes.front().copied().unwrap_or(now);
             let retry_after = (oldest + SECOND_US).saturating_sub(now).max(1);
-            return Err(Full { what: "too many handshakes", retry_after });
+            return Err(AdmissionRejection { message: "too many handshakes", retry_after });
         }
         self.recent_handshakes.push_back(now);
         Ok(())
--- a/crates/core/src/stream_admission/reader.rs
+++ b/crates/core/src/stream_admission/reader.rs
@@ -26,7 +26,7 @@
     }
 
     /// The client has read so many bytes.
-    pub fn took(&mut self, now: Micros, bytes: usize) {
+    pub fn bytes_read(&mut self, now: Micros, bytes: usize) {
         if bytes > 0 {
             self.last_read_at = now;
             self.bytes_read += bytes as u64;
@@ -34,7 +34,7 @@
     }
 
     /// There is something to read again, after a time in which there was nothing.
-    pub fn rested(&mut self, now: Micros) {
+    pub fn resumed(&mut self, now: Micros) {
         *self = Self::new(now);
     }
 
--- a/crates/core/src/two_phase/actions.rs
+++ b/crates/core/src/two_phase/actions.rs
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ranked {
     /// Every block was fetched and its rows received.
-    pub whole: bool,
+    pub complete: bool,
     /// No block without rows could have changed the response.
     pub exact: bool,
     /// The best rows.
@@ -91,7 +91,7 @@
     /// The effect, of a non-idempotent query.
     pub effect: Option<BlockEffect>,
     /// Blocks whose values were received.
-    pub asked: Vec<ShardId>,
+    pub fetched: Vec<ShardId>,
     /// Blocks that were not fetched, for their bounds.
     pub pruned: Vec<ShardId>,
     /// Blocks that were not fetched, for want of time or because their scouts did not report.
--- a/crates/core/src/two_phase/plan.rs
+++ b/crates/core/src/two_phase/plan.rs
@@ -357,11 +357,11 @@
         let with_fetch = |state| self.blocks.shards(|_, block| block.fetch == state);
         let skipped = |position| self.blocks.is_left_out(position);
         Ranked {
-            whole,
+            complete: whole,
             exact: whole || proved,
             rows: self.best.rows().to_vec(),
             effect: self.effect.clone(),
-            asked: with_fetch(FetchState::Received),
+            fetched: with_fetch(FetchState::Received),
             pruned: self
                 .blocks
                 .shards(|position, block| block.fetch == FetchState::NotSent && !skipped(position)),
--- a/crates/core/tests/connection_limits.rs
+++ b/crates/core/tests/connection_limits.rs
@@ -39,7 +39,13 @@
 
 impl Connection {
     fn view(&self, id: u64) -> ConnectionView {
-        ConnectionView { id, fits: self.load < 4, silent: false, load: self.load, used: self.used }
+        ConnectionView {
+            id,
+            has_capacity: self.load < 4,
+            silent: false,
+            attempts_in_flight: self.load,
+            last_used_at: self.used,
+        }
     }
 }
 
@@ -88,7 +94,7 @@
             };
             prop_assert!(connections.len() <= most, "more connections than the limit");
             prop_assert!(id.is_some() || !any_idle, "no connection though one could have been evicted");
-            prop_assert!(id.is_some() || views.iter().all(|v| !v.fits), "one with capacity was passed over");
+            prop_assert!(id.is_some() || views.iter().all(|v| !v.has_capacity), "one with capacity was passed over");
             if let Some(connection) = id.and_then(|id| connections.get_mut(&id)) {
                 *connection = Connection { backend, load: connection.load + 1, used: now };
             }
@@ -116,7 +122,7 @@
 }
 
 fn view(id: u64, load: usize, used: u64) -> ConnectionView {
-    ConnectionView { id, fits: true, silent: false, load, used }
+    ConnectionView { id, has_capacity: true, silent: false, attempts_in_flight: load, last_used_at: used }
 }
 
 #[test]
@@ -145,7 +151,7 @@
 #[test]
 fn what_fits_on_no_connection_is_not_forced() {
     let full: Vec<ConnectionView> =
-        (1..=8).map(|id| ConnectionView { fits: false, ..view(id, 32, 0) }).collect();
+        (1..=8).map(|id| ConnectionView { has_capacity: false, ..view(id, 32, 0) }).collect();
     assert_eq!(choose(&full, 100, 10, ConnectionCapacity::Available), Choice::Unavailable);
     assert_eq!(choose(&full[..7], 100, 10, ConnectionCapacity::Available), Choice::Open(None));
 }
--- a/crates/core/tests/polled_queries.rs
+++ b/crates/core/tests/polled_queries.rs
@@ -12,7 +12,7 @@
 
 const RETENTION: u64 = 1_000;
 const LIMITS: PolledQueryLimits =
-    PolledQueryLimits { flights: 6, bytes: 100, keep: RETENTION, unpolled: 300 };
+    PolledQueryLimits { queries: 6, outcome_bytes: 100, retention: RETENTION, poll_timeout: 300 };
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -66,7 +66,7 @@
                     next += 2;
                     let (run, caller) = (RunId(next), WaiterId(next + 1));
                     let made = with_ticket.then_some(made);
-                    let spec = PolledQuerySpec { body: body.into(), effect: true, polled: false, made };
+                    let spec = PolledQuerySpec { request_hash: body.into(), non_idempotent: true, polled: false, ticket_created_at: made };
                     match polled.submit(now, &key(id), spec, Some(caller), run) {
                         Submission::Run(got) => {
                             prop_assert_eq!(got, run);
@@ -89,7 +89,7 @@
                             let told = known[&id].ran.iter().any(|(run, at)| *run == outcome && at.is_some());
                             prop_assert!(told, "an outcome of its own");
                         }
-                        Submission::Reject(RejectReason::Full) => prop_assert!(polled.counts().0 >= LIMITS.flights),
+                        Submission::Reject(RejectReason::Full) => prop_assert!(polled.counts().0 >= LIMITS.queries),
                         Submission::Reject(_) => {}
                     }
                 }
@@ -127,7 +127,7 @@
                 }
             }
             let (count, bytes) = polled.counts();
-            prop_assert!(count <= LIMITS.flights && bytes <= LIMITS.bytes, "{count} queries, {bytes} bytes");
+            prop_assert!(count <= LIMITS.queries && bytes <= LIMITS.outcome_bytes, "{count} queries, {bytes} bytes");
         }
         // Whatever still runs can be completed, and nobody is left waiting.
         for (run, id) in running {
@@ -141,7 +141,7 @@
     #[test]
     fn a_polled_query_ends_once_or_is_cancelled(waits in prop::collection::vec(1..600_u64, 1..20)) {
         let mut polled: PolledQueries<u64> = PolledQueries::new(LIMITS);
-        let spec = PolledQuerySpec { body: 0, effect: false, polled: true, made: None };
+        let spec = PolledQuerySpec { request_hash: 0, non_idempotent: false, polled: true, ticket_created_at: None };
         let mut now = 1_000;
         prop_assert_eq!(polled.submit(now, &key(1), spec, None, RunId(1)), Submission::Run(RunId(1)));
         let mut cancelled = false;
@@ -151,7 +151,7 @@
             let over = polled.handle_timeout(now);
             prop_assert_eq!(!over.is_empty(), !cancelled && due <= now && over == [RunId(1)]);
             cancelled |= !over.is_empty();
-            prop_assert!(cancelled || wait < LIMITS.unpolled);
+            prop_assert!(cancelled || wait < LIMITS.poll_timeout);
             let _ = polled.state(now, &key(1));
             if cancelled {
                 let again = polled.submit(now, &key(1), spec, None, RunId(2));
@@ -166,7 +166,12 @@
 #[test]
 fn what_was_evicted_is_not_run_again() {
     let mut polled: PolledQueries<u64> = PolledQueries::new(LIMITS);
-    let spec = |made| PolledQuerySpec { body: 0, effect: true, polled: false, made };
+    let spec = |made| PolledQuerySpec {
+        request_hash: 0,
+        non_idempotent: true,
+        polled: false,
+        ticket_created_at: made,
+    };
     for id in 0..10_u8 {
         let run = RunId(id.into());
         let made = Some(1_000 + u64::from(id));
@@ -204,7 +209,8 @@
 #[test]
 fn a_renewed_outcome_is_retained_for_longer_and_a_revoked_id_does_not_run() {
     let mut polled: PolledQueries<u64> = PolledQueries::new(LIMITS);
-    let spec = PolledQuerySpec { body: 0, effect: true, polled: false, made: Some(1) };
+    let spec =
+        PolledQuerySpec { request_hash: 0, non_idempotent: true, polled: false, ticket_created_at: Some(1) };
     assert_eq!(polled.submit(100, &key(1), spec, None, RunId(1)), Submission::Run(RunId(1)));
     assert_eq!(polled.renew(100, &key(1)), None, "it still runs");
     polled.complete(100, RunId(1), 7, 1, false);
--- a/crates/core/tests/batch.rs
+++ b/crates/core/tests/query_stream.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use mallowgauge_core::query_stream::{Batch, Bounds, Phase, Why};
+use mallowgauge_core::query_stream::{
+    QueryStream, QueryStreamLimits, QueryStreamPhase, QueryStreamRejection,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -30,20 +32,20 @@
 
     #[test]
     fn every_query_of_a_long_stream_has_one_answer_before_its_end(steps in prop::collection::vec(step(), 1..120)) {
-        let bounds = Bounds { window: 4, backlog: 100 };
-        let mut batch: Batch<u8, u64> = Batch::new(bounds);
+        let bounds = QueryStreamLimits { window: 4, backlog: 100 };
+        let mut batch: QueryStream<u8, u64> = QueryStream::new(bounds);
         let mut open: BTreeMap<u8, u64> = BTreeMap::new();
         let (mut begun, mut answered, mut waiting) = (0_u64, 0_u64, 0_usize);
         let mut closed = false;
         for step in steps {
             match step {
                 Step::Begin(tag) => {
-                    let read = batch.reads();
+                    let read = batch.may_read();
                     prop_assert!(!read || (open.len() < bounds.window && waiting < bounds.backlog));
                     if !read {
                         continue;
                     }
-                    let expected = if closed { Err(Why::Closed) } else if open.contains_key(&tag) { Err(Why::Busy) } else { Ok(()) };
+                    let expected = if closed { Err(QueryStreamRejection::Closed) } else if open.contains_key(&tag) { Err(QueryStreamRejection::TagInUse) } else { Ok(()) };
                     prop_assert_eq!(batch.begin(tag, begun), expected);
                     if expected.is_ok() {
                         open.insert(tag, begun);
@@ -60,7 +62,7 @@
                     }
                 }
                 Step::Taken(bytes) => {
-                    batch.taken(bytes);
+                    batch.bytes_read(bytes);
                     waiting = waiting.saturating_sub(bytes);
                 }
                 Step::HalfClose => {
@@ -73,11 +75,11 @@
                 }
             }
             prop_assert_eq!(batch.counts(), (open.len(), answered));
-            prop_assert_eq!(batch.phase() == Phase::Over, closed && open.is_empty());
+            prop_assert_eq!(batch.phase() == QueryStreamPhase::Over, closed && open.is_empty());
             prop_assert!(open.len() <= bounds.window);
         }
         let left = batch.abort();
         prop_assert_eq!(left.into_iter().collect::<BTreeMap<_, _>>(), open);
-        prop_assert_eq!(batch.phase(), Phase::Over);
+        prop_assert_eq!(batch.phase(), QueryStreamPhase::Over);
     }
 }
--- a/crates/core/tests/sessions.rs
+++ b/crates/core/tests/sessions.rs
@@ -17,7 +17,7 @@
             order.push(id);
             let kept = order.len().saturating_sub(5);
             order.drain(..kept);
-            prop_assert_eq!(sessions.held(), order.len());
+            prop_assert_eq!(sessions.count(), order.len());
         }
         for id in 0..20 {
             prop_assert_eq!(sessions.touch(200, SessionId(id)).is_some(), order.contains(&id));
@@ -30,11 +30,11 @@
     let mut sessions = Sessions::new(5, 1_000);
     let options = sessions.open(10, SessionId(1));
     assert_eq!(options.set("compression", &Setting::Text("lz4".into())), Ok(()));
-    assert_eq!(options.set("compression", &Setting::Text("brotli".into())), Err(Bad::Value));
-    assert_eq!(options.set("compression", &Setting::Flag(true)), Err(Bad::Value));
+    assert_eq!(options.set("compression", &Setting::Text("brotli".into())), Err(Bad::InvalidValue));
+    assert_eq!(options.set("compression", &Setting::Flag(true)), Err(Bad::InvalidValue));
     assert_eq!(options.set("timeout_ms", &Setting::Whole(250)), Ok(()));
-    assert_eq!(options.set("timeout_ms", &Setting::Whole(0)), Err(Bad::Value));
-    assert_eq!(options.set("colour", &Setting::Unset), Err(Bad::Name));
+    assert_eq!(options.set("timeout_ms", &Setting::Whole(0)), Err(Bad::InvalidValue));
+    assert_eq!(options.set("colour", &Setting::Unset), Err(Bad::UnknownName));
     let set = Options { compression: Compression::Lz4, timeout: Some(250_000), whole_only: false };
     assert_eq!(sessions.touch(900, SessionId(1)), Some(set));
     assert_eq!(sessions.touch(1_899, SessionId(1)), Some(set));
--- a/crates/core/tests/stream_admission.rs
+++ b/crates/core/tests/stream_admission.rs
@@ -14,25 +14,25 @@
         prop_assert!(limits.connections <= sockets);
         // Initial windows have a least size; below it there are too many streams for so little memory.
         if memory / 8 / streams >= 4096 && memory >= 16 << 20 {
-            let worst = limits.worst(streams);
+            let worst = limits.worst_case_bytes(streams);
             prop_assert!(worst <= memory + memory / 16, "{} of {memory}", worst);
         }
-        prop_assert!(limits.tables_a_call <= limits.tables);
+        prop_assert!(limits.table_bytes_per_query <= limits.table_bytes);
     }
 }
 
 #[test]
 fn handshakes_are_checked_at_a_bounded_rate_and_calls_are_counted() {
-    let limits = Limits { handshakes: 3, calls: 2, ..Limits::of(64 << 20, 256, 64) };
+    let limits = Limits { handshakes_per_second: 3, calls: 2, ..Limits::of(64 << 20, 256, 64) };
     let mut admission = Admission::new(limits);
-    assert!((0..3).all(|at| admission.handshake(at).is_ok()));
-    let full = admission.handshake(400_000).expect_err("the fourth within a second");
+    assert!((0..3).all(|at| admission.admit_handshake(at).is_ok()));
+    let full = admission.admit_handshake(400_000).expect_err("the fourth within a second");
     assert_eq!(full.retry_after, 600_000);
-    assert!(admission.handshake(400_000 + full.retry_after).is_ok());
-    assert!(admission.call().is_ok() && admission.call().is_ok());
-    assert!(admission.call().expect_err("a third").retry_after > 0);
-    admission.call_over();
-    assert!(admission.call().is_ok());
+    assert!(admission.admit_handshake(400_000 + full.retry_after).is_ok());
+    assert!(admission.admit_call().is_ok() && admission.admit_call().is_ok());
+    assert!(admission.admit_call().expect_err("a third").retry_after > 0);
+    admission.call_ended();
+    assert!(admission.admit_call().is_ok());
     assert_eq!(admission.counts(), (0, 2, 2));
 }
 
@@ -44,13 +44,13 @@
     let mut now = 0;
     while reader.deadline() > now {
         now += STALL / 2;
-        reader.took(now, 1);
+        reader.bytes_read(now, 1);
         assert!(now < 10 * STALL, "a trickle lasts for ever");
     }
     // One that reads enough is kept however long its response is.
     let mut reader = Reader::new(0);
     for second in 1..1_000_u64 {
-        reader.took(second * 1_000_000, 64 * 1024);
+        reader.bytes_read(second * 1_000_000, 64 * 1024);
         assert!(reader.deadline() > second * 1_000_000);
     }
 }
--- a/crates/core/tests/two_phase.rs
+++ b/crates/core/tests/two_phase.rs
@@ -208,18 +208,18 @@
         other => return Err(TestCaseError::fail(format!("{other:?}"))),
     };
     // Each block is in one list, and the lists tell the truth.
-    let mut all: Vec<u32> = [&answer.asked, &answer.pruned, &answer.skipped, &answer.failed]
+    let mut all: Vec<u32> = [&answer.fetched, &answer.pruned, &answer.skipped, &answer.failed]
         .into_iter()
         .flatten()
         .map(|shard| shard.0)
         .collect();
     all.sort_unstable();
     prop_assert_eq!(all, (0..count as u32).collect::<Vec<_>>());
-    let asked: BTreeSet<usize> = answer.asked.iter().map(|shard| shard.0 as usize).collect();
+    let asked: BTreeSet<usize> = answer.fetched.iter().map(|shard| shard.0 as usize).collect();
     prop_assert!(asked.is_subset(&fetched));
-    prop_assert_eq!(answer.whole, asked.len() == count);
+    prop_assert_eq!(answer.complete, asked.len() == count);
     prop_assert!(
-        !case.effect || (!answer.exact || answer.whole) && answer.effect.is_some() && asked.len() == 1
+        !case.effect || (!answer.exact || answer.complete) && answer.effect.is_some() && asked.len() == 1
     );
     if !case.effect {
         // The rows are the best of what is in.
@@ -234,10 +234,10 @@
             prop_assert_eq!(&answer.rows, &best(&mut (0..count)), "exact, and it is not");
         }
         // What failed or had no time counts against the class's minimum completeness.
-        let wanted = answer.asked.len()
+        let wanted = answer.fetched.len()
             + answer.failed.len()
             + answer.skipped.iter().filter(|s| !case.skip || fetched.contains(&(s.0 as usize))).count();
-        let share = if wanted == 0 { 1.0 } else { answer.asked.len() as f64 / wanted as f64 };
+        let share = if wanted == 0 { 1.0 } else { answer.fetched.len() as f64 / wanted as f64 };
         prop_assert!(case.skip || share >= case.floor - 1e-6, "{share} under {}", case.floor);
     }
     Ok(())
@@ -299,7 +299,10 @@
         last = plan.fetch_completed(2_000, block, Ok(one(bounds[block], block)));
     }
     let [PlanAction::Respond(answer)] = &last[..] else { panic!("{last:?}") };
-    assert_eq!((answer.asked.len(), answer.pruned.len(), answer.whole, answer.exact), (3, 997, false, false));
+    assert_eq!(
+        (answer.fetched.len(), answer.pruned.len(), answer.complete, answer.exact),
+        (3, 997, false, false)
+    );
 }
 
 #[test]
@@ -314,7 +317,7 @@
     let actions = plan.fetch_completed(3_000, 3, Ok(one(1.0, 3)));
     let [PlanAction::Respond(answer)] = &actions[..] else { panic!("{actions:?}") };
     // The two that are left are bounded by 3 and 2, under the second best row of 5.
-    assert!(answer.exact && !answer.whole);
+    assert!(answer.exact && !answer.complete);
     assert_eq!(answer.rows.iter().map(|r| r.score).collect::<Vec<_>>(), [6.0, 5.0]);
     assert_eq!(answer.pruned, [ShardId(4), ShardId(5)]);
 }
--- a/crates/edge/src/backend_registry.rs
+++ b/crates/edge/src/backend_registry.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use mallowgauge_router::{BackendId, EndpointState};
-use mallowgauge_settings::endpoint_list::{Host, List};
+use mallowgauge_settings::endpoint_list::{EndpointList, ListedBackend};
 
 /// The names of the listed backends with their numbers. A number is never given out twice.
 #[derive(Debug, Default)]
@@ -16,21 +16,21 @@
 #[derive(Debug, PartialEq)]
 pub struct RegistryUpdate<'a> {
     /// The backends that the list names, in its order; not those that were removed before they were known.
-    pub named: Vec<(BackendId, &'a Host)>,
+    pub named: Vec<(BackendId, &'a ListedBackend)>,
     /// Numbers that are forgotten: of backends that have been removed, and of those that a snapshot lacks.
     pub removed: Vec<BackendId>,
 }
 
 impl BackendRegistry {
     /// Gives numbers to the backends that are new in a list, and forgets those that it ends.
-    pub fn apply<'a>(&mut self, list: &'a List) -> RegistryUpdate<'a> {
-        let named: Vec<_> = list.hosts.iter().filter_map(|host| Some((self.id_of(host)?, host))).collect();
+    pub fn apply<'a>(&mut self, list: &'a EndpointList) -> RegistryUpdate<'a> {
+        let named: Vec<_> = list.backends.iter().filter_map(|host| Some((self.id_of(host)?, host))).collect();
         let mut removed: BTreeSet<BackendId> = named
             .iter()
-            .filter(|(_, host)| host.phase == EndpointState::Removed)
+            .filter(|(_, host)| host.state == EndpointState::Removed)
             .map(|(id, _)| *id)
             .collect();
-        if list.reset {
+        if list.is_snapshot {
             let listed: BTreeSet<BackendId> = named.iter().map(|(id, _)| *id).collect();
             removed.extend(self.ids.values().filter(|id| !listed.contains(id)));
         }
@@ -39,17 +39,17 @@
     }
 
     /// The number of a backend, a new one where it has none; `None` for a removed one that was not known.
-    fn id_of(&mut self, host: &Host) -> Option<BackendId> {
-        if let Some(&id) = self.ids.get(&host.name) {
+    fn id_of(&mut self, host: &ListedBackend) -> Option<BackendId> {
+        if let Some(&id) = self.ids.get(&host.id) {
             return Some(id);
         }
-        if host.phase == EndpointState::Removed {
+        if host.state == EndpointState::Removed {
             return None;
         }
         let id = BackendId(self.next_id);
         self.next_id += 1;
-        tracing::info!("host {} is number {}", host.name, id.0);
-        self.ids.insert(host.name.clone(), id);
+        tracing::info!("host {} is number {}", host.id, id.0);
+        self.ids.insert(host.id.clone(), id);
         Some(id)
     }
 }
--- a/crates/edge/src/discovery.rs
+++ b/crates/edge/src/discovery.rs
@@ -11,7 +11,7 @@
 
 use mallowgauge_net::{Handle, ReadEnd, Stream};
 use mallowgauge_router::Micros;
-use mallowgauge_settings::endpoint_list::{parse, List};
+use mallowgauge_settings::endpoint_list::{parse, EndpointList};
 use mallowgauge_settings::error::{EndpointListError, OneLine};
 use serde_json::Value;
 
@@ -92,7 +92,7 @@
 #[derive(Debug)]
 pub enum DiscoveryEvent {
     /// An endpoint list came, whole or the changes.
-    Endpoints(List),
+    Endpoints(EndpointList),
     /// A call failed; with it the watch has ended.
     Failed(DiscoveryError),
 }
@@ -192,7 +192,7 @@
         self.reader = ResponseReader::new(LONGEST_RESPONSE);
         let mut in_flight = InFlight { call, connecting: false, deadline: now + call.timeout() };
         if self.stream.is_none() {
-            match Stream::dial(handle, self.addr, SocketKind::Discovery.token(0)) {
+            match Stream::connect(handle, self.addr, SocketKind::Discovery.token(0)) {
                 Ok(stream) => self.stream = Some(stream),
                 Err(error) => return Some(self.fail(error.into())),
             }
@@ -309,7 +309,7 @@
     }
 
     /// The list of an answer, if it may be used.
-    fn accept_list(&mut self, response: &Response) -> Result<List, DiscoveryError> {
+    fn accept_list(&mut self, response: &Response) -> Result<EndpointList, DiscoveryError> {
         if response.status != 200 {
             return Err(DiscoveryError::Status(response.status));
         }
--- a/crates/edge/src/front/flight/auth.rs
+++ b/crates/edge/src/front/flight/auth.rs
@@ -146,8 +146,8 @@
         admission: &mut Admission,
     ) -> Result<Rc<str>, Status> {
         let Some(users) = &self.users else { return Ok("".into()) };
-        admission.handshake(now).map_err(|full| {
-            Status::new(Code::ResourceExhausted, full.what).because("HANDSHAKES").retry(full.retry_after)
+        admission.admit_handshake(now).map_err(|full| {
+            Status::new(Code::ResourceExhausted, full.message).because("HANDSHAKES").retry(full.retry_after)
         })?;
         // An unknown user takes as long as a wrong password.
         let nobody = || users.values().next().map_or("", String::as_str);
--- a/crates/edge/src/front/flight/batch_driver.rs
+++ b/crates/edge/src/front/flight/batch_driver.rs
@@ -8,7 +8,7 @@
 use mallowgauge_core::polled_queries::{
     CancelResult, PolledQueryKey, PolledQuerySpec, RejectReason, RunId, WaiterId,
 };
-use mallowgauge_core::query_stream::{Phase, Why as BatchError};
+use mallowgauge_core::query_stream::{QueryStreamPhase, QueryStreamRejection as BatchError};
 use mallowgauge_core::{Core, ResponseHandle};
 use mallowgauge_flight::grpc::{Code, Status};
 use mallowgauge_router::Micros;
@@ -66,7 +66,7 @@
             }
         }
         let CallState::BatchStream(stream) = &mut self.state else { return Ok(()) };
-        if stream.batch.phase() == Phase::Over && stream.queue.is_empty() {
+        if stream.batch.phase() == QueryStreamPhase::Over && stream.queue.is_empty() {
             let status = stream.final_status.take().unwrap_or_else(|| Status::new(Code::Ok, ""));
             self.finish(&status);
         }
@@ -108,7 +108,7 @@
         // The tag is taken first, so that its answer finds it.
         match stream.batch.begin(tag.clone(), NOT_SUBMITTED) {
             Ok(()) => {}
-            Err(BatchError::Busy) => {
+            Err(BatchError::TagInUse) => {
                 let status = Status::new(Code::AlreadyExists, "the tag stands for an open query");
                 return Err(status.because("TAG_IN_USE"));
             }
@@ -128,7 +128,7 @@
         match submitted {
             Ok(SubmitResult::Pending(waiter)) => {
                 if let CallState::BatchStream(stream) = &mut self.state {
-                    stream.batch.known(&tag, waiter);
+                    stream.batch.set_call(&tag, waiter);
                 }
             }
             Ok(SubmitResult::Completed(outcome)) => {
@@ -152,7 +152,12 @@
         let user = Rc::clone(&self.head.identity.user);
         let key = PolledQueryKey { user, id: command.id.as_str().into() };
         let effect = !core.is_idempotent(command.class);
-        let spec = PolledQuerySpec { body: command.fingerprint(), effect, polled: false, made: None };
+        let spec = PolledQuerySpec {
+            request_hash: command.fingerprint(),
+            non_idempotent: effect,
+            polled: false,
+            ticket_created_at: None,
+        };
         Ok(service.submit(now, core, call, tag, key, spec, request))
     }
 }
--- a/crates/edge/src/front/flight/batch_stream.rs
+++ b/crates/edge/src/front/flight/batch_stream.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use mallowgauge_core::polled_queries::WaiterId;
-use mallowgauge_core::query_stream::{Batch, Bounds, Phase};
+use mallowgauge_core::query_stream::{QueryStream, QueryStreamLimits, QueryStreamPhase};
 use mallowgauge_core::stream_admission::Limits;
 use mallowgauge_core::Message;
 use mallowgauge_flight::grpc::Status;
@@ -50,7 +50,7 @@
     /// Which method the stream belongs to.
     pub kind: BatchKind,
     /// The queries that are open.
-    pub batch: Batch<String, WaiterId>,
+    pub batch: QueryStream<String, WaiterId>,
     /// What was read and has not begun yet, of one message at most.
     pub queue: VecDeque<BatchMessage>,
     /// The schema that the client has been sent; one stream carries one schema.
@@ -70,7 +70,10 @@
     pub fn new(form: BatchKind, limits: &Limits) -> Self {
         Self {
             kind: form,
-            batch: Batch::new(Bounds { window: limits.batch, backlog: RESPONSE_BACKLOG_BYTES }),
+            batch: QueryStream::new(QueryStreamLimits {
+                window: limits.queries_per_stream,
+                backlog: RESPONSE_BACKLOG_BYTES,
+            }),
             queue: VecDeque::new(),
             sent_schema: None,
             final_status: None,
@@ -84,12 +87,12 @@
 
     /// Whether the next message may be read.
     pub fn can_read(&self) -> bool {
-        self.queue.is_empty() && self.batch.reads()
+        self.queue.is_empty() && self.batch.may_read()
     }
 
     /// Whether something that was read may begin.
     pub fn can_begin(&self) -> bool {
-        !self.queue.is_empty() && (self.batch.reads() || self.batch.phase() != Phase::Open)
+        !self.queue.is_empty() && (self.batch.may_read() || self.batch.phase() != QueryStreamPhase::Open)
     }
 
     /// The client sends nothing more.
--- a/crates/edge/src/front/flight/call.rs
+++ b/crates/edge/src/front/flight/call.rs
@@ -271,7 +271,7 @@
     /// Queues something to be written.
     pub fn queue_item(&mut self, now: Micros, item: OutboundItem) {
         if self.outbound.is_empty() {
-            self.reader.rested(now);
+            self.reader.resumed(now);
         }
         self.outbound.push_back(item);
     }
@@ -293,7 +293,7 @@
     /// Ends the call with this status, and drops what is queued.
     pub fn finish_with_error(&mut self, now: Micros, status: &Status) {
         if self.outbound.is_empty() {
-            self.reader.rested(now);
+            self.reader.resumed(now);
         }
         self.outbound.clear();
         self.trailers = Some(status.trailers());
@@ -338,7 +338,7 @@
         if self.is_closed {
             return written;
         }
-        self.reader.took(now, written);
+        self.reader.bytes_read(now, written);
         if written > 0 {
             self.last_activity = now;
         }
--- a/crates/edge/src/front/flight/call_driver.rs
+++ b/crates/edge/src/front/flight/call_driver.rs
@@ -35,7 +35,7 @@
         loop {
             let written = self.write(now, context);
             let CallState::BatchStream(stream) = &mut self.state else { break };
-            stream.batch.taken(written);
+            stream.batch.bytes_read(written);
             // What the client has taken makes room for more queries.
             if written == 0 || !(stream.can_read() || stream.can_begin()) {
                 break;
--- a/crates/edge/src/front/flight/connection.rs
+++ b/crates/edge/src/front/flight/connection.rs
@@ -173,7 +173,7 @@
             call.drive(now, call_id, context, service, core);
             if call.is_finished() {
                 connection_of_call.remove(&call_id);
-                service.admission.call_over();
+                service.admission.call_ended();
             }
             !call.is_finished()
         });
--- a/crates/edge/src/front/flight/methods/actions.rs
+++ b/crates/edge/src/front/flight/methods/actions.rs
@@ -119,9 +119,9 @@
         let options = service.sessions.open(now, id);
         let mut errors = HashMap::new();
         for (name, value) in request.session_options {
-            let value = option_from_wire(value).ok_or(OptionError::Value);
+            let value = option_from_wire(value).ok_or(OptionError::InvalidValue);
             if let Err(error) = value.and_then(|value| options.set(&name, &value)) {
-                let value = if error == OptionError::Name { INVALID_NAME } else { INVALID_VALUE };
+                let value = if error == OptionError::UnknownName { INVALID_NAME } else { INVALID_VALUE };
                 errors.insert(name, SessionError { value });
             }
         }
@@ -175,10 +175,10 @@
                 CancelResult::Unknown => {
                     let effect = !core.is_idempotent(command.class);
                     let spec = PolledQuerySpec {
-                        body: command.fingerprint(),
-                        effect,
+                        request_hash: command.fingerprint(),
+                        non_idempotent: effect,
                         polled: false,
-                        made: Some(made),
+                        ticket_created_at: Some(made),
                     };
                     self.cancel_unshared_runs(&key, core);
                     self.polled_queries.revoke(now, &key, spec).map_err(rejection_status)?;
--- a/crates/edge/src/front/flight/methods/get.rs
+++ b/crates/edge/src/front/flight/methods/get.rs
@@ -48,10 +48,10 @@
         }
         let request = command.request(self.remaining_time(now), self.head.options.timeout, core)?;
         let spec = PolledQuerySpec {
-            body: command.fingerprint(),
-            effect: !core.is_idempotent(command.class),
+            request_hash: command.fingerprint(),
+            non_idempotent: !core.is_idempotent(command.class),
             polled: ticket.polled,
-            made: Some(ticket.made),
+            ticket_created_at: Some(ticket.made),
         };
         match service.submit(now, core, id, "", key, spec, request) {
             SubmitResult::Pending(waiter) => {
--- a/crates/edge/src/front/flight/methods/poll.rs
+++ b/crates/edge/src/front/flight/methods/poll.rs
@@ -45,7 +45,12 @@
         // The query runs on between calls: its deadline is its class's, not the call's.
         let request = command.request(None, self.head.options.timeout, core)?;
         let effect = !core.is_idempotent(command.class);
-        let spec = PolledQuerySpec { body: command.fingerprint(), effect, polled: true, made: None };
+        let spec = PolledQuerySpec {
+            request_hash: command.fingerprint(),
+            non_idempotent: effect,
+            polled: true,
+            ticket_created_at: None,
+        };
         match service.submit(now, core, id, "", key.clone(), spec, request) {
             SubmitResult::Pending(waiter) if first => {
                 // The first call is answered at once, so that the client knows its descriptor.
--- a/crates/edge/src/front/flight/mod.rs
+++ b/crates/edge/src/front/flight/mod.rs
@@ -41,7 +41,7 @@
 use mallowgauge_flight::seal;
 use mallowgauge_net::{Handle, Stream};
 use mallowgauge_router::Micros;
-use mallowgauge_settings::Flight as Settings;
+use mallowgauge_settings::FlightSettings as Settings;
 
 use self::auth::Authenticator;
 use self::call::Call;
@@ -53,7 +53,7 @@
 use crate::token::SocketKind;
 
 /// The Flight frontend: its connections, and what their calls share.
-pub struct Front {
+pub struct FlightFrontend {
     connections: BTreeMap<u64, Connection>,
     lingering: BTreeMap<u64, Lingering>,
     /// The connection of each open call.
@@ -85,7 +85,7 @@
     TlsNeedsRestart,
 }
 
-impl Front {
+impl FlightFrontend {
     /// A frontend without connections.
     ///
     /// # Errors
@@ -96,10 +96,10 @@
         let secret: [u8; 32] = random();
         let key = seal::Key::new(settings.key.as_deref().unwrap_or(&secret));
         let bounds = polled_queries::PolledQueryLimits {
-            flights: limits.flights,
-            bytes: limits.outcomes,
-            keep: OUTCOME_RETENTION,
-            unpolled: ABANDONED_POLL_TIME,
+            queries: limits.polled_queries,
+            outcome_bytes: limits.outcome_bytes,
+            retention: OUTCOME_RETENTION,
+            poll_timeout: ABANDONED_POLL_TIME,
         };
         let service = FlightService {
             admission: Admission::new(*limits),
@@ -107,12 +107,12 @@
             runs: BTreeMap::new(),
             waiters: BTreeMap::new(),
             sessions: Sessions::new(limits.sessions, SESSION_IDLE_TIME),
-            authenticator: Authenticator::new(settings.users.clone(), key.clone(), settings.token_life),
+            authenticator: Authenticator::new(settings.users.clone(), key.clone(), settings.token_lifetime),
             seal_key: key,
             issuer: u64::from_le_bytes(random()),
-            ticket_lifetime: settings.ticket_life,
+            ticket_lifetime: settings.ticket_lifetime,
             abandoned_poll_time: ABANDONED_POLL_TIME,
-            custom_columns: settings.every_host || !settings.hosts.is_empty(),
+            custom_columns: settings.every_backend || !settings.backends.is_empty(),
             text_schema: schema_message(&text_schema()).ok(),
             known_schemas: vec![None; *classes],
             seen_headers: vec![None; *classes],
@@ -150,23 +150,23 @@
     /// Whether one more connection may be accepted. Closes a lingering connection, or the one that has been idle for
     /// longest, to make room.
     pub fn has_room(&mut self) -> bool {
-        if !self.service.admission.has_room() && self.lingering.pop_first().is_some() {
+        if !self.service.admission.has_capacity() && self.lingering.pop_first().is_some() {
             self.service.admission.disconnected();
         }
-        if !self.service.admission.has_room() {
+        if !self.service.admission.has_capacity() {
             let idle = self.connections.iter().filter(|(_, c)| c.calls.is_empty());
             if let Some(id) = idle.min_by_key(|(_, c)| c.idle_since).map(|(&id, _)| id) {
                 self.connections.remove(&id);
                 self.service.admission.disconnected();
             }
         }
-        self.service.admission.has_room()
+        self.service.admission.has_capacity()
     }
 
     /// Starts a connection on an accepted socket.
     pub fn accept(&mut self, now: Micros, handle: &Handle, socket: std::net::TcpStream) {
         let id = self.service.next_id();
-        let stream = match Stream::accepted(handle, socket, SocketKind::FlightClient.token(id)) {
+        let stream = match Stream::from_accepted(handle, socket, SocketKind::FlightClient.token(id)) {
             Ok(stream) => Rc::new(stream),
             Err(e) => return tracing::warn!("connection not taken: {e}"),
         };
@@ -179,8 +179,8 @@
         let mut builder = server::Builder::new();
         builder
             .max_concurrent_streams(limits.streams)
-            .max_header_list_size(limits.head)
-            .initial_window_size(limits.message as u32 + 5)
+            .max_header_list_size(limits.header_bytes)
+            .initial_window_size(limits.message_bytes as u32 + 5)
             .initial_connection_window_size(CONNECTION_WINDOW)
             .max_send_buffer_size(limits.send_buffer);
         let state = State::Handshake(Box::pin(builder.handshake(wire)));
@@ -193,7 +193,7 @@
     }
 
     /// A connection's socket is ready, or something has to be written to it.
-    pub fn ready(&mut self, now: Micros, id: u64, core: &mut Core) {
+    pub fn handle_ready(&mut self, now: Micros, id: u64, core: &mut Core) {
         self.drive_connection(now, id, core);
         self.deliver_outcomes(now, core);
     }
@@ -234,10 +234,10 @@
         for (call_id, mut call) in connection.calls {
             self.connection_of_call.remove(&call_id);
             call.abandon_queries(&mut self.service, core);
-            self.service.admission.call_over();
+            self.service.admission.call_ended();
         }
         let stream = connection.stream;
-        stream.finish();
+        stream.shutdown_write();
         let mut lingering = Lingering { stream, closes_at: now + LINGER_TIME, remaining_bytes: LINGER_BYTES };
         if lingering.discard_input() {
             self.lingering.insert(id, lingering);
@@ -247,7 +247,7 @@
     }
 
     /// The core's final response to a run.
-    pub fn answer(&mut self, now: Micros, run: u64, answer: QueryResponse, core: &mut Core) {
+    pub fn respond(&mut self, now: Micros, run: u64, answer: QueryResponse, core: &mut Core) {
         let answer = Rc::new(answer);
         let waiters = self.service.run_completed(now, RunId(run), &answer);
         self.service.queue_outcome(waiters, &Ok(answer));
@@ -257,7 +257,7 @@
     /// Whether a response is expected or being written, or a polled query runs that nobody waits for just now. What h2
     /// buffers of a response is on its way for as long as its connection is open.
     #[must_use]
-    pub fn busy(&self) -> bool {
+    pub fn is_busy(&self) -> bool {
         let expects_response =
             |open: &Connection| open.calls.is_empty() || open.calls.values().any(Call::expects_response);
         !self.service.runs.is_empty()
@@ -278,7 +278,7 @@
                 }
                 connection.calls.values_mut().for_each(Call::drain);
             }
-            self.ready(now, id, core);
+            self.handle_ready(now, id, core);
         }
     }
 
@@ -290,7 +290,7 @@
 
     /// When the first time-out of a client, connection or polled query is due.
     #[must_use]
-    pub fn due(&self) -> Option<Micros> {
+    pub fn poll_timeout(&self) -> Option<Micros> {
         let calls = self.connections.values().flat_map(|c| c.calls.values());
         let idle = self.connections.values().filter_map(|c| c.idle_until(self.finishing));
         let lingering = self.lingering.values().map(|lingering| lingering.closes_at);
@@ -303,7 +303,7 @@
     }
 
     /// Ends the calls, connections and polled queries whose time-outs are due.
-    pub fn expire(&mut self, now: Micros, core: &mut Core) {
+    pub fn handle_timeout(&mut self, now: Micros, core: &mut Core) {
         for run in self.service.polled_queries.handle_timeout(now) {
             self.service.cancel_run(run, core);
         }
@@ -331,6 +331,6 @@
         }
         idle.into_iter().for_each(|id| self.close(now, id, core));
         // What these calls were told has to be written.
-        active.into_iter().for_each(|id| self.ready(now, id, core));
+        active.into_iter().for_each(|id| self.handle_ready(now, id, core));
     }
 }
--- a/crates/edge/src/front/flight/response.rs
+++ b/crates/edge/src/front/flight/response.rs
@@ -117,7 +117,7 @@
             BatchKind::Exchange => exchange_item(stream, tag, metadata, response, style),
         };
         if !stream.batch.answer(&tag.to_owned(), bytes) {
-            stream.batch.say(bytes);
+            stream.batch.untagged_response(bytes);
         }
         self.queue_item(now, item);
     }
@@ -234,7 +234,7 @@
         }
         QueryResponse::Ranked(ranked) => {
             let mut metadata = query::ranked_summary(ranked);
-            metadata["status"] = json!(completeness(ranked.whole));
+            metadata["status"] = json!(completeness(ranked.complete));
             metadata
         }
         QueryResponse::Rejected { retry_after, not_executed } => {
--- a/crates/edge/src/front/flight/stream_accept.rs
+++ b/crates/edge/src/front/flight/stream_accept.rs
@@ -47,7 +47,7 @@
     // A handshake by header lines alone is answered at once: its client may keep its side open.
     let by_header = method == Method::Handshake && request.headers().contains_key("authorization");
     let basic_headers = by_header.then(|| request.headers().clone());
-    let mut call = Call::new(now, head, state, request, respond, (limits.message, limits.send_buffer));
+    let mut call = Call::new(now, head, state, request, respond, (limits.message_bytes, limits.send_buffer));
     if let Some(headers) = basic_headers {
         answer_header_handshake(now, &headers, &mut call, service);
     }
@@ -91,10 +91,9 @@
     }
     let options = head.identity.session.and_then(|id| service.sessions.touch(now, id));
     head.options = options.unwrap_or_default();
-    service
-        .admission
-        .call()
-        .map_err(|full| Status::new(Code::Unavailable, full.what).because("FULL").retry(full.retry_after))?;
+    service.admission.admit_call().map_err(|full| {
+        Status::new(Code::Unavailable, full.message).because("FULL").retry(full.retry_after)
+    })?;
     Ok((method, head))
 }
 
--- a/crates/edge/src/front/flight/submission.rs
+++ b/crates/edge/src/front/flight/submission.rs
@@ -67,7 +67,7 @@
         request: QueryRequest,
     ) -> SubmitResult {
         let (run, waiter) = (RunId(self.next_id()), WaiterId(self.next_id()));
-        let shared = spec.effect || spec.polled;
+        let shared = spec.non_idempotent || spec.polled;
         if shared {
             match self.polled_queries.submit(now, &key, spec, Some(waiter), run) {
                 Submission::Run(_) => {}
--- a/crates/edge/src/front/flight/tickets.rs
+++ b/crates/edge/src/front/flight/tickets.rs
@@ -140,8 +140,12 @@
         let command = Command::from_json(&ticket.command, core, UNUSED_ID)?;
         let key = PolledQueryKey { user: Rc::clone(&identity.user), id: command.id.as_str().into() };
         let effect = !core.is_idempotent(command.class);
-        let spec =
-            PolledQuerySpec { body: command.fingerprint(), effect, polled: false, made: Some(ticket.made) };
+        let spec = PolledQuerySpec {
+            request_hash: command.fingerprint(),
+            non_idempotent: effect,
+            polled: false,
+            ticket_created_at: Some(ticket.made),
+        };
         self.polled_queries.revoke(now, &key, spec).map_err(rejection_status)
     }
 }
--- a/crates/edge/src/front/http.rs
+++ b/crates/edge/src/front/http.rs
@@ -128,7 +128,7 @@
     pub fn accept(&mut self, now: Micros, handle: &Handle, socket: TcpStream) {
         let id = self.next_id;
         self.next_id += 1;
-        match Stream::accepted(handle, socket, SocketKind::HttpClient.token(id)) {
+        match Stream::from_accepted(handle, socket, SocketKind::HttpClient.token(id)) {
             Ok(stream) => _ = self.connections.insert(id, Connection::new(stream, now)),
             Err(error) => tracing::warn!("connection not taken: {error}"),
         }
--- a/crates/edge/src/front/http/connection.rs
+++ b/crates/edge/src/front/http/connection.rs
@@ -148,7 +148,7 @@
 
     /// Tells the client that nothing more will be written.
     pub(super) fn linger(&mut self, now: Micros) {
-        self.stream.finish();
+        self.stream.shutdown_write();
         self.state = State::Lingering;
         self.since = now;
         self.request_begun = false;
--- a/crates/edge/src/front/query.rs
+++ b/crates/edge/src/front/query.rs
@@ -142,7 +142,7 @@
 pub fn ranked_summary(ranked: &Ranked) -> Value {
     let numbers = |shards: &[ShardId]| shards.iter().map(|shard| shard.0).collect::<Vec<_>>();
     let mut summary = json!({
-        "total": ranked.whole, "exact": ranked.exact, "asked": numbers(&ranked.asked),
+        "total": ranked.complete, "exact": ranked.exact, "asked": numbers(&ranked.fetched),
         "pruned": numbers(&ranked.pruned), "skipped": numbers(&ranked.skipped),
         "failed": numbers(&ranked.failed),
     });
--- a/crates/edge/src/http2_socket.rs
+++ b/crates/edge/src/http2_socket.rs
@@ -250,7 +250,7 @@
                 return Poll::Pending;
             }
         }
-        socket.stream.finish();
+        socket.stream.shutdown_write();
         Poll::Ready(Ok(()))
     }
 }
--- a/crates/edge/src/peers/connection.rs
+++ b/crates/edge/src/peers/connection.rs
@@ -79,7 +79,7 @@
         dialed: Option<PeerId>,
         limits: &PeerConnectionLimits,
     ) -> Self {
-        stream.hold_back(SOCKET_SEND_BUFFER_BYTES);
+        stream.limit_send_buffer(SOCKET_SEND_BUFFER_BYTES);
         Self {
             stream,
             phase,
--- a/crates/edge/src/peers/handshake.rs
+++ b/crates/edge/src/peers/handshake.rs
@@ -23,7 +23,7 @@
     pub(super) fn dial(&mut self, now: Micros, handle: &Handle, peer: PeerId) {
         let address = self.addresses[usize::from(peer.0)];
         let token = SocketKind::Peer.token(self.next_connection);
-        match Stream::dial(handle, address, token) {
+        match Stream::connect(handle, address, token) {
             Ok(stream) => {
                 let id = self.add_connection(now, stream, Phase::Dialing, Some(peer));
                 self.handle_ready(now, id);
@@ -59,7 +59,7 @@
             return self.log_once(&ip, "its address is in no entry of the list".to_owned());
         }
         self.make_room_for_unidentified();
-        match Stream::accepted(handle, socket, SocketKind::Peer.token(self.next_connection)) {
+        match Stream::from_accepted(handle, socket, SocketKind::Peer.token(self.next_connection)) {
             Ok(stream) => {
                 let id = self.add_connection(now, stream, Phase::Handshaking, None);
                 self.handle_ready(now, id);
@@ -189,7 +189,7 @@
         if is_lost {
             // Closed the usual way, the connection would wait in the system until a peer that never reads has read what was
             // sent before; and a peer that does not know of the end is to hear of it at once.
-            connection.stream.abort();
+            connection.stream.reset_on_close();
         }
         let peer = self.detach(now, id, is_lost);
         self.connections.remove(&id);
--- a/crates/edge/src/peers/mod.rs
+++ b/crates/edge/src/peers/mod.rs
@@ -21,7 +21,7 @@
 use mallowgauge_cluster::PeerId;
 use mallowgauge_net::{Handle, Listener};
 use mallowgauge_router::Micros;
-use mallowgauge_settings::Fleet;
+use mallowgauge_settings::PeerSettings;
 
 use crate::token::SocketKind;
 use connection::{Connection, Phase};
@@ -72,29 +72,29 @@
     pub fn start(
         now: Micros,
         handle: &Handle,
-        (fleet, limits): (&Fleet, PeerConnectionLimits),
+        (fleet, limits): (&PeerSettings, PeerConnectionLimits),
         nonce: u64,
         seed: u64,
     ) -> Result<Self, StartError> {
-        let me = PeerId(u16::try_from(fleet.me)?);
+        let me = PeerId(u16::try_from(fleet.own_index)?);
         let peer_count = fleet.peers.len();
         let names = fleet.peers.iter().map(|peer| peer.name.clone()).collect();
         let list = PeerList::new(names, me, fleet.version);
         let listener = Self::listen(handle, fleet.listen)?;
-        let address = listener.addr().map_err(StartError::Address)?;
+        let address = listener.local_addr().map_err(StartError::Address)?;
         tracing::info!(
             "peers are taken on {address}, as {} of {peer_count} in list {}, life {:08x}",
             list.name(me),
             fleet.version,
             nonce >> 32
         );
-        let takeover = fleet.handover.map(|query_lifetime| {
+        let takeover = fleet.request_lifetime.map(|query_lifetime| {
             let (records, bytes) = (limits.records, limits.records * RECORD_BYTES);
             let limits = AcceptorLimits { records, bytes, query_lifetime };
-            TakeoverManager::new(TakeoverConfig { me, peer_count, group_size: fleet.group, limits })
+            TakeoverManager::new(TakeoverConfig { me, peer_count, group_size: fleet.group_size, limits })
         });
         let mut peers = Self {
-            members: Membership::new(now, me, peer_count, nonce, fleet.pace, seed),
+            members: Membership::new(now, me, peer_count, nonce, fleet.probe_timing, seed),
             dials: DialScheduler::new(now, &list, seed ^ nonce),
             takeover,
             takeover_actions: Vec::new(),
--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -86,7 +86,7 @@
     core: Core,
     listeners: Listeners,
     http: http::HttpFrontend,
-    flight: flight::Front,
+    flight: flight::FlightFrontend,
     pool: ConnectionPool,
     discovery: Discovery,
     backends: BackendRegistry,
@@ -128,8 +128,8 @@
     /// Opens the sockets; no client is accepted before the first iteration.
     fn start(load_config: LoadConfig, handle: Handle, incarnation: u64) -> Result<Self, ServerError> {
         let config = load_config().map_err(ServerError::Configuration)?;
-        let cached = parse(&config.known).map_err(ServerError::CachedSnapshot)?;
-        let limits = ResourceLimits::from_config(&config, cached.hosts.len());
+        let cached = parse(&config.cached_endpoints).map_err(ServerError::CachedSnapshot)?;
+        let limits = ResourceLimits::from_config(&config, cached.backends.len());
         let clock = Clock::start();
         let zones = config.site.zones.clone();
         let classes = config.site.classes.len();
@@ -138,13 +138,13 @@
         let listeners = Listeners::bind(&handle, config.listen, config.flight.listen)?;
         let flight_options = FlightOptions {
             table_memory: TableMemory::new(TableMemoryLimits {
-                total: limits.flight.tables,
-                per_query: limits.flight.tables_a_call,
+                total: limits.flight.table_bytes,
+                per_query: limits.flight.table_bytes_per_query,
             }),
-            initial_window: limits.flight.window,
-            max_table_bytes: limits.flight.tables_a_call,
-            max_streams: config.links.streams,
-            tls: config.flight.host_tls.as_ref().map(Connector::new).transpose()?,
+            initial_window: limits.flight.backend_window,
+            max_table_bytes: limits.flight.table_bytes_per_query,
+            max_streams: config.connections.max_attempts,
+            tls: config.flight.backend_tls.as_ref().map(Connector::new).transpose()?,
         };
         let peers = start_peers(&config, clock.now(), &handle, incarnation)?;
         let setup = flight::Setup { limits: limits.flight, settings: &config.flight, classes };
@@ -156,9 +156,9 @@
             core,
             listeners,
             http: http::HttpFrontend::new(limits.connections.clients),
-            flight: flight::Front::new(&setup)?,
+            flight: flight::FlightFrontend::new(&setup)?,
             pool: ConnectionPool::new(
-                config.links,
+                config.connections,
                 config.flight.clone(),
                 limits.connections,
                 flight_options,
@@ -192,7 +192,7 @@
             self.pool.poll_timeout(),
             self.discovery.poll_timeout(),
             self.http.poll_timeout(),
-            self.flight.due(),
+            self.flight.poll_timeout(),
             self.lifecycle.poll_timeout(),
             self.peers.as_ref().and_then(Peers::poll_timeout),
             self.cached_snapshot_timeout(),
@@ -222,7 +222,7 @@
         self.pool.handle_timeout(now);
         self.pool.grant_table_memory(now);
         self.http.handle_timeout(now, &mut self.core);
-        self.flight.expire(now, &mut self.core);
+        self.flight.handle_timeout(now, &mut self.core);
         let event = self.discovery.handle_timeout(now);
         self.handle_discovery_events(event);
         self.use_unconfirmed_snapshot(now);
@@ -258,7 +258,7 @@
         self.http.handle_timeout(now, &mut self.core);
         self.stop_accepting();
         let open = self.core.open_queries() > 0 || self.listeners.is_open();
-        self.lifecycle.stop_unless_busy(open || self.http.is_busy() || self.flight.busy());
+        self.lifecycle.stop_unless_busy(open || self.http.is_busy() || self.flight.is_busy());
     }
 }
 
@@ -267,11 +267,11 @@
 fn build_core(config: &Config) -> Result<(Core, bool), ServerError> {
     let mut settings = config.site.settings.clone();
     let pushed = std::mem::replace(&mut settings.discovery, EndpointDelivery::Poll) == EndpointDelivery::Push;
-    let mut core = Core::new(config.seed, settings, config.site.classes.clone(), config.bounds)?;
-    if let Some(phases) = config.phases {
+    let mut core = Core::new(config.seed, settings, config.site.classes.clone(), config.core_limits)?;
+    if let Some(phases) = config.two_phase {
         core.enable_two_phase(phases);
     }
-    if config.fleet.as_ref().is_some_and(|(fleet, _)| fleet.handover.is_some()) {
+    if config.peers.as_ref().is_some_and(|(fleet, _)| fleet.request_lifetime.is_some()) {
         core.require_permits();
     }
     Ok((core, pushed))
@@ -284,7 +284,7 @@
     handle: &Handle,
     incarnation: u64,
 ) -> Result<Option<Peers>, ServerError> {
-    let Some((fleet, room)) = &config.fleet else { return Ok(None) };
+    let Some((fleet, room)) = &config.peers else { return Ok(None) };
     let peers = Peers::start(now, handle, (fleet, *room), incarnation, config.seed)?;
     Ok(Some(peers))
 }
--- a/crates/edge/src/server/accept.rs
+++ b/crates/edge/src/server/accept.rs
@@ -50,7 +50,7 @@
     /// # Errors
     /// As the system says.
     pub(super) fn address(&self, frontend: Frontend) -> io::Result<Option<SocketAddr>> {
-        self.listener(frontend).map(Listener::addr).transpose()
+        self.listener(frontend).map(Listener::local_addr).transpose()
     }
 
     /// Whether clients can still connect.
--- a/crates/edge/src/server/dispatch.rs
+++ b/crates/edge/src/server/dispatch.rs
@@ -22,7 +22,7 @@
             Some(SocketKind::HttpListener) => self.accept_http(),
             Some(SocketKind::FlightListener) => self.accept_flight(),
             Some(SocketKind::HttpClient) => self.http.handle_ready(now, id, &mut self.core),
-            Some(SocketKind::FlightClient) => self.flight.ready(now, id, &mut self.core),
+            Some(SocketKind::FlightClient) => self.flight.handle_ready(now, id, &mut self.core),
             Some(SocketKind::Backend) => self.pool.handle_ready(now, id),
             Some(SocketKind::PeerListener) => self.with_peers(|peers, handle| peers.accept(now, handle)),
             Some(SocketKind::Peer) => self.with_peers(|peers, _| peers.ready(now, id)),
@@ -95,7 +95,7 @@
         match handle {
             ResponseHandle::TakenOver(_) => {}
             ResponseHandle::Http(id) => self.http.respond(now, id, &response, &mut self.core),
-            ResponseHandle::Flight(id) => self.flight.answer(now, id, response, &mut self.core),
+            ResponseHandle::Flight(id) => self.flight.respond(now, id, response, &mut self.core),
         }
     }
 
--- a/crates/edge/src/server/endpoints.rs
+++ b/crates/edge/src/server/endpoints.rs
@@ -1,7 +1,7 @@
 //! Endpoint updates: from the cached snapshot of the start and from discovery to the router and the connections.
 
 use mallowgauge_router::{Endpoint, EndpointState, EndpointUpdate, Micros, ZoneId};
-use mallowgauge_settings::endpoint_list::{Host, List};
+use mallowgauge_settings::endpoint_list::{EndpointList, ListedBackend};
 use mallowgauge_settings::zone;
 
 use super::Server;
@@ -13,7 +13,7 @@
 
 /// The endpoint list that the server started with, while it is not in use.
 pub(super) struct CachedSnapshot {
-    list: List,
+    list: EndpointList,
     /// When it is used even if discovery has not answered.
     use_at: Micros,
 }
@@ -30,7 +30,7 @@
 impl Server {
     /// Starts with the cached endpoint list: at once, or where discovery pushes changes after it has had the time
     /// to confirm it. Whatever was pushed before the start counts as notified from the first moment.
-    pub(super) fn start_with_cached(&mut self, list: List, pushed: bool) {
+    pub(super) fn start_with_cached(&mut self, list: EndpointList, pushed: bool) {
         if !pushed {
             self.apply_endpoints(&list, Source::Cache);
             return self.start_serving();
@@ -84,27 +84,27 @@
     }
 
     /// Brings the registry, the connections and the router to the state of a list, in this order.
-    fn apply_endpoints(&mut self, list: &List, source: Source) {
+    fn apply_endpoints(&mut self, list: &EndpointList, source: Source) {
         let now = self.clock.now();
         let update = self.backends.apply(list);
         let mut endpoints = Vec::new();
         for (backend, host) in update.named {
             self.pool.update_backend(backend, host);
-            if host.phase != EndpointState::Ready || host.started.is_some() {
-                tracing::info!("host {} is {:?}, started {:?}", host.name, host.phase, host.started);
+            if host.state != EndpointState::Ready || host.started_at.is_some() {
+                tracing::info!("host {} is {:?}, started {:?}", host.id, host.state, host.started_at);
             }
             endpoints.push(Endpoint {
                 backend,
-                ring_position: host.cell,
-                state: host.phase,
-                started_at: host.started,
+                ring_position: host.ring_position,
+                state: host.state,
+                started_at: host.started_at,
                 zone: self.zone_index(host),
             });
         }
         for backend in update.removed {
             self.pool.remove_backend(now, backend);
         }
-        self.core.endpoint_update(match (source, list.reset) {
+        self.core.endpoint_update(match (source, list.is_snapshot) {
             (Source::Cache, _) => EndpointUpdate::CachedSnapshot(endpoints),
             (Source::Discovery, true) => EndpointUpdate::Snapshot(endpoints),
             (Source::Discovery, false) => EndpointUpdate::Delta(endpoints),
@@ -112,7 +112,7 @@
     }
 
     /// The number of a backend's zone, if the settings name it.
-    fn zone_index(&self, host: &Host) -> Option<ZoneId> {
+    fn zone_index(&self, host: &ListedBackend) -> Option<ZoneId> {
         host.zone.as_ref().and_then(|name| zone(&self.zones, name))
     }
 }
--- a/crates/edge/src/server/reload.rs
+++ b/crates/edge/src/server/reload.rs
@@ -39,7 +39,7 @@
     /// Replaces Flight's certificates and users, and says where discovery is from now on.
     fn replace_settings(&mut self) -> Result<SocketAddr, ReloadError> {
         let config = (self.load_config)().map_err(ReloadError::Configuration)?;
-        let connector = config.flight.host_tls.as_ref().map(Connector::new).transpose()?;
+        let connector = config.flight.backend_tls.as_ref().map(Connector::new).transpose()?;
         self.flight.reload(&config.flight)?;
         self.pool.set_tls(connector);
         Ok(config.discovery)
--- a/crates/edge/src/server/resources.rs
+++ b/crates/edge/src/server/resources.rs
@@ -29,10 +29,10 @@
     /// other connections share the rest.
     pub(super) fn from_config(config: &Config, backends: usize) -> Self {
         let (peer_descriptors, peer_memory) = peer_share(config);
-        let descriptors = config.links.sockets - peer_descriptors;
+        let descriptors = config.connections.max_descriptors - peer_descriptors;
         let memory = config.memory - peer_memory;
         let flight = &config.flight;
-        let uses_flight = flight.listen.is_some() || flight.every_host || !flight.hosts.is_empty();
+        let uses_flight = flight.listen.is_some() || flight.every_backend || !flight.backends.is_empty();
 
         let memory_without_flight = if uses_flight { memory / 2 } else { memory };
         let mut connections = ConnectionLimits::of(ConnectionResources {
@@ -45,7 +45,8 @@
             let most = memory_without_flight / 4 / BYTES_PER_FLIGHT_BACKEND;
             connections.backends = connections.backends.min(most).max(1);
         }
-        let streams = (connections.backends * config.links.streams).min(config.bounds.max_open);
+        let streams =
+            (connections.backends * config.connections.max_attempts).min(config.core_limits.max_open);
         let flight_descriptors = if uses_flight { descriptors } else { 0 };
         let flight_limits = stream_admission::Limits::of(memory / 2, flight_descriptors, streams);
         if flight.listen.is_some() {
@@ -57,8 +58,8 @@
 
 /// The descriptors and the bytes that connections to other instances may take.
 fn peer_share(config: &Config) -> (usize, usize) {
-    let Some((fleet, room)) = &config.fleet else { return (0, 0) };
-    let divisor = match fleet.handover {
+    let Some((fleet, room)) = &config.peers else { return (0, 0) };
+    let divisor = match fleet.request_lifetime {
         Some(_) => PEERS_WITH_TAKEOVER_MEMORY_DIVISOR,
         None => PEERS_MEMORY_DIVISOR,
     };
--- a/crates/edge/src/takeover/mod.rs
+++ b/crates/edge/src/takeover/mod.rs
@@ -79,22 +79,22 @@
         core: &mut Core,
         peers: &mut Peers,
     ) -> Vec<Task> {
-        let Some((query, time_left)) = core.open_request(now, &request.query) else { return Vec::new() };
-        let state = peers.with_takeover_manager(now, |manager| manager.request_state(&request.query));
+        let Some((query, time_left)) = core.open_request(now, &request.request_id) else { return Vec::new() };
+        let state = peers.with_takeover_manager(now, |manager| manager.request_state(&request.request_id));
         if state == Some(RequestState::AwaitingOutcome) {
             // Submitted again here while it is being taken over, or its outcome comes from another instance.
-            let handles = core.release_query(&request.query);
-            self.await_outcome(now, &request.query, now + time_left, handles, peers);
+            let handles = core.release_query(&request.request_id);
+            self.await_outcome(now, &request.request_id, now + time_left, handles, peers);
             return Vec::new();
         }
         let (payload, is_first_attempt) = (encode_request(query, time_left), !query.retry);
         if payload.len() > peers.largest_record() {
             let failed = QueryResponse::Failed(Failure::Invalid(ValidationError::TooLargeToReplicate));
-            return reply_to_all(core.release_query(&request.query), &failed);
+            return reply_to_all(core.release_query(&request.request_id), &failed);
         }
         let (part, attempt) = (request.shard.0, request.attempt.number);
-        let id = Arc::from(&*request.query);
-        let key = AttemptKey { query: Rc::clone(&request.query), part, attempt };
+        let id = Arc::from(&*request.request_id);
+        let key = AttemptKey { query: Rc::clone(&request.request_id), part, attempt };
         self.pending.insert(key, PendingAttempt { backend, request });
         let client_request =
             ClientRequest { id: &id, payload: &payload, deadline: now + time_left, is_first_attempt };
--- a/crates/edge/src/tls.rs
+++ b/crates/edge/src/tls.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use mallowgauge_settings::{HostTls, ServerTls};
+use mallowgauge_settings::{BackendTls, ServerTls};
 use rustls::client::WebPkiServerVerifier;
 use rustls::pki_types::pem::{self, PemObject};
 use rustls::pki_types::{CertificateDer, InvalidDnsNameError, PrivateKeyDer, ServerName};
@@ -144,7 +144,7 @@
     ///
     /// # Errors
     /// A file that cannot be used, by the name of its setting.
-    pub fn new(tls: &HostTls) -> Result<Self, TlsError> {
+    pub fn new(tls: &BackendTls) -> Result<Self, TlsError> {
         let builder =
             ClientConfig::builder_with_provider(provider()).with_safe_default_protocol_versions()?;
         let setting = "flight.host_tls.ca";
--- a/crates/edge/src/upstream/flight_stream.rs
+++ b/crates/edge/src/upstream/flight_stream.rs
@@ -92,7 +92,7 @@
 
 fn ticket(attempt: &AttemptRequest, position: CallPosition) -> Ticket {
     let text = String::from_utf8_lossy(&attempt.body);
-    let ticket = json!({"query": *attempt.query, "range": attempt.shard.0, "predicate": text,
+    let ticket = json!({"query": *attempt.request_id, "range": attempt.shard.0, "predicate": text,
                         "call": position.call, "parts": position.parts});
     Ticket { ticket: ticket.to_string().into() }
 }
--- a/crates/edge/src/upstream/frame_connection.rs
+++ b/crates/edge/src/upstream/frame_connection.rs
@@ -109,7 +109,8 @@
     fn accepts(&self, attempts: &[AttemptRequest]) -> bool {
         let is_known = |part: &String| self.in_flight.contains_key(part) || self.answered.contains(part);
         let is_queued = |attempt: &AttemptRequest| {
-            self.unwritten().any(|other| attempt.query == other.query && attempt.shard == other.shard)
+            self.unwritten()
+                .any(|other| attempt.request_id == other.request_id && attempt.shard == other.shard)
         };
         self.partial_since.is_none()
             && !attempts.iter().any(|attempt| is_known(&frames::part_name(attempt)))
@@ -284,7 +285,7 @@
             || self.queue.iter().any(|frame| matches!(frame, Frame::Call(_)))
             || self.awaits_answers();
         if !is_wanted {
-            self.stream.abort();
+            self.stream.reset_on_close();
         }
         is_wanted
     }
--- a/crates/edge/src/upstream/frames.rs
+++ b/crates/edge/src/upstream/frames.rs
@@ -71,7 +71,7 @@
 /// The name of an attempt's part on this wire.
 #[must_use]
 pub fn part_name(attempt: &AttemptRequest) -> String {
-    format!("{}.{}", attempt.query, attempt.shard.0)
+    format!("{}.{}", attempt.request_id, attempt.shard.0)
 }
 
 /// One call with these attempts, as it is written at `now`.
--- a/crates/edge/src/upstream/mod.rs
+++ b/crates/edge/src/upstream/mod.rs
@@ -38,7 +38,7 @@
 
 /// Takes the attempts out of an unsent call that may not begin any more.
 fn drop_expired(now: Micros, attempts: &mut Vec<AttemptRequest>, events: &mut Vec<UpstreamEvent>) {
-    let expired = attempts.extract_if(.., |attempt| !attempt.may_begin(now));
+    let expired = attempts.extract_if(.., |attempt| !attempt.may_start(now));
     events.extend(expired.map(|attempt| UpstreamEvent::not_sent(attempt.attempt)));
 }
 
--- a/crates/edge/src/upstream/pool.rs
+++ b/crates/edge/src/upstream/pool.rs
@@ -19,8 +19,8 @@
 use mallowgauge_core::{AttemptId, AttemptRequest};
 use mallowgauge_net::{Handle, Stream};
 use mallowgauge_router::{BackendId, EndpointState, Micros};
-use mallowgauge_settings::endpoint_list::Host;
-use mallowgauge_settings::{Flight, Links};
+use mallowgauge_settings::endpoint_list::ListedBackend;
+use mallowgauge_settings::{ConnectionSettings, FlightSettings};
 
 use super::connection::{BackendConnection, ProtocolConnection};
 use super::flight_connection::{FlightConnection, FlightOptions};
@@ -76,8 +76,8 @@
 
 /// Connections to the backends.
 pub struct ConnectionPool {
-    links: Links,
-    flight: Flight,
+    links: ConnectionSettings,
+    flight: FlightSettings,
     limits: ConnectionLimits,
     flight_options: FlightOptions,
     backends: BTreeMap<BackendId, BackendTarget>,
@@ -97,8 +97,8 @@
     /// A pool without connections, within these limits.
     #[must_use]
     pub fn new(
-        links: Links,
-        flight: Flight,
+        links: ConnectionSettings,
+        flight: FlightSettings,
         limits: ConnectionLimits,
         flight_options: FlightOptions,
     ) -> Self {
@@ -130,14 +130,14 @@
     /// What discovery says of a backend. Where it drains or has moved, what was not begun there has to go
     /// elsewhere, however late a connection comes up or a socket has room. Where it is a new process, nobody may be
     /// left to close the idle connections to the one before.
-    pub fn update_backend(&mut self, backend: BackendId, host: &Host) {
-        let Some(addr) = host.addr else { return };
+    pub fn update_backend(&mut self, backend: BackendId, host: &ListedBackend) {
+        let Some(addr) = host.address else { return };
         let target = BackendTarget {
             addr,
-            speaks_flight: self.flight.every_host || self.flight.hosts.contains(&host.name),
-            ring_position: host.cell,
-            ready: host.phase == EndpointState::Ready,
-            started_at: host.started,
+            speaks_flight: self.flight.every_backend || self.flight.backends.contains(&host.id),
+            ring_position: host.ring_position,
+            ready: host.state == EndpointState::Ready,
+            started_at: host.started_at,
         };
         let Some(before) = self.backends.insert(backend, target) else { return };
         if !target.continues(&before) {
@@ -167,7 +167,7 @@
         mut attempts: Vec<AttemptRequest>,
     ) {
         while !attempts.is_empty() {
-            let rest = attempts.split_off(attempts.len().min(self.links.parts_a_call));
+            let rest = attempts.split_off(attempts.len().min(self.links.parts_per_call));
             // A permit may have come after the news that the backend drains.
             let ready = self.backends.get(&backend).is_some_and(|target| target.ready);
             let id = if ready { self.connection_for(now, handle, backend, &attempts) } else { None };
@@ -185,7 +185,7 @@
 
     /// Nobody waits for an attempt any more.
     pub fn cancel(&mut self, now: Micros, backend: BackendId, attempt: AttemptId) {
-        let silent_timeout = self.links.silent;
+        let silent_timeout = self.links.silence_timeout;
         for id in self.connections_of(backend) {
             self.with_connection(id, |protocol, events| {
                 protocol.cancel(now, silent_timeout, attempt, events)
@@ -205,7 +205,7 @@
 
     /// Checks a backend's health.
     pub fn health_check(&mut self, now: Micros, handle: &Handle, backend: BackendId) {
-        let deadline = now + self.links.dial;
+        let deadline = now + self.links.connect_timeout;
         match self.connection_for(now, handle, backend, &[]) {
             Some(id) => {
                 self.with_connection(id, |protocol, events| protocol.health_check(now, deadline, events));
@@ -261,7 +261,7 @@
 
     /// Microseconds after which an idle connection is closed, sooner than the backend would.
     fn idle_timeout(&self) -> Micros {
-        (self.links.idle as f64 * IDLE_FRACTION) as Micros
+        (self.links.idle_timeout as f64 * IDLE_FRACTION) as Micros
     }
 
     fn connections_of(&self, backend: BackendId) -> Vec<u64> {
@@ -332,7 +332,7 @@
         let started_at = target.started_at.filter(|&at| at <= now).unwrap_or(0);
         connection.addr == target.addr
             && connection.opened_at >= started_at
-            && (in_flight == 0 || in_flight + attempts.len() <= self.links.streams)
+            && (in_flight == 0 || in_flight + attempts.len() <= self.links.max_attempts)
             && connection.protocol.accepts(attempts)
     }
 
@@ -350,10 +350,10 @@
             let silent_since = connection.protocol.silent_since();
             Some(ConnectionView {
                 id,
-                fits: self.takes(now, target, connection, in_flight, attempts),
-                silent: silent_since.is_some_and(|since| since + self.links.silent <= now),
-                load: in_flight,
-                used: connection.protocol.last_used(),
+                has_capacity: self.takes(now, target, connection, in_flight, attempts),
+                silent: silent_since.is_some_and(|since| since + self.links.silence_timeout <= now),
+                attempts_in_flight: in_flight,
+                last_used_at: connection.protocol.last_used(),
             })
         };
         let ids = self.by_backend.get(&backend).map(Vec::as_slice).unwrap_or_default();
@@ -391,7 +391,7 @@
         let id = self.next_id;
         self.next_id += 1;
         let addr = target.addr;
-        let stream = match Stream::dial(handle, addr, SocketKind::Backend.token(id)) {
+        let stream = match Stream::connect(handle, addr, SocketKind::Backend.token(id)) {
             Ok(stream) => stream,
             Err(error) => {
                 tracing::warn!("host {}: no connection: {error}", backend.0);
@@ -399,7 +399,7 @@
             }
         };
         tracing::debug!("host {}: dialling {addr}", backend.0);
-        let deadline = now + self.links.dial;
+        let deadline = now + self.links.connect_timeout;
         let protocol = if target.speaks_flight {
             let options = self.flight_options.clone();
             ProtocolConnection::Flight(FlightConnection::new(backend, stream, now, deadline, addr, options))
--- a/crates/edge/tests/bad_input.rs
+++ b/crates/edge/tests/bad_input.rs
@@ -313,7 +313,7 @@
         let read = read.ok().flatten().expect("a response");
         let list = endpoint_list::parse(&serde_json::from_slice(&read.body).expect("JSON")).expect("a list");
         prop_assert_eq!(&list, &endpoint_list::parse(&value).expect("a list"));
-        prop_assert_eq!(list.hosts.len(), count);
+        prop_assert_eq!(list.backends.len(), count);
         // A reset looks like an end to `response`; what it cuts short is no JSON.
         let cut = &bytes[..at.index(bytes.len())];
         if let Ok(Some(read)) = http1::read_response(cut, true) {
--- a/crates/edge/tests/parts.rs
+++ b/crates/edge/tests/parts.rs
@@ -208,7 +208,10 @@
          "startedAtMs": 0},
         {"instanceId": "s-c", "lifecycle": "left"}]});
     let list = mallowgauge_settings::endpoint_list::parse(&list).expect("a list");
-    let hosts = list.hosts.iter().map(|h| format!("{} {} {:?} {:?}", h.name, h.cell, h.phase, h.started));
+    let hosts = list
+        .backends
+        .iter()
+        .map(|h| format!("{} {} {:?} {:?}", h.id, h.ring_position, h.state, h.started_at));
     assert_snapshot!(hosts.collect::<Vec<_>>().join("\n"), @r"
     s-a 3 Ready Some(1700000000123000)
     s-b 4 Draining None
@@ -365,7 +368,7 @@
         let list = parse(&json!({"generation": 1, "reset": reset, "instances": instances})).expect("a list");
         let update = registry.apply(&list);
         let named: Vec<String> =
-            update.named.iter().map(|(id, host)| format!("{}={}", host.name, id.0)).collect();
+            update.named.iter().map(|(id, host)| format!("{}={}", host.id, id.0)).collect();
         let gone: Vec<u32> = update.removed.iter().map(|id| id.0).collect();
         seen.push(format!("{} forgets {gone:?}", named.join(" ")));
     };
--- a/crates/mallowgauge/tests/promises.rs
+++ b/crates/mallowgauge/tests/promises.rs
@@ -107,10 +107,10 @@
     let send = |shard: u32| AttemptRequest {
         call: mallowgauge_core::table_memory::CallId(1),
         attempt: AttemptId { part: PartId(shard.into()), number: 0 },
-        query: Rc::from("9b1f03aa5c7e2d41"),
+        request_id: Rc::from("9b1f03aa5c7e2d41"),
         shard: ShardId(shard),
         deadline: 1_240_000,
-        begin_by: 1_240_000,
+        start_by: 1_240_000,
         body: b"c41e77d0".as_slice().into(),
     };
     fits("call", &frames::call(1_000_000, &[send(3)]));
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -36,7 +36,7 @@
     ///
     /// # Errors
     /// The system's own.
-    pub fn addr(&self) -> io::Result<SocketAddr> {
+    pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     /// The system's own.
-    pub fn accepted(handle: &Handle, socket: TcpStream, token: Token) -> io::Result<Self> {
+    pub fn from_accepted(handle: &Handle, socket: TcpStream, token: Token) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
         socket.set_nodelay(true)?;
         let socket = Rc::new(socket);
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     /// The system's own.
-    pub fn dial(handle: &Handle, addr: SocketAddr, token: Token) -> io::Result<Self> {
+    pub fn connect(handle: &Handle, addr: SocketAddr, token: Token) -> io::Result<Self> {
         let socket = socket2::Socket::new(socket2::Domain::for_address(addr), socket2::Type::STREAM, None)?;
         socket.set_nonblocking(true)?;
         match socket.connect(&addr.into()) {
@@ -67,7 +67,7 @@
             Err(e) if e.raw_os_error() == Some(libc::EINPROGRESS) => {}
             Err(e) => return Err(e),
         }
-        Self::accepted(handle, socket.into(), token)
+        Self::from_accepted(handle, socket.into(), token)
     }
 
     /// Whether the connection is up; `None` while it is being opened, `Some(false)` once that has failed.
@@ -113,19 +113,19 @@
     }
 
     /// Bounds the bytes that the system holds until the other side takes them, at about so many.
-    pub fn hold_back(&self, bytes: usize) {
+    pub fn limit_send_buffer(&self, bytes: usize) {
         // Where it cannot be set, the system's own bound holds.
         let _ = socket2::SockRef::from(&*self.socket).set_send_buffer_size(bytes);
     }
 
     /// Makes the close a reset: what the other side has not taken by then is dropped.
-    pub fn abort(&self) {
+    pub fn reset_on_close(&self) {
         // Where it cannot be set, the system gives the rest up by itself after a while.
         let _ = socket2::SockRef::from(&*self.socket).set_linger(Some(Duration::ZERO));
     }
 
     /// Ends this side of the connection: nothing more will be written.
-    pub fn finish(&self) {
+    pub fn shutdown_write(&self) {
         // An error means that the connection has ended already.
         let _ = self.socket.shutdown(Shutdown::Write);
     }
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -128,7 +128,7 @@
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
-        took: Micros,
+        latency: Micros,
     },
     /// A health check came back.
     HealthCheckCompleted {
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -126,7 +126,7 @@
             Event::EndpointUpdate(update) => self.update_endpoints(update),
             Event::QueryArrived(arrival) => self.query_arrived(&arrival),
             Event::PartArrived(arrival) => self.part_arrived(&arrival),
-            Event::AttemptCompleted { part, attempt, outcome, took } => {
+            Event::AttemptCompleted { part, attempt, outcome, latency: took } => {
                 self.attempt_completed(part, attempt, outcome, took);
             }
             Event::ClientDisconnected(query) => self.end_query(query),
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -125,7 +125,7 @@
                     part: *part,
                     attempt: *attempt,
                     outcome: *outcome,
-                    took: self.now - sent,
+                    latency: self.now - sent,
                 })
                 .collect();
             events.push(Event::TimerExpired);
@@ -144,7 +144,7 @@
     }
 
     pub fn completed(&mut self, part: PartId, attempt: u32, outcome: Outcome, took: Micros) -> Vec<Action> {
-        self.handle(vec![Event::AttemptCompleted { part, attempt, outcome, took }])
+        self.handle(vec![Event::AttemptCompleted { part, attempt, outcome, latency: took }])
     }
 
     /// Lets queries pass that are answered at once, so that latencies are known to be short.
--- a/crates/router/tests/completion.rs
+++ b/crates/router/tests/completion.rs
@@ -99,7 +99,7 @@
     driver.handle(vec![
         Event::ClientDisconnected(QueryId(5)),
         Event::TimerExpired,
-        Event::AttemptCompleted { part: PartId(9), attempt: 3, outcome: Outcome::Succeeded, took: 1 },
+        Event::AttemptCompleted { part: PartId(9), attempt: 3, outcome: Outcome::Succeeded, latency: 1 },
         Event::HealthCheckCompleted { backend: BackendId(77), passed: true },
         Event::EndpointUpdate(EndpointUpdate::Snapshot(Vec::new())),
     ]);
--- a/crates/router/tests/invariants.rs
+++ b/crates/router/tests/invariants.rs
@@ -180,7 +180,7 @@
             ended.never_ran = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed);
             model_part.answered |= outcome == Outcome::Succeeded;
             let took = now - ended.sent_at;
-            events.push(Event::AttemptCompleted { part, attempt, outcome, took });
+            events.push(Event::AttemptCompleted { part, attempt, outcome, latency: took });
         }
         events
     }
--- a/crates/router/tests/many_routers.rs
+++ b/crates/router/tests/many_routers.rs
@@ -115,7 +115,10 @@
                 let took = self.now - sent;
                 let outcome =
                     if self.failing == Some(backend) { Outcome::BackendError } else { Outcome::Succeeded };
-                self.handle(at, vec![Event::AttemptCompleted { part, attempt: number, outcome, took }]);
+                self.handle(
+                    at,
+                    vec![Event::AttemptCompleted { part, attempt: number, outcome, latency: took }],
+                );
             }
             for at in 0..self.routers.len() {
                 if self.rng.f64() < self.routers[at].1 / 1_000.0 {
--- a/crates/router/tests/outlier.rs
+++ b/crates/router/tests/outlier.rs
@@ -119,7 +119,7 @@
         let first = sent[0].1;
         let end = |&(part, to): &(PartId, BackendId)| {
             let outcome = if cut && to == first { Outcome::ConnectionLost } else { Outcome::Succeeded };
-            Event::AttemptCompleted { part, attempt: 0, outcome, took: 50 * MS }
+            Event::AttemptCompleted { part, attempt: 0, outcome, latency: 50 * MS }
         };
         driver.now += 50 * MS;
         let again = sends(&driver.handle(sent.iter().map(end).collect()));
--- a/crates/router/tests/retry.rs
+++ b/crates/router/tests/retry.rs
@@ -204,7 +204,7 @@
             part: *part,
             attempt: 0,
             outcome,
-            took: MS,
+            latency: MS,
         }
     };
     let again = driver.handle(sent.iter().map(away(Outcome::Rejected)).collect());
--- a/crates/router/tests/slow_start_bound.rs
+++ b/crates/router/tests/slow_start_bound.rs
@@ -287,7 +287,8 @@
         let speed =
             self.started.get(&backend).map_or(1.0, |&started| capacity_fraction(now.saturating_sub(started)));
         let took = ((part_work + call_work) * self.case.seen / speed) as Micros;
-        let completed = Event::AttemptCompleted { part, attempt: *number, outcome: Outcome::Succeeded, took };
+        let completed =
+            Event::AttemptCompleted { part, attempt: *number, outcome: Outcome::Succeeded, latency: took };
         *number += 1;
         self.due.entry((Self::batch_time(now + took.max(1)), at)).or_default().push(completed);
     }
--- a/crates/settings/src/endpoint_list.rs
+++ b/crates/settings/src/endpoint_list.rs
@@ -9,50 +9,50 @@
 
 /// One backend, as discovery describes it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Host {
+pub struct ListedBackend {
     /// Its id.
-    pub name: String,
+    pub id: String,
     /// Where it listens; absent only where it is [`EndpointState::Removed`].
-    pub addr: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
     /// Its zone.
     pub zone: Option<String>,
     /// Its ring position.
-    pub cell: u32,
+    pub ring_position: u32,
     /// Its state.
-    pub phase: EndpointState,
+    pub state: EndpointState,
     /// Its last start, in µs of Unix time; `None` where discovery says 0 or nothing.
-    pub started: Option<Micros>,
+    pub started_at: Option<Micros>,
 }
 
 /// An endpoint list: a snapshot or a delta.
 #[derive(Clone, Debug, PartialEq)]
-pub struct List {
+pub struct EndpointList {
     /// Its version.
     pub generation: u64,
     /// Whether it is a snapshot.
-    pub reset: bool,
+    pub is_snapshot: bool,
     /// The backends.
-    pub hosts: Vec<Host>,
+    pub backends: Vec<ListedBackend>,
 }
 
 /// Reads an endpoint list.
 ///
 /// # Errors
 /// The key or the entry that is wrong.
-pub fn parse(value: &Value) -> Result<List, OneLine<EndpointListError>> {
+pub fn parse(value: &Value) -> Result<EndpointList, OneLine<EndpointListError>> {
     Ok(read(value)?)
 }
 
-fn read(value: &Value) -> Result<List, EndpointListError> {
+fn read(value: &Value) -> Result<EndpointList, EndpointListError> {
     let missing = EndpointListError::Missing;
     let generation = value.get("generation").and_then(Value::as_u64).ok_or(missing("generation"))?;
     let reset = value.get("reset").and_then(Value::as_bool).ok_or(missing("reset"))?;
     let list = value.get("instances").and_then(Value::as_array).ok_or(missing("instances"))?;
     let hosts = list.iter().map(read_entry).collect::<Result<_, _>>()?;
-    Ok(List { generation, reset, hosts })
+    Ok(EndpointList { generation, is_snapshot: reset, backends: hosts })
 }
 
-fn read_entry(entry: &Value) -> Result<Host, EndpointListError> {
+fn read_entry(entry: &Value) -> Result<ListedBackend, EndpointListError> {
     let text = |key| entry.get(key).and_then(Value::as_str);
     let name = text("instanceId").ok_or(EndpointListError::NoId)?.to_owned();
     let phase = match text("lifecycle") {
@@ -69,5 +69,12 @@
     let started = entry.get("startedAtMs").and_then(Value::as_u64).filter(|&at| at > 0);
     let started = started.map(|ms| ms.saturating_mul(1000));
     let zone = text("zone").map(str::to_owned);
-    Ok(Host { name, addr, zone, cell: cell.unwrap_or(0), phase, started })
+    Ok(ListedBackend {
+        id: name,
+        address: addr,
+        zone,
+        ring_position: cell.unwrap_or(0),
+        state: phase,
+        started_at: started,
+    })
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -72,7 +72,7 @@
     },
     /// The operator's file is wrong.
     #[error(transparent)]
-    Operator(#[from] OperatorError),
+    OperatorSettings(#[from] OperatorError),
     /// The limits that the platform sets do not suffice for so many peers.
     #[error("{file}: fleet.peers.list is too long: {reason}")]
     TooManyPeers {
--- a/crates/settings/src/flight.rs
+++ b/crates/settings/src/flight.rs
@@ -1,4 +1,4 @@
-//! The section `flight` of the operator's file: the Flight frontend, and the backends that offer Flight.
+//! The section `flight` of the operator's file: the FlightSettings frontend, and the backends that offer Flight.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 
 /// What is trusted of backends, and shown to them.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HostTls {
+pub struct BackendTls {
     /// The roots that backends' certificates come from, in PEM.
     pub ca: Vec<u8>,
     /// The name in them; the backend's address where there is none.
@@ -31,27 +31,27 @@
     pub identity: Option<(Vec<u8>, Vec<u8>)>,
 }
 
-/// Flight, where an operator has set it up.
+/// FlightSettings, where an operator has set it up.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Flight {
-    /// Where Flight clients connect.
+pub struct FlightSettings {
+    /// Where FlightSettings clients connect.
     pub listen: Option<SocketAddr>,
-    /// The backends that offer Flight, by their ids.
-    pub hosts: BTreeSet<String>,
+    /// The backends that offer FlightSettings, by their ids.
+    pub backends: BTreeSet<String>,
     /// Every backend offers it.
-    pub every_host: bool,
+    pub every_backend: bool,
     /// What tickets and tokens are signed with; drawn at each start where there is none.
     pub key: Option<Vec<u8>>,
     /// Who may call, with lines that prove their passwords; everybody where there are none.
     pub users: Option<BTreeMap<String, String>>,
     /// How long a ticket is valid, in µs.
-    pub ticket_life: Micros,
+    pub ticket_lifetime: Micros,
     /// How long a token is valid, in µs.
-    pub token_life: Micros,
+    pub token_lifetime: Micros,
     /// TLS for clients.
     pub tls: Option<ServerTls>,
     /// TLS towards backends.
-    pub host_tls: Option<HostTls>,
+    pub backend_tls: Option<BackendTls>,
 }
 
 /// Default validity of a ticket, in seconds.
@@ -59,23 +59,23 @@
 /// Default validity of a token, in seconds.
 const TOKEN_S: u64 = 3600;
 
-impl Default for Flight {
+impl Default for FlightSettings {
     fn default() -> Self {
         Self {
             listen: None,
-            hosts: BTreeSet::new(),
-            every_host: false,
+            backends: BTreeSet::new(),
+            every_backend: false,
             key: None,
             users: None,
-            ticket_life: TICKET_S * 1_000_000,
-            token_life: TOKEN_S * 1_000_000,
+            ticket_lifetime: TICKET_S * 1_000_000,
+            token_lifetime: TOKEN_S * 1_000_000,
             tls: None,
-            host_tls: None,
+            backend_tls: None,
         }
     }
 }
 
-impl Flight {
+impl FlightSettings {
     /// Reads the section.
     ///
     /// # Errors
@@ -95,19 +95,19 @@
         let host_tls = section.value("host_tls").map(|value| read_host_tls(value, file));
         Ok(Self {
             listen,
-            hosts,
-            every_host,
+            backends: hosts,
+            every_backend: every_host,
             key,
             users,
-            ticket_life: section.seconds("ticket_s", TICKET_S)?,
-            token_life: section.seconds("token_s", TOKEN_S)?,
+            ticket_lifetime: section.seconds("ticket_s", TICKET_S)?,
+            token_lifetime: section.seconds("token_s", TOKEN_S)?,
             tls: tls.transpose()?,
-            host_tls: host_tls.transpose()?,
+            backend_tls: host_tls.transpose()?,
         })
     }
 }
 
-/// The backends that offer Flight by their ids, and whether every one does.
+/// The backends that offer FlightSettings by their ids, and whether every one does.
 fn read_hosts(section: &OperatorSection<'_>) -> Result<(BTreeSet<String>, bool), OperatorError> {
     let error = |problem| section.error("hosts", Problem::Unexpected(problem));
     match section.value("hosts") {
@@ -130,7 +130,7 @@
     })
 }
 
-fn read_host_tls(value: &Value, file: &str) -> Result<HostTls, OperatorError> {
+fn read_host_tls(value: &Value, file: &str) -> Result<BackendTls, OperatorError> {
     let known = &["ca", "name", "certificate", "key"];
     let section = OperatorSection::new(value, file, "flight.host_tls", known)?;
     let identity = match (section.file("certificate")?, section.file("key")?) {
@@ -140,7 +140,7 @@
         (Some(_), None) => return Err(section.error("key", Problem::MissingBeside("certificate"))),
     };
     let name = section.text("name")?.map(str::to_owned);
-    Ok(HostTls { ca: section.needed_file("ca")?, name, identity })
+    Ok(BackendTls { ca: section.needed_file("ca")?, name, identity })
 }
 
 /// Reads lines `NAME:pbkdf2-sha256$ROUNDS$SALT$HASH`; empty ones and those that begin with `#` are skipped.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -12,8 +12,8 @@
 mod section;
 mod site;
 
-pub use flight::{Flight, HostTls, ServerTls};
-pub use operator::{LogFormat, Operator};
-pub use peers::{Fleet, Peer};
-pub use platform::{Config, Links};
+pub use flight::{BackendTls, FlightSettings, ServerTls};
+pub use operator::{LogFormat, OperatorSettings};
+pub use peers::{Peer, PeerSettings};
+pub use platform::{Config, ConnectionSettings};
 pub use site::{small, zone, Section, Site};
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -17,19 +17,19 @@
 use serde_json::Value;
 
 use crate::error::{OperatorError, Problem};
-use crate::flight::Flight;
-use crate::peers::Fleet;
+use crate::flight::FlightSettings;
+use crate::peers::PeerSettings;
 use crate::section::OperatorSection;
 
 /// All that the operator's file configures.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Operator {
+pub struct OperatorSettings {
     /// Flight.
-    pub flight: Flight,
+    pub flight: FlightSettings,
     /// Queries in two phases; rejected where there is none.
     pub phases: Option<TwoPhaseSettings>,
     /// The instances that are linked to each other; none where there is none.
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<PeerSettings>,
     /// How the log is written.
     pub log: LogFormat,
 }
@@ -53,13 +53,15 @@
 ///
 /// # Errors
 /// The key that is wrong.
-pub(crate) fn read(all: &Value, file: &str, name: Option<&str>) -> Result<Operator, OperatorError> {
+pub(crate) fn read(all: &Value, file: &str, name: Option<&str>) -> Result<OperatorSettings, OperatorError> {
     let whole = OperatorSection::new(all, file, "the file", &["flight", "phases", "fleet", "log"])?;
-    let flight = whole.value("flight").map_or(Ok(Flight::default()), |value| Flight::read(value, file))?;
+    let flight = whole
+        .value("flight")
+        .map_or(Ok(FlightSettings::default()), |value| FlightSettings::read(value, file))?;
     let phases = whole.value("phases").map(|value| read_phases(value, file)).transpose()?;
-    let fleet = whole.value("fleet").map(|value| Fleet::read(value, file, name)).transpose()?;
+    let fleet = whole.value("fleet").map(|value| PeerSettings::read(value, file, name)).transpose()?;
     let log = whole.value("log").map_or(Ok(LogFormat::Text), |value| read_log(value, file))?;
-    Ok(Operator { flight, phases, fleet, log })
+    Ok(OperatorSettings { flight, phases, fleet, log })
 }
 
 fn read_log(value: &Value, file: &str) -> Result<LogFormat, OperatorError> {
--- a/crates/settings/src/peers.rs
+++ b/crates/settings/src/peers.rs
@@ -31,9 +31,9 @@
 
 /// What an operator configures of several instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fleet {
+pub struct PeerSettings {
     /// This instance's index in the list.
-    pub me: usize,
+    pub own_index: usize,
     /// Where it listens for peers.
     pub listen: SocketAddr,
     /// All of them, in their order.
@@ -41,15 +41,15 @@
     /// The version of the list: only instances with the same one are linked.
     pub version: u64,
     /// How many acceptors a query has; odd.
-    pub group: usize,
+    pub group_size: usize,
     /// Intervals and time-outs of membership.
-    pub pace: ProbeTiming,
+    pub probe_timing: ProbeTiming,
     /// Most bytes queued for one peer, where the limits allow more.
-    pub queue: Option<usize>,
+    pub queue_bytes: Option<usize>,
     /// Most messages taken from one peer in a second.
-    pub rate: Option<u64>,
+    pub messages_per_second: Option<u64>,
     /// How long a client may ask again for a query that was taken over, in µs; takeover is off where there is none.
-    pub handover: Option<Micros>,
+    pub request_lifetime: Option<Micros>,
 }
 
 /// Longest name of an instance, in bytes.
@@ -69,7 +69,7 @@
     }
 }
 
-impl Fleet {
+impl PeerSettings {
     /// Reads the section; `name` is what the platform calls this instance, where the section does not say.
     ///
     /// # Errors
@@ -98,17 +98,31 @@
         let queue = read_bound(&bounds, "queue_kb", 16)?.map(|kb| kb as usize * 1024);
         let rate = read_bound(&bounds, "messages_a_second", 100)?;
         let handover = section.value("handover").map(|value| read_handover(value, file)).transpose()?;
-        Ok(Self { me, listen, peers, version, group, pace, queue, rate, handover })
+        Ok(Self {
+            own_index: me,
+            listen,
+            peers,
+            version,
+            group_size: group,
+            probe_timing: pace,
+            queue_bytes: queue,
+            messages_per_second: rate,
+            request_lifetime: handover,
+        })
     }
 
     /// What links may hold, of what the process may: `sockets` descriptors and `memory` bytes.
     ///
     /// # Errors
     /// The limit that is too low, and what is needed.
-    pub fn room(&self, sockets: usize, memory: usize) -> Result<PeerConnectionLimits, LimitsError> {
+    pub fn connection_limits(
+        &self,
+        sockets: usize,
+        memory: usize,
+    ) -> Result<PeerConnectionLimits, LimitsError> {
         let mut room = PeerConnectionLimits::of(self.peers.len(), sockets, memory)?;
-        room.queue_bytes = room.queue_bytes.min(self.queue.unwrap_or(room.queue_bytes));
-        room.messages_per_second = self.rate.unwrap_or(room.messages_per_second);
+        room.queue_bytes = room.queue_bytes.min(self.queue_bytes.unwrap_or(room.queue_bytes));
+        room.messages_per_second = self.messages_per_second.unwrap_or(room.messages_per_second);
         Ok(room)
     }
 }
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -8,27 +8,27 @@
 use serde_json::Value;
 
 use crate::error::{ConfigError, OneLine, PlatformError};
-use crate::flight::Flight;
-use crate::operator::{self, LogFormat, Operator};
-use crate::peers::Fleet;
+use crate::flight::FlightSettings;
+use crate::operator::{self, LogFormat, OperatorSettings};
+use crate::peers::PeerSettings;
 use crate::section::address;
 use crate::site::{Section, Site};
 
 /// Limits on connections to backends. Durations are in µs.
 #[derive(Clone, Copy, Debug)]
-pub struct Links {
+pub struct ConnectionSettings {
     /// Backends close a connection that has been idle for so long.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// A connection that is not established by then is given up.
-    pub dial: Micros,
+    pub connect_timeout: Micros,
     /// With nothing received on a connection for so long while attempts are in flight, new ones take another.
-    pub silent: Micros,
+    pub silence_timeout: Micros,
     /// Most attempts in flight on a connection.
-    pub streams: usize,
+    pub max_attempts: usize,
     /// Most parts in a call.
-    pub parts_a_call: usize,
+    pub parts_per_call: usize,
     /// Most descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
 }
 
 /// The configuration of an instance.
@@ -44,19 +44,19 @@
     /// The settings of its site.
     pub site: Site,
     /// Bounds on open queries.
-    pub bounds: CoreLimits,
+    pub core_limits: CoreLimits,
     /// Limits on connections to backends.
-    pub links: Links,
+    pub connections: ConnectionSettings,
     /// The memory that the process may use, in bytes.
     pub memory: usize,
     /// The cached endpoint list, which is valid.
-    pub known: Value,
-    /// The Flight frontend, and the backends that offer Flight.
-    pub flight: Flight,
+    pub cached_endpoints: Value,
+    /// The FlightSettings frontend, and the backends that offer Flight.
+    pub flight: FlightSettings,
     /// Queries in two phases, where they are accepted.
-    pub phases: Option<TwoPhaseSettings>,
+    pub two_phase: Option<TwoPhaseSettings>,
     /// The other instances, and what links to them may hold.
-    pub fleet: Option<(Fleet, PeerConnectionLimits)>,
+    pub peers: Option<(PeerSettings, PeerConnectionLimits)>,
 }
 
 /// Fraction of the shortest latency objective after which a silent connection is avoided.
@@ -90,7 +90,7 @@
         let own = own_name(&all, &variable);
         let mut operator = match operator {
             Some(path) => operator::read(&read_json(path)?, path, own.as_deref())?,
-            None => Operator::default(),
+            None => OperatorSettings::default(),
         };
         let fleet = operator.fleet.take();
         let config = Self::read(&all, variable, operator);
@@ -102,13 +102,14 @@
     }
 
     /// Adds the other instances, within the limits of the platform's file.
-    fn with_peers(mut self, fleet: Fleet, path: &str) -> Result<Self, ConfigError> {
-        let room = fleet.room(self.links.sockets, self.memory);
+    fn with_peers(mut self, fleet: PeerSettings, path: &str) -> Result<Self, ConfigError> {
+        let room = fleet.connection_limits(self.connections.max_descriptors, self.memory);
         let room = room.map_err(|reason| ConfigError::TooManyPeers { file: path.to_owned(), reason })?;
-        if fleet.handover.is_some() && (self.flight.every_host || !self.flight.hosts.is_empty()) {
+        if fleet.request_lifetime.is_some() && (self.flight.every_backend || !self.flight.backends.is_empty())
+        {
             return Err(ConfigError::TakeoverWithFlight);
         }
-        self.fleet = Some((fleet, room));
+        self.peers = Some((fleet, room));
         Ok(self)
     }
 
@@ -132,7 +133,7 @@
     fn read(
         all: &Value,
         variable: impl Fn(&str) -> Option<String>,
-        operator: Operator,
+        operator: OperatorSettings,
     ) -> Result<Self, PlatformError> {
         let text = |key: &'static str, name: &str| {
             let value = all.get(key).and_then(Value::as_str).map(str::to_owned);
@@ -156,28 +157,28 @@
             listen: address(&text("listen", "RELAY_LISTEN")?, "listen")?,
             discovery: address(&text("discovery", "RELAY_DISCOVERY")?, "discovery")?,
             seed: u64::from_str_radix(seed, 16).map_err(|_| PlatformError::Seed)?,
-            bounds: CoreLimits { max_open: count(&root, "Limits", "MaxOpen")?, shards },
-            links: read_links(&root, &site, sockets)?,
+            core_limits: CoreLimits { max_open: count(&root, "Limits", "MaxOpen")?, shards },
+            connections: read_links(&root, &site, sockets)?,
             memory,
-            known: known.clone(),
+            cached_endpoints: known.clone(),
             site,
             flight: operator.flight,
-            phases: operator.phases,
-            fleet: None,
+            two_phase: operator.phases,
+            peers: None,
         })
     }
 }
 
-fn read_links(root: &Section<'_>, site: &Site, sockets: usize) -> Result<Links, PlatformError> {
+fn read_links(root: &Section<'_>, site: &Site, sockets: usize) -> Result<ConnectionSettings, PlatformError> {
     let objectives = site.settings.classes.iter().map(|class| class.latency_objective);
     let shortest = objectives.min().unwrap_or_default();
-    Ok(Links {
-        idle: root.sub("Limits")?.int("ConnIdleUs")?,
-        dial: root.sub("Limits")?.int("DialTimeoutUs")?,
-        silent: (shortest as f64 * SILENCE_FRACTION) as Micros,
-        streams: count(root, "Limits", "MaxStreams")?,
-        parts_a_call: site.settings.layout.parts_per_call as usize,
-        sockets,
+    Ok(ConnectionSettings {
+        idle_timeout: root.sub("Limits")?.int("ConnIdleUs")?,
+        connect_timeout: root.sub("Limits")?.int("DialTimeoutUs")?,
+        silence_timeout: (shortest as f64 * SILENCE_FRACTION) as Micros,
+        max_attempts: count(root, "Limits", "MaxStreams")?,
+        parts_per_call: site.settings.layout.parts_per_call as usize,
+        max_descriptors: sockets,
     })
 }
 
--- a/crates/settings/tests/bad_input.rs
+++ b/crates/settings/tests/bad_input.rs
@@ -106,9 +106,11 @@
 
 /// What the programs rest on.
 fn check(config: &Config) -> Result<(), TestCaseError> {
-    let (bounds, links) = (&config.bounds, &config.links);
-    prop_assert!(bounds.max_open > 0 && bounds.shards > 0 && links.streams > 0 && links.parts_a_call > 0);
-    prop_assert!(links.sockets >= 32 && links.sockets <= u32::MAX as usize);
+    let (bounds, links) = (&config.core_limits, &config.connections);
+    prop_assert!(
+        bounds.max_open > 0 && bounds.shards > 0 && links.max_attempts > 0 && links.parts_per_call > 0
+    );
+    prop_assert!(links.max_descriptors >= 32 && links.max_descriptors <= u32::MAX as usize);
     let (settings, classes) = (&config.site.settings, &config.site.classes);
     prop_assert!(settings.validate().is_ok());
     prop_assert_eq!(settings.classes.len(), classes.len());
@@ -119,7 +121,7 @@
         .classes
         .iter()
         .all(|class| class.latency_objective > 0 && class.latency_objective <= class.deadline));
-    prop_assert!(endpoint_list::parse(&config.known).is_ok());
+    prop_assert!(endpoint_list::parse(&config.cached_endpoints).is_ok());
     Ok(())
 }
 
@@ -132,10 +134,10 @@
 
 #[test]
 fn the_inputs_that_are_changed_below_are_valid() {
-    assert_eq!(endpoint_list::parse(&list()).expect("a list").hosts.len(), 3);
+    assert_eq!(endpoint_list::parse(&list()).expect("a list").backends.len(), 3);
     assert!(Site::read(&platform()["settings"]).is_ok());
     let loaded = load(platform().to_string().as_bytes(), Some(operator().to_string().as_bytes()));
-    assert!(loaded.expect("a configuration").fleet.is_some());
+    assert!(loaded.expect("a configuration").peers.is_some());
 }
 
 // A list's words go into the log with a name that somebody else chose.
@@ -159,10 +161,10 @@
         match endpoint_list::parse(&value) {
             Ok(read) => {
                 prop_assert_eq!(Some(read.generation), value["generation"].as_u64());
-                prop_assert_eq!(Some(read.reset), value["reset"].as_bool());
-                prop_assert_eq!(read.hosts.len(), value["instances"].as_array().expect("a list").len());
-                for host in &read.hosts {
-                    prop_assert!(host.phase == EndpointState::Removed || host.addr.is_some());
+                prop_assert_eq!(Some(read.is_snapshot), value["reset"].as_bool());
+                prop_assert_eq!(read.backends.len(), value["instances"].as_array().expect("a list").len());
+                for host in &read.backends {
+                    prop_assert!(host.state == EndpointState::Removed || host.address.is_some());
                 }
             }
             Err(error) => check_error_text(&error.to_string())?,
