--- a/crates/cluster/src/connections/dial_scheduler.rs
+++ b/crates/cluster/src/connections/dial_scheduler.rs
@@ -1,5 +1,5 @@
-//! When this process dials which peer: exponential backoff with jitter, drawn from a seed, so that a cluster that starts
-//! at once does not dial at once.
+//! When this process dials which peer: exponential backoff with jitter, drawn from a seed, so that a cluster
+//! that starts at once does not dial at once.
 
 use super::handshake::PeerList;
 use crate::{Micros, PeerId};
--- a/crates/cluster/src/connections/handshake.rs
+++ b/crates/cluster/src/connections/handshake.rs
@@ -128,7 +128,8 @@
         }
     }
 
-    /// The peer that says this hello, as far as the list can tell; `dialed` is the peer that this side has dialed.
+    /// The peer that says this hello, as far as the list can tell; `dialed` is the peer that this side has
+    /// dialed.
     ///
     /// # Errors
     /// The hello does not fit the list, the versions or the peer that was dialed.
--- a/crates/cluster/src/connections/limits.rs
+++ b/crates/cluster/src/connections/limits.rs
@@ -56,8 +56,8 @@
 }
 
 impl PeerConnectionLimits {
-    /// The limits for a list of so many peers in a process that may hold so many sockets and bytes of memory. A connection
-    /// holds its queue and two of the longest messages.
+    /// The limits for a list of so many peers in a process that may hold so many sockets and bytes of memory.
+    /// A connection holds its queue and two of the longest messages.
     ///
     /// # Errors
     /// The process may hold too little.
--- a/crates/cluster/src/connections/mod.rs
+++ b/crates/cluster/src/connections/mod.rs
@@ -1,6 +1,7 @@
 //! Connections between peers: who may be connected, who dials whom and when, and what connections may hold.
 //!
-//! There is one connection a pair: the peer earlier in the list dials, the later one waits, so that two never open two.
+//! There is one connection a pair: the peer earlier in the list dials, the later one waits, so that two never
+//! open two.
 
 mod dial_scheduler;
 mod handshake;
--- a/crates/cluster/src/fault_injection.rs
+++ b/crates/cluster/src/fault_injection.rs
@@ -1,5 +1,6 @@
-//! Bugs that are injected on purpose, so that fault-injection tests of real processes can be seen to catch them. Without
-//! the cargo feature `planted`, which no released build has, all of it is off and compiles to nothing.
+//! Bugs that are injected on purpose, so that fault-injection tests of real processes can be seen to catch
+//! them. Without the cargo feature `planted`, which no released build has, all of it is off and compiles to
+//! nothing.
 
 /// A bug that breaks one of the register's promises.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/cluster/src/inbound_rate_limit.rs
+++ b/crates/cluster/src/inbound_rate_limit.rs
@@ -4,7 +4,8 @@
 
 /// Tokens are counted in millionths of a message, so that a microsecond gains `rate` of them.
 const MICROTOKENS: u64 = 1_000_000;
-/// A connection whose bucket is empty is looked at again after so many microseconds, for several messages at once.
+/// A connection whose bucket is empty is looked at again after so many microseconds, for several messages at
+/// once.
 const RETRY_INTERVAL: Micros = 20_000;
 
 fn microtokens(messages: u64) -> i64 {
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,14 +1,16 @@
-//! What several instances decide together. Messages in, messages and actions out, time an argument: no I/O, no clock, no
-//! threads, and no knowledge of HTTP, frames or Flight.
+//! What several instances decide together. Messages in, messages and actions out, time an argument: no I/O,
+//! no clock, no threads, and no knowledge of HTTP, frames or Flight.
 //!
 //! Three kinds of knowledge are never mixed in one type:
 //!
 //! - *advice* ([`membership`]) may be wrong at any time. It chooses order and pace only, and permits nothing;
-//! - *promises* (ballots, in [`register`]) hold through partitions, pauses and wrong clocks. Only they permit an effect;
+//! - *promises* (ballots, in [`register`]) hold through partitions, pauses and wrong clocks. Only they permit
+//!   an effect;
 //! - *records* (intents and outcomes, in [`register`]) are written once and never changed.
 //!
 //! [`takeover`] uses all three to decide who acts for a query whose instance is lost. [`connections`],
-//! [`outbound_queue`] and [`inbound_rate_limit`] decide which peers are connected and what their connections may hold.
+//! [`outbound_queue`] and [`inbound_rate_limit`] decide which peers are connected and what their connections
+//! may hold.
 
 pub mod connections;
 pub mod fault_injection;
@@ -22,12 +24,13 @@
 /// Microseconds on a clock that does not run backwards; only differences count.
 pub type Micros = u64;
 
-/// An instance, as its place in the fixed list of peers, which is the same in all instances that may be connected.
+/// An instance, as its place in the fixed list of peers, which is the same in all instances that may be
+/// connected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub struct PeerId(pub u16);
 
-/// One run of a process under its name. The higher one is the later one. No clock takes part in it: a process starts at
-/// 1 and goes above whatever its peers have known under its name.
+/// One run of a process under its name. The higher one is the later one. No clock takes part in it: a process
+/// starts at 1 and goes above whatever its peers have known under its name.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
--- a/crates/cluster/src/membership/actions.rs
+++ b/crates/cluster/src/membership/actions.rs
@@ -21,13 +21,16 @@
     MemberChanged(MemberUpdate),
     /// This process was suspected or held to be dead, and has refuted it with this number.
     Refuted(u32),
-    /// A later process, of this incarnation, is alive under this one's name: this one takes part in nothing any more.
+    /// A later process, of this incarnation, is alive under this one's name: this one takes part in nothing
+    /// any more.
     Superseded(Incarnation),
-    /// This process goes on under this incarnation: an earlier one of its name was known, or a later one has ended.
+    /// This process goes on under this incarnation: an earlier one of its name was known, or a later one has
+    /// ended.
     IncarnationRaised(Incarnation),
 }
 
-/// The protocol's intervals and time-outs, in microseconds. All but the interval grow with the local health multiplier.
+/// The protocol's intervals and time-outs, in microseconds. All but the interval grow with the local health
+/// multiplier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProbeTiming {
     /// Between the starts of two probes.
--- a/crates/cluster/src/membership/dissemination.rs
+++ b/crates/cluster/src/membership/dissemination.rs
@@ -13,11 +13,11 @@
 const UPDATES_PER_MESSAGE: usize = 64;
 /// Peers that first-hand updates go to at once; the others hear of them by piggybacking.
 const GOSSIP_FANOUT: usize = 8;
-/// Updates that are queued for piggybacking, for each member of the list. The oldest goes first; whole views make up
-/// for it.
+/// Updates that are queued for piggybacking, for each member of the list. The oldest goes first; whole views
+/// make up for it.
 const QUEUED_UPDATES_PER_MEMBER: usize = 4;
-/// Each update is piggybacked this many times the logarithm of the number of members, so that all hear it although a few
-/// messages are lost.
+/// Each update is piggybacked this many times the logarithm of the number of members, so that all hear it
+/// although a few messages are lost.
 const RETRANSMIT_MULTIPLIER: u32 = 3;
 /// Least time between two whole views to the same member, in microseconds.
 const VIEW_INTERVAL: Micros = 500_000;
--- a/crates/cluster/src/membership/messages.rs
+++ b/crates/cluster/src/membership/messages.rs
@@ -2,7 +2,8 @@
 
 use crate::{Incarnation, PeerId};
 
-/// How a member is held to be. Of two states of the same incarnation and refutation number, the later one here counts.
+/// How a member is held to be. Of two states of the same incarnation and refutation number, the later one
+/// here counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
     /// Some peer has heard it.
@@ -56,7 +57,8 @@
     Ping {
         /// The probe.
         seq: u64,
-        /// Digest of the sender's view ([`super::Membership::view_digest`]); a receiver with another view sends its own.
+        /// Digest of the sender's view ([`super::Membership::view_digest`]); a receiver with another view
+        /// sends its own.
         view: u64,
         /// Updates to spread, as many as fit.
         updates: Vec<MemberUpdate>,
--- a/crates/cluster/src/membership/timers.rs
+++ b/crates/cluster/src/membership/timers.rs
@@ -72,8 +72,8 @@
         }
     }
 
-    /// This process was not at its timers in time. What it did not receive meanwhile says nothing of others: open probes
-    /// begin anew, suspicions last as much longer, and the local health multiplier goes up.
+    /// This process was not at its timers in time. What it did not receive meanwhile says nothing of others:
+    /// open probes begin anew, suspicions last as much longer, and the local health multiplier goes up.
     fn handle_late_timers(&mut self, now: Micros, late: Micros) {
         self.raise_local_health_multiplier();
         let deadline = now + self.ack_timeout();
--- a/crates/cluster/src/membership/updates.rs
+++ b/crates/cluster/src/membership/updates.rs
@@ -8,8 +8,8 @@
 
 /// Where most live peers suspect a member over lost connections, it has so long to refute, in microseconds.
 const CONFIRMED_SUSPICION_TIMEOUT: Micros = 40_000;
-/// Lifeguard's curve log(c + 1) / log(k + 1) for c independent confirmations and k = 2, in thousandths of the difference
-/// between the longest and the shortest suspicion time-out.
+/// Lifeguard's curve log(c + 1) / log(k + 1) for c independent confirmations and k = 2, in thousandths of the
+/// difference between the longest and the shortest suspicion time-out.
 const CONFIRMATION_CURVE: [Micros; 3] = [0, 631, 1000];
 /// The shortest suspicion time-out is the longest one over this.
 const SHORTEST_TIMEOUT_DIVISOR: Micros = 3;
@@ -86,8 +86,8 @@
         }
     }
 
-    /// When a suspicion makes its member dead: later with the local health multiplier, sooner the more peers came to it on
-    /// their own evidence, and soon where connections broke at most of those that are there.
+    /// When a suspicion makes its member dead: later with the local health multiplier, sooner the more peers
+    /// came to it on their own evidence, and soon where connections broke at most of those that are there.
     pub(super) fn suspicion_deadline(&self, member: &Member) -> Option<Micros> {
         if !member.is(MemberState::Suspect) {
             return None;
@@ -110,8 +110,8 @@
         if update.incarnation == self.incarnation {
             return self.refute(update);
         }
-        // Before this process is a member its number always goes up, whichever nonce is the higher one: a later incarnation
-        // can be told by its number alone.
+        // Before this process is a member its number always goes up, whichever nonce is the higher one: a
+        // later incarnation can be told by its number alone.
         let is_earlier_life =
             self.identity == Identity::Unconfirmed && update.incarnation.number >= self.incarnation.number;
         if update.incarnation < self.incarnation && !is_earlier_life {
--- a/crates/cluster/src/membership/view.rs
+++ b/crates/cluster/src/membership/view.rs
@@ -74,7 +74,8 @@
         self.members.get(usize::from(peer.0)).and_then(Member::state)
     }
 
-    /// How far this process takes faults for its own, from 0 to 8: time-outs are one more than so many times longer.
+    /// How far this process takes faults for its own, from 0 to 8: time-outs are one more than so many times
+    /// longer.
     #[must_use]
     pub fn local_health_multiplier(&self) -> u32 {
         self.local_health_multiplier
@@ -168,8 +169,8 @@
         }
     }
 
-    /// A connection ended, or could not be had: evidence, and a reason to probe through others at once. `lost` unless this
-    /// side closed it.
+    /// A connection ended, or could not be had: evidence, and a reason to probe through others at once.
+    /// `lost` unless this side closed it.
     pub fn peer_disconnected(&mut self, now: Micros, peer: PeerId, lost: bool) {
         let Some(member) = self.member_mut(peer) else { return };
         let is_new = member.connected || !member.connection_lost;
--- a/crates/cluster/src/outbound_queue.rs
+++ b/crates/cluster/src/outbound_queue.rs
@@ -1,8 +1,8 @@
 //! What waits to be sent on one peer's connection, and which message is dropped when that is too much.
 //!
-//! A connection holds a bounded number of bytes. When more is to be sent, the messages of the lowest priority are
-//! dropped first, the oldest of these before the newer: probes and gossip are made anew by themselves, a reply is awaited,
-//! and what the register sends must not be lost while anything else could be dropped.
+//! A connection holds a bounded number of bytes. When more is to be sent, the messages of the lowest priority
+//! are dropped first, the oldest of these before the newer: probes and gossip are made anew by themselves, a
+//! reply is awaited, and what the register sends must not be lost while anything else could be dropped.
 
 use std::collections::VecDeque;
 
@@ -98,11 +98,13 @@
     }
 }
 
-/// A message that the receiver does not wait for is held back for so long, in microseconds, to go with others.
+/// A message that the receiver does not wait for is held back for so long, in microseconds, to go with
+/// others.
 const LINGER: Micros = 50_000;
 
-/// Messages about queries for one peer that go as one frame: all of one iteration of the event loop, together with
-/// those that nobody waits for. A frame of its own for each would cost both sides a system call and a wake-up.
+/// Messages about queries for one peer that go as one frame: all of one iteration of the event loop, together
+/// with those that nobody waits for. A frame of its own for each would cost both sides a system call and a
+/// wake-up.
 #[derive(Debug)]
 pub struct MessageBatch {
     bytes: Vec<u8>,
--- a/crates/cluster/src/register/acceptor.rs
+++ b/crates/cluster/src/register/acceptor.rs
@@ -11,8 +11,8 @@
 use crate::fault_injection::{self, Bug};
 use crate::{Incarnation, Micros, PeerId};
 
-/// Bytes of records on one page of a state transfer, unless a single record is longer: all records of an acceptor are
-/// more than a connection takes at once.
+/// Bytes of records on one page of a state transfer, unless a single record is longer: all records of an
+/// acceptor are more than a connection takes at once.
 const TRANSFER_PAGE_BYTES: usize = 4096;
 /// Epochs for which the record of a query with a chosen outcome is kept; see [`Acceptor::end_epoch`].
 const EPOCHS_KEPT: u64 = 3;
@@ -76,7 +76,8 @@
     }
 }
 
-/// One process as an acceptor. Everything in it is lost in a restart; `recovery.rs` says how it is learned again.
+/// One process as an acceptor. Everything in it is lost in a restart; `recovery.rs` says how it is learned
+/// again.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
     me: PeerId,
@@ -143,7 +144,8 @@
         AcceptorUsage { records: self.table.records.len(), bytes: self.table.bytes }
     }
 
-    /// Whether it remembers all that it ever promised for every query, so that its state transfer counts as complete.
+    /// Whether it remembers all that it ever promised for every query, so that its state transfer counts as
+    /// complete.
     #[must_use]
     pub fn remembers_every_query(&self, now: Micros) -> bool {
         self.recovery.remembers_every_query(now, self.limits.query_lifetime)
@@ -157,9 +159,9 @@
 
     /// The page of records after `after` for a peer that has restarted as `incarnation`.
     ///
-    /// That incarnation counts as the peer's present one from here on, so that no proposal that counts on an earlier one
-    /// is accepted any more. That is why the records may go over in several pages: what changes here between two of them
-    /// does not count on what the peer has forgotten.
+    /// That incarnation counts as the peer's present one from here on, so that no proposal that counts on an
+    /// earlier one is accepted any more. That is why the records may go over in several pages: what changes
+    /// here between two of them does not count on what the peer has forgotten.
     pub fn serve_transfer(
         &mut self,
         now: Micros,
@@ -171,7 +173,8 @@
         *known = (*known).max(incarnation);
         let to = *known;
         let remembers_all = self.remembers_every_query(now);
-        // Only the records of an acceptor that remembers everything end the other's recovery, which asks again until then.
+        // Only the records of an acceptor that remembers everything end the other's recovery, which asks
+        // again until then.
         let (records, next) =
             if remembers_all { self.transfer_page(now, peer, after.as_ref()) } else { (Vec::new(), None) };
         StateTransfer {
@@ -224,9 +227,10 @@
 
     /// Merges another acceptor's record.
     ///
-    /// A query whose outcome was chosen a whole lifetime before this acceptor's start is left out: an opening that could
-    /// be accepted here names this incarnation, so it was submitted after the start, which is later than the query may
-    /// be. Otherwise acceptors that restart one after the other would pass on every ended query for ever.
+    /// A query whose outcome was chosen a whole lifetime before this acceptor's start is left out: an opening
+    /// that could be accepted here names this incarnation, so it was submitted after the start, which is
+    /// later than the query may be. Otherwise acceptors that restart one after the other would pass on every
+    /// ended query for ever.
     fn merge_record(&mut self, now: Micros, id: QueryId, theirs: Record, chosen_for: Micros) {
         let chosen = theirs.chosen;
         let outlived = chosen_for >= self.limits.query_lifetime + self.recovery.uptime(now);
@@ -272,8 +276,8 @@
         }
     }
 
-    /// A process that a client submitted the query to opens it: accepted unless another ballot was promised, an outcome
-    /// is chosen, or the query may be an old one that was forgotten here.
+    /// A process that a client submitted the query to opens it: accepted unless another ballot was promised,
+    /// an outcome is chosen, or the query may be an old one that was forgotten here.
     #[allow(clippy::too_many_arguments)] // the fields of one request
     fn open(
         &mut self,
@@ -285,7 +289,8 @@
         proposal: &Proposal,
         version: u32,
     ) -> AcceptorReply {
-        // Checked even where a state transfer brought this very ballot: that is no promise of this acceptor's own.
+        // Checked even where a state transfer brought this very ballot: that is no promise of this acceptor's
+        // own.
         if let Some(reason) = self.must_abstain(now, &id, &opened_at.incarnations) {
             return self.abstain(id, ballot, reason);
         }
@@ -411,21 +416,22 @@
             || epoch.is_none_or(|epoch| epoch + 1 < self.epoch)
     }
 
-    /// Whether another record fits. A query without a chosen outcome is never forgotten, and one with a chosen outcome is
-    /// kept for as long as it may be submitted again.
+    /// Whether another record fits. A query without a chosen outcome is never forgotten, and one with a
+    /// chosen outcome is kept for as long as it may be submitted again.
     fn has_capacity(&self, payload_bytes: usize) -> bool {
         self.table.records.len() < self.limits.records
             && self.table.bytes + payload_bytes <= self.limits.bytes
     }
 
-    /// Ends an epoch that has lasted for the longest lifetime of a query, and forgets the queries whose outcome was
-    /// chosen three epochs ago. `true` if a new epoch began, which the other acceptors are to be told of.
+    /// Ends an epoch that has lasted for the longest lifetime of a query, and forgets the queries whose
+    /// outcome was chosen three epochs ago. `true` if a new epoch began, which the other acceptors are to be
+    /// told of.
     ///
-    /// Epochs count the times at which a record may have been forgotten. An opening that knew of an epoch before the last
-    /// one is not accepted: so one that is accepted was submitted, at the earliest, in the epoch after the one that
-    /// followed the end of what was forgotten, which is later than that may be submitted again. However late an opening
-    /// arrives, a forgotten query is never taken for a new one. The clock only chooses when an epoch ends, and a process
-    /// that was paused ends one epoch, not several.
+    /// Epochs count the times at which a record may have been forgotten. An opening that knew of an epoch
+    /// before the last one is not accepted: so one that is accepted was submitted, at the earliest, in the
+    /// epoch after the one that followed the end of what was forgotten, which is later than that may be
+    /// submitted again. However late an opening arrives, a forgotten query is never taken for a new one. The
+    /// clock only chooses when an epoch ends, and a process that was paused ends one epoch, not several.
     pub fn end_epoch(&mut self, now: Micros) -> bool {
         if now.saturating_sub(self.epoch_started_at) < self.limits.query_lifetime {
             return false;
--- a/crates/cluster/src/register/messages.rs
+++ b/crates/cluster/src/register/messages.rs
@@ -1,5 +1,6 @@
-//! What proposers and acceptors send each other about one query. postcard writes these by the order of variants and
-//! fields: that order never changes, new ones go to the end (`tests/stored_format.rs` holds the bytes).
+//! What proposers and acceptors send each other about one query. postcard writes these by the order of
+//! variants and fields: that order never changes, new ones go to the end (`tests/stored_format.rs` holds the
+//! bytes).
 
 use std::sync::Arc;
 
@@ -12,8 +13,8 @@
 /// From a proposer to an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ProposerRequest {
-    /// Opens a query under a ballot of round 0, without a prepare phase, and proposes its first version. Reply:
-    /// `Accepted`, `Rejected` or `Abstained`.
+    /// Opens a query under a ballot of round 0, without a prepare phase, and proposes its first version.
+    /// Reply: `Accepted`, `Rejected` or `Abstained`.
     Open {
         /// The query.
         id: QueryId,
@@ -30,8 +31,8 @@
         /// The version of the proposal.
         version: u32,
     },
-    /// Paxos's accept: a version of the proposal under a ballot that was promised or opened. Reply: `Accepted`,
-    /// `Rejected` or `Abstained`.
+    /// Paxos's accept: a version of the proposal under a ballot that was promised or opened. Reply:
+    /// `Accepted`, `Rejected` or `Abstained`.
     Accept {
         /// The query.
         id: QueryId,
@@ -44,7 +45,8 @@
         /// The version of the proposal.
         version: u32,
     },
-    /// Paxos's prepare: asks for a promise, to take the query over. Reply: `Promised`, `Rejected` or `Abstained`.
+    /// Paxos's prepare: asks for a promise, to take the query over. Reply: `Promised`, `Rejected` or
+    /// `Abstained`.
     Prepare {
         /// The query.
         id: QueryId,
--- a/crates/cluster/src/register/proposer.rs
+++ b/crates/cluster/src/register/proposer.rs
@@ -1,4 +1,5 @@
-//! One process that acts for one query, or wants to take it over: its ballot, its proposal and the replies to it.
+//! One process that acts for one query, or wants to take it over: its ballot, its proposal and the replies to
+//! it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -33,8 +34,8 @@
     is_opener: bool,
     /// When the query was opened; never changes, whoever takes it over.
     opened_at: OpenedAt,
-    /// Acceptors that promised this ballot, with their incarnations; only replies of these count. For an opener, the
-    /// incarnations that the acceptors are believed to be in.
+    /// Acceptors that promised this ballot, with their incarnations; only replies of these count. For an
+    /// opener, the incarnations that the acceptors are believed to be in.
     promised_by: Incarnations,
     /// Intents of earlier ballots that may have been executed.
     inherited_intents: BTreeSet<AttemptRef>,
@@ -56,8 +57,8 @@
 }
 
 impl Proposer {
-    /// Opens a query for a client, counting on the incarnations that its acceptors are believed to be in. It is active
-    /// from the start, as far as acceptors accept its opening.
+    /// Opens a query for a client, counting on the incarnations that its acceptors are believed to be in. It
+    /// is active from the start, as far as acceptors accept its opening.
     #[must_use]
     pub fn open(
         id: QueryId,
@@ -151,7 +152,8 @@
         self.inherited_outcome.as_ref().map(|recorded| &recorded.outcome)
     }
 
-    /// The acceptors that have not promised, or not accepted the present version; requests to them may be sent again.
+    /// The acceptors that have not promised, or not accepted the present version; requests to them may be
+    /// sent again.
     #[must_use]
     pub fn pending_acceptors(&self) -> Vec<PeerId> {
         let is_pending = |acceptor: &&PeerId| match self.phase {
@@ -198,9 +200,9 @@
         ProposerRequest::Prepare { id, ballot: self.ballot, opened_at }
     }
 
-    /// Proposes the intent to send an attempt; it may be sent once [`Proposer::is_permitted`] says so. `None` if it
-    /// never may be: an attempt of the same part under an earlier ballot may have been executed, the query has an
-    /// outcome, or this process does not act for it.
+    /// Proposes the intent to send an attempt; it may be sent once [`Proposer::is_permitted`] says so. `None`
+    /// if it never may be: an attempt of the same part under an earlier ballot may have been executed, the
+    /// query has an outcome, or this process does not act for it.
     pub fn propose_intent(&mut self, part: u32, attempt: u32) -> Option<AttemptRef> {
         let has_ended = self.outcome_version.is_some() || self.inherited_outcome.is_some();
         if self.phase != ProposerPhase::Active || has_ended || self.may_have_executed(part) {
@@ -226,8 +228,8 @@
         self.proposal.not_executed.extend(unsent);
     }
 
-    /// The last requests of a fenced proposer, to the acceptors that accepted its proposal: it does nothing more, and
-    /// `unsent`, the attempts that were proposed and never permitted, were not executed.
+    /// The last requests of a fenced proposer, to the acceptors that accepted its proposal: it does nothing
+    /// more, and `unsent`, the attempts that were proposed and never permitted, were not executed.
     pub fn relinquish(
         &mut self,
         unsent: impl IntoIterator<Item = AttemptRef>,
@@ -247,12 +249,12 @@
         self.acceptors.iter().map(request).collect()
     }
 
-    /// Proposes how the query ended. An outcome of an earlier ballot is proposed in its place, since it may have been
-    /// told to a client.
+    /// Proposes how the query ended. An outcome of an earlier ballot is proposed in its place, since it may
+    /// have been told to a client.
     ///
-    /// An opener proposes no outcome before a majority has accepted its opening: several processes may open one id at
-    /// once without a prepare phase, a majority accepts the opening of one of them at most, and so no two outcomes of
-    /// round 0 can ever stand beside each other.
+    /// An opener proposes no outcome before a majority has accepted its opening: several processes may open
+    /// one id at once without a prepare phase, a majority accepts the opening of one of them at most, and so
+    /// no two outcomes of round 0 can ever stand beside each other.
     pub fn propose_outcome(&mut self, outcome: Arc<[u8]>) {
         if self.phase != ProposerPhase::Active || self.outcome_version.is_some() {
             return;
@@ -308,8 +310,8 @@
         self.accepted_versions.contains_key(&acceptor)
     }
 
-    /// An acceptor's reply has come. Gives back that acceptor's record if it rejected the ballot: this proposer is
-    /// fenced from then on.
+    /// An acceptor's reply has come. Gives back that acceptor's record if it rejected the ballot: this
+    /// proposer is fenced from then on.
     pub fn handle_reply(&mut self, from: PeerId, reply: AcceptorReply) -> Option<Record> {
         if !self.acceptors.contains(&from) || self.phase == ProposerPhase::Fenced {
             return None;
@@ -358,8 +360,8 @@
         self.promised_by.insert(from, incarnation);
         self.abstained.remove(&from);
         if self.phase != ProposerPhase::Preparing {
-            // The first majority's records count: what only a later one has was never permitted and never told, and an
-            // outcome that is found after an attempt was sent would be untrue.
+            // The first majority's records count: what only a later one has was never permitted and never
+            // told, and an outcome that is found after an attempt was sent would be untrue.
             return;
         }
         if let Some(record) = record {
--- a/crates/cluster/src/register/record.rs
+++ b/crates/cluster/src/register/record.rs
@@ -1,4 +1,5 @@
-//! What an acceptor stores of one query, and how a proposal, an outcome or another acceptor's record is merged into it.
+//! What an acceptor stores of one query, and how a proposal, an outcome or another acceptor's record is
+//! merged into it.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -19,8 +20,8 @@
 pub struct Record {
     /// The highest ballot that was promised; proposals under any other are rejected.
     pub promised: Ballot,
-    /// The request, as a process that takes over needs it to run it; its first bytes are a digest of it. Cut down to
-    /// that digest once an outcome is chosen.
+    /// The request, as a process that takes over needs it to run it; its first bytes are a digest of it. Cut
+    /// down to that digest once an outcome is chosen.
     pub payload: Arc<[u8]>,
     /// Attempts that may have been sent.
     pub intents: BTreeSet<AttemptRef>,
@@ -45,8 +46,8 @@
     pub outcome: Arc<[u8]>,
 }
 
-/// What a proposer has written so far. Each request carries all of it, so that a lost, repeated or late copy is harmless.
-/// Sent by the order of its fields.
+/// What a proposer has written so far. Each request carries all of it, so that a lost, repeated or late copy
+/// is harmless. Sent by the order of its fields.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Proposal {
     /// Attempts that are about to be sent.
@@ -99,7 +100,8 @@
         self.chosen = theirs.chosen;
     }
 
-    /// Notes that `outcome` was accepted by a majority. The query is not run again, so only the payload's digest stays.
+    /// Notes that `outcome` was accepted by a majority. The query is not run again, so only the payload's
+    /// digest stays.
     pub(super) fn choose(&mut self, outcome: Arc<[u8]>) {
         self.outcome = Some(RecordedOutcome { ballot: self.promised, outcome });
         self.chosen = true;
--- a/crates/cluster/src/register/recovery.rs
+++ b/crates/cluster/src/register/recovery.rs
@@ -65,8 +65,8 @@
     incarnation: Incarnation,
     /// The last query that was on a page.
     after: Option<QueryId>,
-    /// The peer remembered everything at each page so far. One that has learned more between two pages may have missed
-    /// records on an earlier one.
+    /// The peer remembered everything at each page so far. One that has learned more between two pages may
+    /// have missed records on an earlier one.
     remembers_all: bool,
 }
 
@@ -101,16 +101,16 @@
         now.saturating_sub(self.started_at)
     }
 
-    /// Whether no query that was submitted before this start can be submitted again: one may be at the end of its
-    /// lifetime, and be waited for as long again.
+    /// Whether no query that was submitted before this start can be submitted again: one may be at the end of
+    /// its lifetime, and be waited for as long again.
     fn is_wait_over(&self, now: Micros, query_lifetime: Micros) -> bool {
         self.uptime(now) >= 2 * query_lifetime
     }
 
-    /// Whether this acceptor remembers all that it ever promised for one query. Each majority that it may have been
-    /// part of in an earlier incarnation has, beside itself, one of any `group_size / 2 + 1` others. It has to have the
-    /// records of so many of the query's acceptors, and either these remember everything themselves or the query can
-    /// no longer be submitted again.
+    /// Whether this acceptor remembers all that it ever promised for one query. Each majority that it may
+    /// have been part of in an earlier incarnation has, beside itself, one of any `group_size / 2 + 1`
+    /// others. It has to have the records of so many of the query's acceptors, and either these remember
+    /// everything themselves or the query can no longer be submitted again.
     pub(super) fn remembers(&self, now: Micros, query_lifetime: Micros, id: &str) -> bool {
         let wait_over = self.is_wait_over(now, query_lifetime);
         if self.group_size == 1 {
@@ -133,7 +133,8 @@
         }
         let informed = |memory: &&PeerMemory| **memory == PeerMemory::Complete || wait_over;
         let transferred = self.transferred.values().filter(informed).count();
-        // At worst all peers whose records are missing are acceptors of one query; it has to remember that one, too.
+        // At worst all peers whose records are missing are acceptors of one query; it has to remember that
+        // one, too.
         let spared = self.group_size - 1 - (self.group_size / 2 + 1);
         transferred + 1 + spared >= self.peer_count
     }
@@ -152,7 +153,8 @@
         peers.filter(wanted).map(pending).collect()
     }
 
-    /// A page has come; gives back after which query the next one starts. A repeated or late page changes nothing.
+    /// A page has come; gives back after which query the next one starts. A repeated or late page changes
+    /// nothing.
     pub(super) fn page_received(&mut self, page: &StateTransfer) -> Option<QueryId> {
         let start = TransferProgress { incarnation: page.incarnation, after: None, remembers_all: true };
         let progress = self.in_progress.entry(page.from).or_insert_with(|| start.clone());
--- a/crates/cluster/src/takeover/actions.rs
+++ b/crates/cluster/src/takeover/actions.rs
@@ -35,7 +35,8 @@
         /// How it ended.
         end: QueryEnd,
     },
-    /// Another instance acts for this query: do nothing more for it here, and keep its clients until it has ended.
+    /// Another instance acts for this query: do nothing more for it here, and keep its clients until it has
+    /// ended.
     OwnedByPeer {
         /// The query.
         id: QueryId,
--- a/crates/cluster/src/takeover/candidates.rs
+++ b/crates/cluster/src/takeover/candidates.rs
@@ -16,8 +16,8 @@
     timers: TimerQueue,
     /// Peers that asked for a query's outcome: they are told as soon as it is chosen, and need not ask often.
     subscribers: BTreeMap<QueryId, BTreeSet<PeerId>>,
-    /// Queries whose other acceptors are being asked whether anybody acts for them, with those that said that nobody
-    /// does.
+    /// Queries whose other acceptors are being asked whether anybody acts for them, with those that said that
+    /// nobody does.
     release_votes: BTreeMap<QueryId, BTreeSet<PeerId>>,
 }
 
@@ -81,7 +81,8 @@
         self.release_votes.insert(Arc::clone(id), BTreeSet::new());
     }
 
-    /// An acceptor says that nobody acts for the query; gives back how many have, or `None` if they are not being asked.
+    /// An acceptor says that nobody acts for the query; gives back how many have, or `None` if they are not
+    /// being asked.
     pub(super) fn vote(&mut self, id: &QueryId, acceptor: PeerId) -> Option<usize> {
         let votes = self.release_votes.get_mut(id)?;
         votes.insert(acceptor);
--- a/crates/cluster/src/takeover/client_requests.rs
+++ b/crates/cluster/src/takeover/client_requests.rs
@@ -48,9 +48,10 @@
         self.advance(now, id);
     }
 
-    /// A query that a client has submitted before is rejected here, and nothing was sent for it. Its client may be told
-    /// that nothing was executed only once no other instance can execute it: `NotExecuted` is proposed as the outcome,
-    /// and whichever outcome is chosen is told. Without a majority nothing is known, and the client hears that soon.
+    /// A query that a client has submitted before is rejected here, and nothing was sent for it. Its client
+    /// may be told that nothing was executed only once no other instance can execute it: `NotExecuted` is
+    /// proposed as the outcome, and whichever outcome is chosen is told. Without a majority nothing is known,
+    /// and the client hears that soon.
     pub fn reject(&mut self, now: Micros, request: ClientRequest) {
         self.open(now, request);
         let Some(query) = self.queries.get_mut(request.id) else { return };
--- a/crates/cluster/src/takeover/decisions.rs
+++ b/crates/cluster/src/takeover/decisions.rs
@@ -14,7 +14,8 @@
 const TAKEOVER_RETRY: Micros = 2 * TAKEOVER_STAGGER;
 
 impl TakeoverManager {
-    /// Schedules the takeover of queries that a peer acted for, in an incarnation that is over or while it is away.
+    /// Schedules the takeover of queries that a peer acted for, in an incarnation that is over or while it is
+    /// away.
     pub(super) fn schedule_takeovers_from(&mut self, now: Micros, peer: PeerId) {
         let Some(acceptor) = &self.acceptor else { return };
         let its = acceptor.open_records().filter(|(_, record)| record.promised.proposer == peer);
@@ -31,7 +32,8 @@
         self.candidates.schedule(id, at);
     }
 
-    /// Whether the proposer of the promised ballot is held to be lost: in another incarnation, or away. Advice.
+    /// Whether the proposer of the promised ballot is held to be lost: in another incarnation, or away.
+    /// Advice.
     fn is_owner_lost(&self, record: &Record) -> bool {
         let (owner, incarnation) = (record.promised.proposer, record.promised.incarnation);
         let restarted = self.incarnations.get(&owner).is_some_and(|present| *present != incarnation);
@@ -50,8 +52,8 @@
         before.filter(|peer| !self.unavailable.contains(peer)).count() as Micros
     }
 
-    /// The time to try for a query has come. One whose owner relinquished it lost to another ballot, which may have a
-    /// majority and be at work: the other acceptors are asked first.
+    /// The time to try for a query has come. One whose owner relinquished it lost to another ballot, which
+    /// may have a majority and be at work: the other acceptors are asked first.
     pub(super) fn takeover_due(&mut self, now: Micros, id: &QueryId) {
         let record = self.acceptor.as_ref().and_then(|acceptor| acceptor.record(id));
         if !record.is_some_and(|record| record.relinquished && !record.chosen) {
@@ -62,7 +64,8 @@
         self.send_to_acceptors(now, id, || ProposerRequest::ReadRecord { id: Arc::clone(id) });
     }
 
-    /// An acceptor's record has come, of a query whose outcome is awaited here, or that nobody seems to act for.
+    /// An acceptor's record has come, of a query whose outcome is awaited here, or that nobody seems to act
+    /// for.
     pub(super) fn handle_record_read(
         &mut self,
         now: Micros,
@@ -86,7 +89,8 @@
         }
     }
 
-    /// Prepares a higher ballot for a query that has no chosen outcome, unless this process acts for it already.
+    /// Prepares a higher ballot for a query that has no chosen outcome, unless this process acts for it
+    /// already.
     fn take_over(&mut self, now: Micros, id: &QueryId) {
         let record = self.acceptor.as_ref().and_then(|acceptor| acceptor.record(id));
         let Some(record) = record.filter(|record| !record.chosen) else {
--- a/crates/cluster/src/takeover/manager.rs
+++ b/crates/cluster/src/takeover/manager.rs
@@ -173,8 +173,8 @@
         }
     }
 
-    /// Asks a peer for its records if they are wanted. A peer that restarted is asked in any case: it no longer knows
-    /// this process's incarnation.
+    /// Asks a peer for its records if they are wanted. A peer that restarted is asked in any case: it no
+    /// longer knows this process's incarnation.
     fn request_transfer(&mut self, peer: PeerId, restarted: bool) {
         let pending = self.acceptor.as_ref().map(Acceptor::pending_transfers).unwrap_or_default();
         let pending = pending.into_iter().find(|pending| pending.peer == peer);
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Membership holds a peer to be away, or to be there again: advice.
+    /// Membership holds a peer to be away (suspect, dead or shut down), or to be there again: advice.
     pub fn peer_availability_changed(&mut self, now: Micros, peer: PeerId, unavailable: bool) {
         let changed =
             if unavailable { self.unavailable.insert(peer) } else { self.unavailable.remove(&peer) };
--- a/crates/cluster/src/takeover/messages.rs
+++ b/crates/cluster/src/takeover/messages.rs
@@ -1,5 +1,5 @@
-//! What instances send each other about queries. postcard writes it by the order of variants and fields: that order
-//! never changes, new ones go to the end (`tests/stored_format.rs` holds the bytes).
+//! What instances send each other about queries. postcard writes it by the order of variants and fields: that
+//! order never changes, new ones go to the end (`tests/stored_format.rs` holds the bytes).
 
 use serde::{Deserialize, Serialize};
 
@@ -13,7 +13,8 @@
     Request(ProposerRequest),
     /// From an acceptor.
     Reply(AcceptorReply),
-    /// An acceptor that has restarted announces its incarnation and asks for the records of queries after this one.
+    /// An acceptor that has restarted announces its incarnation and asks for the records of queries after
+    /// this one.
     TransferRequest {
         /// The sender's incarnation.
         incarnation: Incarnation,
@@ -32,8 +33,8 @@
 }
 
 impl Message {
-    /// Whether the receiver, or a client, waits for it. A chosen outcome or an epoch only lets others forget; whoever
-    /// asks for these meanwhile is answered all the same.
+    /// Whether the receiver, or a client, waits for it. A chosen outcome or an epoch only lets others forget;
+    /// whoever asks for these meanwhile is answered all the same.
     #[must_use]
     pub fn is_awaited(&self) -> bool {
         !matches!(self, Self::Request(ProposerRequest::Chosen { .. }) | Self::Epoch { .. })
--- a/crates/cluster/src/takeover/proposals.rs
+++ b/crates/cluster/src/takeover/proposals.rs
@@ -27,8 +27,8 @@
         let is_first = query.sending_version(version);
         let Some(proposer) = &query.proposer else { return };
         if is_first && phase == ProposerPhase::Active {
-            // At first a majority alone: further replies would only cost both sides. Advice chooses which majority, and
-            // the next time all others are asked as well.
+            // At first a majority alone: further replies would only cost both sides. Advice chooses which
+            // majority, and the next time all others are asked as well.
             let (me, unavailable) = (self.config.me, &self.unavailable);
             pending
                 .sort_by_key(|peer| (unavailable.contains(peer), !proposer.has_accepted(*peer), *peer != me));
@@ -57,7 +57,8 @@
         if stale && lacks_quorum {
             return self.retry_with_higher_ballot(now, &id);
         }
-        // Most acceptors abstained a second time: the permits are given up at once, not only after their time-out.
+        // Most acceptors abstained a second time: the permits are given up at once, not only after their
+        // time-out.
         if lacks_quorum && query.resends > 0 && !query.pending_permits.is_empty() {
             return self.abandon_permits(now, &id);
         }
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Gives up the permits that wait. The intents stay where they were accepted, and whoever takes over counts them as
-    /// possibly executed.
+    /// Gives up the permits that wait. The intents stay where they were accepted, and whoever takes over
+    /// counts them as possibly executed.
     pub(super) fn abandon_permits(&mut self, now: Micros, id: &QueryId) {
         let Some(query) = self.queries.get_mut(id) else { return };
         let permits = std::mem::take(&mut query.pending_permits);
@@ -103,7 +104,8 @@
         let end = if query.any_permitted { QueryEnd::PossiblyExecuted } else { QueryEnd::NotExecuted };
         query.end.get_or_insert(end);
         if not_executed && !is_accepted_anywhere {
-            // No acceptor knows of it, so there is nothing to record, and hundreds of such queries are not sent again.
+            // No acceptor knows of it, so there is nothing to record, and hundreds of such queries are not
+            // sent again.
             self.queries.remove(id);
         }
         self.deny_permits(id, permits);
@@ -111,7 +113,8 @@
         self.advance(now, id);
     }
 
-    /// An acceptor that was counted on has restarted: this ballot is of no more use, and a higher one is prepared.
+    /// An acceptor that was counted on has restarted: this ballot is of no more use, and a higher one is
+    /// prepared.
     fn retry_with_higher_ballot(&mut self, now: Micros, id: &QueryId) {
         let former = self.queries.get(id).and_then(|query| query.proposer.as_ref());
         let Some((former, opened_at)) = former.map(|former| (former.ballot(), former.opened_at().clone()))
--- a/crates/cluster/src/takeover/query_state.rs
+++ b/crates/cluster/src/takeover/query_state.rs
@@ -1,4 +1,5 @@
-//! The state of one query that this process does something for, and the table of all of them with their timers.
+//! The state of one query that this process does something for, and the table of all of them with their
+//! timers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,12 +12,14 @@
 
 /// A permit that a majority has not granted by then is given up, in microseconds.
 pub(super) const PERMIT_TIMEOUT: Micros = 200_000;
-/// Requests without a reply are sent again after this many microseconds, doubled with each repetition: while acceptors
-/// are away, hundreds of queries must not fill all connections with requests that nobody can answer.
+/// Requests without a reply are sent again after this many microseconds, doubled with each repetition: while
+/// acceptors are away, hundreds of queries must not fill all connections with requests that nobody can
+/// answer.
 const RESEND_INTERVAL: Micros = 30_000;
 const RESEND_DOUBLINGS: u32 = 4;
-/// While another instance's outcome is awaited, its acceptors are asked again after this many microseconds, doubled
-/// with each repetition. They tell it by themselves when it is chosen; the repetition makes up for lost messages.
+/// While another instance's outcome is awaited, its acceptors are asked again after this many microseconds,
+/// doubled with each repetition. They tell it by themselves when it is chosen; the repetition makes up for
+/// lost messages.
 pub(super) const OUTCOME_POLL_INTERVAL: Micros = 20_000;
 const OUTCOME_POLL_DOUBLINGS: u32 = 6;
 
@@ -90,9 +93,9 @@
         permits.chain([self.resend_at, self.give_up_at()]).min().unwrap_or(self.resend_at)
     }
 
-    /// Whether its clients may be told that nothing was executed without a majority having accepted that: no other
-    /// instance has seen it, nothing was sent, and no intent was taken back anywhere, so that whoever takes over finds
-    /// either nothing to run, or an attempt that may have been executed.
+    /// Whether its clients may be told that nothing was executed without a majority having accepted that: no
+    /// other instance has seen it, nothing was sent, and no intent was taken back anywhere, so that whoever
+    /// takes over finds either nothing to run, or an attempt that may have been executed.
     pub(super) fn is_certainly_not_executed(&self) -> bool {
         self.is_first_attempt && !self.any_permitted && !self.any_revoked && self.proposer.is_some()
     }
@@ -161,8 +164,9 @@
     }
 }
 
-/// All queries that this process does something for. A query that is touched gets its timer set anew before the next
-/// look at the timers: hundreds of queries may wait while acceptors are away, too many to look at with each message.
+/// All queries that this process does something for. A query that is touched gets its timer set anew before
+/// the next look at the timers: hundreds of queries may wait while acceptors are away, too many to look at
+/// with each message.
 #[derive(Debug, Default)]
 pub(super) struct QueryTable {
     queries: BTreeMap<QueryId, QueryState>,
--- a/crates/cluster/src/takeover/timers.rs
+++ b/crates/cluster/src/takeover/timers.rs
@@ -16,7 +16,8 @@
     /// When [`TakeoverManager::handle_timeout`] is to be called next.
     #[must_use]
     pub fn poll_timeout(&self) -> Option<Micros> {
-        // Before a first peer is connected there is no acceptor to scan; clients' queries have their timers all the same.
+        // Before a first peer is connected there is no acceptor to scan; clients' queries have their timers
+        // all the same.
         let scan = self.acceptor.as_ref().map(|_| self.last_scan + SCAN_INTERVAL);
         [self.queries.poll_timeout(), self.candidates.poll_timeout(), scan].into_iter().flatten().min()
     }
--- a/crates/cluster/tests/stored_format.rs
+++ b/crates/cluster/tests/stored_format.rs
@@ -1,6 +1,6 @@
-//! The bytes of what acceptors hold and of what peers send each other: an older and a newer build run side by side
-//! while a cluster is updated, so each has to read what the other writes. postcard goes by the order of variants and
-//! fields; moving one breaks these.
+//! The bytes of what acceptors hold and of what peers send each other: an older and a newer build run side by
+//! side while a cluster is updated, so each has to read what the other writes. postcard goes by the order of
+//! variants and fields; moving one breaks these.
 
 use std::fmt::{Debug, Write as _};
 use std::sync::Arc;
--- a/crates/cluster/tests/takeover.rs
+++ b/crates/cluster/tests/takeover.rs
@@ -1,6 +1,6 @@
-//! Whole processes' takeover managers on a network of their own in simulated time: owners die, are halted and come back,
-//! messages are lost, doubled and late, and clients ask again elsewhere. Executions are counted at the host.
-//! `TAKEOVER_SEEDS` sets how many random histories are played.
+//! Whole processes' takeover managers on a network of their own in simulated time: owners die, are halted and
+//! come back, messages are lost, doubled and late, and clients ask again elsewhere. Executions are counted at
+//! the host. `TAKEOVER_SEEDS` sets how many random histories are played.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -527,7 +527,8 @@
     world.run(3_000 * MS);
     world.check();
     assert_eq!(world.told.len(), 40);
-    // Two acceptors each at most, once for the intent and once for the end; one where this process is an acceptor itself.
+    // Two acceptors each at most, once for the intent and once for the end; one where this process is an
+    // acceptor itself.
     assert!(world.writes <= 40 * 4, "{} messages for 40 holds", world.writes);
 }
 
@@ -567,8 +568,8 @@
     assert!(world.paged > 0 && world.paged <= 200 * 2 * 3, "{} records for 200 ids", world.paged);
 }
 
-// Found by reading: a takeover manager had nothing to do and no time for it before its first link, so that who was asked before
-// was never told anything, however long it waited.
+// Found by reading: a takeover manager had nothing to do and no time for it before its first link, so that
+// who was asked before was never told anything, however long it waited.
 #[test]
 fn a_hold_asked_before_the_first_link_is_given_up_as_one_that_no_keeper_takes() {
     let mut manager = World::manager(0, 5);
--- a/crates/edge/src/peers/connection.rs
+++ b/crates/edge/src/peers/connection.rs
@@ -18,7 +18,8 @@
 const PARTIAL_FRAME_TIMEOUT: Micros = 1_000_000;
 /// Bytes that wait to be sent have to move within this time, in microseconds.
 const WRITE_TIMEOUT: Micros = 2_000_000;
-/// A connection on which goodbye was said is kept for so long, in microseconds, so that the peer can read the reason.
+/// A connection on which goodbye was said is kept for so long, in microseconds, so that the peer can read the
+/// reason.
 const GOODBYE_LINGER: Micros = 200_000;
 
 /// Bytes of takeover messages that go as one frame.
@@ -162,8 +163,8 @@
         Ok(())
     }
 
-    /// Takes the complete frames out of the input, at most `budget` of them and as many as the rate limit admits;
-    /// `resume_at` is set if more are there. The error is of the bytes after these frames.
+    /// Takes the complete frames out of the input, at most `budget` of them and as many as the rate limit
+    /// admits; `resume_at` is set if more are there. The error is of the bytes after these frames.
     pub(super) fn take_frames(
         &mut self,
         now: Micros,
--- a/crates/edge/src/peers/dispatch.rs
+++ b/crates/edge/src/peers/dispatch.rs
@@ -102,7 +102,8 @@
 
     /// Carries out what membership and takeover want.
     pub(super) fn handle_actions(&mut self, now: Micros) {
-        // Sending can end a connection, and that can be worth a message: each pass ends one connection at the least.
+        // Sending can end a connection, and that can be worth a message: each pass ends one connection at the
+        // least.
         loop {
             let membership = self.members.take_actions();
             let takeover = self.takeover.as_mut().map(TakeoverManager::take_actions).unwrap_or_default();
@@ -180,7 +181,8 @@
         if let Some(id) = self.connection_to(peer).filter(is_earlier) {
             self.say_goodbye(now, id, "a later life of it is known");
         }
-        // A member that is shutting down goes on until it has ended what it admitted: it is away once its connection is.
+        // A member that is shutting down goes on until it has ended what it admitted: it is away once its
+        // connection is.
         let is_draining = update.state == MemberState::Left && self.connection_to(peer).is_some();
         let is_away = update.state != MemberState::Alive && !is_draining;
         if let Some(manager) = &mut self.takeover {
@@ -191,7 +193,8 @@
         }
     }
 
-    /// A later process has this one's name: nobody takes this process for a member now, and it takes part in nothing.
+    /// A later process has this one's name: nobody takes this process for a member now, and it takes part in
+    /// nothing.
     fn superseded(&mut self, now: Micros, later: Incarnation) {
         let name = self.list.name(self.list.me());
         tracing::error!("another gatherer is {name}, life {later}; this one stands aside");
--- a/crates/edge/src/peers/handshake.rs
+++ b/crates/edge/src/peers/handshake.rs
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Drops the oldest accepted connection without a handshake if there are too many: a crowd that says nothing only
-    /// drives out its own.
+    /// Drops the oldest accepted connection without a handshake if there are too many: a crowd that says
+    /// nothing only drives out its own.
     fn make_room_for_unidentified(&mut self) {
         let unidentified = self
             .connections
@@ -105,7 +105,8 @@
             Err(error) => return self.reject(now, id, hello, &error),
         };
         let (update, about_self) = self.list.hello_updates(peer, hello);
-        // What the peer knows of an earlier incarnation of this process comes first: this side's hello has to go above it.
+        // What the peer knows of an earlier incarnation of this process comes first: this side's hello has to
+        // go above it.
         about_self.into_iter().for_each(|update| self.members.apply_update(now, update));
         let known = self.members.member_update(peer);
         if dialed.is_none() {
@@ -187,8 +188,8 @@
         let is_lost = matches!(end, Disconnect::Lost(_));
         let was_connected = connection.is_connected();
         if is_lost {
-            // Closed the usual way, the connection would wait in the system until a peer that never reads has read what was
-            // sent before; and a peer that does not know of the end is to hear of it at once.
+            // Closed the usual way, the connection would wait in the system until a peer that never reads has
+            // read what was sent before; and a peer that does not know of the end is to hear of it at once.
             connection.stream.abort();
         }
         let peer = self.detach(now, id, is_lost);
--- a/crates/edge/src/peers/mod.rs
+++ b/crates/edge/src/peers/mod.rs
@@ -1,9 +1,9 @@
-//! Connections to the other instances of the list: sockets and bytes. Which peers may be connected, when to dial, what
-//! waits to be sent and who is held to be there is decided in `mallowgauge_cluster`.
+//! Connections to the other instances of the list: sockets and bytes. Which peers may be connected, when to
+//! dial, what waits to be sent and who is held to be there is decided in `mallowgauge_cluster`.
 //!
-//! A peer can cost queries nothing that matters: what it sends is read at a bounded rate and in bounded pieces, what waits
-//! for it is bounded, and one that falls silent within a frame, never reads or sends what makes no sense loses its
-//! connection and nothing else.
+//! A peer can cost queries nothing that matters: what it sends is read at a bounded rate and in bounded
+//! pieces, what waits for it is bounded, and one that falls silent within a frame, never reads or sends what
+//! makes no sense loses its connection and nothing else.
 
 mod connection;
 mod dispatch;
@@ -64,8 +64,8 @@
 }
 
 impl Peers {
-    /// Opens the listener; nothing is dialed before [`Peers::handle_timeout`]. `nonce` is drawn at random by each process,
-    /// `seed` spreads dials and probes.
+    /// Opens the listener; nothing is dialed before [`Peers::handle_timeout`]. `nonce` is drawn at random by
+    /// each process, `seed` spreads dials and probes.
     ///
     /// # Errors
     /// The address cannot be bound.
@@ -169,8 +169,8 @@
         self.handle_actions(now);
     }
 
-    /// The most bytes of a record's request, and as many again of its outcome: acceptors tell each other both in one
-    /// message.
+    /// The most bytes of a record's request, and as many again of its outcome: acceptors tell each other both
+    /// in one message.
     #[must_use]
     pub fn largest_record(&self) -> usize {
         self.limits.message_bytes / 2 - RECORD_OVERHEAD_BYTES
@@ -197,7 +197,8 @@
         for id in std::mem::take(&mut self.to_flush) {
             self.flush_connection(now, id);
         }
-        // The end of a connection can be worth a message to others: that one goes in the next iteration, which is at once.
+        // The end of a connection can be worth a message to others: that one goes in the next iteration,
+        // which is at once.
         self.handle_actions(now);
         let again = (!self.to_flush.is_empty()).then_some(now);
         let connections = self.connections.values().filter_map(Connection::poll_timeout);
--- a/crates/edge/src/peers/wire.rs
+++ b/crates/edge/src/peers/wire.rs
@@ -1,8 +1,8 @@
-//! Frames between peers as bytes: a length of four bytes, most significant first, then a protobuf envelope. Unknown
-//! fields and kinds are ignored; only another major version is rejected, by the handshake.
+//! Frames between peers as bytes: a length of four bytes, most significant first, then a protobuf envelope.
+//! Unknown fields and kinds are ignored; only another major version is rejected, by the handshake.
 //!
-//! This file is the one place where the cluster's types meet the wire's numbers. Tags and numbers never change
-//! (`tests/peer_wire_format.rs` holds the bytes).
+//! This file is the one place where the cluster's types meet the wire's numbers. Tags and numbers never
+//! change (`tests/peer_wire_format.rs` holds the bytes).
 
 use mallowgauge_cluster::connections::Hello;
 use mallowgauge_cluster::membership::{MemberState, MemberUpdate, Message, ProbeResult, SuspicionEvidence};
--- a/crates/edge/src/takeover/mod.rs
+++ b/crates/edge/src/takeover/mod.rs
@@ -1,5 +1,5 @@
-//! Between the core, which runs queries with side effects, and the cluster, which permits their attempts and records how
-//! they end. Decides nothing: what is permitted is decided in `mallowgauge_cluster::register`.
+//! Between the core, which runs queries with side effects, and the cluster, which permits their attempts and
+//! records how they end. Decides nothing: what is permitted is decided in `mallowgauge_cluster::register`.
 
 pub mod records;
 
@@ -68,8 +68,8 @@
 }
 
 impl TakeoverAdapter {
-    /// The core wants to send an attempt: asks the cluster for a permit. If the query is owned by another instance, or
-    /// cannot be stored, the core releases it instead.
+    /// The core wants to send an attempt: asks the cluster for a permit. If the query is owned by another
+    /// instance, or cannot be stored, the core releases it instead.
     pub fn request_permit(
         &mut self,
         now: Micros,
@@ -122,8 +122,9 @@
         }
     }
 
-    /// A query with side effects has ended in the core: its clients are answered once its outcome is recorded, or at once
-    /// if no attempt ever asked for a permit and no other instance can have seen the query.
+    /// A query with side effects has ended in the core: its clients are answered once its outcome is
+    /// recorded, or at once if no attempt ever asked for a permit and no other instance can have seen the
+    /// query.
     pub fn replicate_outcome(
         &mut self,
         now: Micros,
@@ -163,8 +164,8 @@
         Vec::new()
     }
 
-    /// Has the cluster record that a query is not executed. Nobody is to run it, so its digest is enough, however large it
-    /// is.
+    /// Has the cluster record that a query is not executed. Nobody is to run it, so its digest is enough,
+    /// however large it is.
     fn reject(now: Micros, request: &QueryRequest, deadline: Micros, peers: &mut Peers) {
         let (id, payload) = (Arc::from(&*request.id), request_digest(request).into());
         let client_request = ClientRequest { id: &id, payload: &payload, deadline, is_first_attempt: false };
--- a/crates/edge/src/takeover/records.rs
+++ b/crates/edge/src/takeover/records.rs
@@ -1,5 +1,5 @@
-//! Requests and responses as records hold them. postcard writes them by the order of fields: that order never changes
-//! (`tests/stored_requests.rs` holds the bytes).
+//! Requests and responses as records hold them. postcard writes them by the order of fields: that order never
+//! changes (`tests/stored_requests.rs` holds the bytes).
 
 use std::sync::Arc;
 
@@ -44,8 +44,9 @@
     mallowgauge_cluster::digest(bytes).to_be_bytes()
 }
 
-/// The stored form of a request: its digest, and then the request. Of a two-phase query the digest alone, since another
-/// instance cannot plan its phases anew: it only finds out whether an attempt may have been executed.
+/// The stored form of a request: its digest, and then the request. Of a two-phase query the digest alone,
+/// since another instance cannot plan its phases anew: it only finds out whether an attempt may have been
+/// executed.
 #[must_use]
 pub fn encode_request(request: &QueryRequest, time_left: Micros) -> Arc<[u8]> {
     let stored = StoredRequest {
@@ -58,8 +59,8 @@
     [&request_digest(request)[..], &stored.unwrap_or_default()].concat().into()
 }
 
-/// Reads a stored request of `age` microseconds, to be run with what is left of its client's time; `None` if too little is
-/// left, or if the request is not stored.
+/// Reads a stored request of `age` microseconds, to be run with what is left of its client's time; `None` if
+/// too little is left, or if the request is not stored.
 #[must_use]
 pub fn decode_request(id: &str, payload: &[u8], age: Micros) -> Option<QueryRequest> {
     let stored: StoredRequest = postcard::from_bytes(payload.get(DIGEST_BYTES..)?).ok()?;
@@ -77,8 +78,8 @@
     })
 }
 
-/// How a query with this response ended. A response with a table, or of more than `max_bytes`, is not stored: whoever asks
-/// for it later hears that the query may have been executed.
+/// How a query with this response ended. A response with a table, or of more than `max_bytes`, is not stored:
+/// whoever asks for it later hears that the query may have been executed.
 #[must_use]
 pub fn query_end(response: &QueryResponse, possibly_executed: bool, max_bytes: usize) -> QueryEnd {
     match response {
--- a/crates/edge/tests/peer_wire_format.rs
+++ b/crates/edge/tests/peer_wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of each frame between peers: an older and a newer build run side by side while a cluster is updated, so
-//! each has to read what the other writes.
+//! The bytes of each frame between peers: an older and a newer build run side by side while a cluster is
+//! updated, so each has to read what the other writes.
 
 use std::fmt::Write as _;
 
--- a/crates/edge/tests/stored_requests.rs
+++ b/crates/edge/tests/stored_requests.rs
@@ -1,5 +1,6 @@
-//! The bytes of requests and responses in records: an older and a newer build run side by side while a cluster is updated,
-//! so each has to read what the other writes. The literals were written by 448c769's code.
+//! The bytes of requests and responses in records: an older and a newer build run side by side while a
+//! cluster is updated, so each has to read what the other writes. The literals were written by 448c769's
+//! code.
 
 use std::fmt::Write as _;
 
