--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -97,8 +97,6 @@
     pub overload_window: Micros,
     /// The budget of further attempts, where one is set.
     pub retry_budget: Option<RetryBudgetSettings>,
-    /// Where endpoint updates are polled, the longest time between two polls; 0 if not stated.
-    pub max_poll_interval: Micros,
 }
 
 /// How endpoint updates reach the router.
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -42,7 +42,6 @@
             overload_multiple: 3.0,
             overload_window: 2 * SECOND,
             retry_budget: None,
-            max_poll_interval: 0,
         },
         discovery: Discovery::Push,
         zone: None,
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -262,7 +262,6 @@
         overload_multiple: rules.number("TipMultiple")?,
         overload_window: rules.int("FallUs")?,
         retry_budget,
-        max_poll_interval: rules.int("AskWithinUs").unwrap_or(0),
     })
 }
 
