--- a/crates/edge/src/lifecycle.rs
+++ b/crates/edge/src/lifecycle.rs
@@ -2,7 +2,8 @@
 //!
 //! After SIGTERM the platform's proxy goes on sending connections for a moment, so the server still accepts them
 //! while it drains: until they have stopped coming, within bounds. Then it stops accepting, finishes what it has,
-//! and exits. Each request that was taken is answered before the platform may kill the process.
+//! and exits. A request that is taken after SIGTERM is answered before the platform may kill the process
+//! ([`Lifecycle::answer_deadline`]); one taken before keeps the deadline that it had.
 
 use mallowgauge_router::Micros;
 
--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -232,7 +232,8 @@
         }
     }
 
-    /// SIGTERM or SIGINT: draining begins, and every query gets its answer before the platform kills the process.
+    /// SIGTERM or SIGINT: draining begins. Queries that are taken from now on are answered before the platform kills the
+    /// process; those that are open keep their deadlines.
     fn request_shutdown(&mut self) {
         let now = self.clock.now();
         self.lifecycle.request_shutdown(now);
--- a/crates/edge/src/takeover/mod.rs
+++ b/crates/edge/src/takeover/mod.rs
@@ -1,5 +1,6 @@
-//! Between the core, which runs queries with side effects, and the cluster, which permits their attempts and
-//! records how they end. Decides nothing: what is permitted is decided in `mallowgauge_cluster::register`.
+//! Carries messages between the core, which runs non-idempotent queries, and the cluster, which permits their
+//! attempts and records how they end. What is permitted is decided in `mallowgauge_cluster::register`, who takes
+//! over in `mallowgauge_cluster::takeover`; here a decision becomes a response to the clients that wait.
 
 pub mod records;
 
--- a/crates/router/src/completion.rs
+++ b/crates/router/src/completion.rs
@@ -136,8 +136,9 @@
     pub complete: bool,
 }
 
-/// How a query ends that gets no answer. A first step's answer is out in the second step already, so that a
-/// rejection would be no truth any more.
+/// How a query ends that gets no answer: it is rejected, which says that sending it again does no harm, where
+/// that holds, and failed otherwise. In its second step it can no longer be rejected, since the answer of the
+/// first step has been given.
 pub(crate) fn unanswered<'a>(
     class: &Class,
     query: &Query,
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -117,7 +117,7 @@
         /// It was answered; otherwise it was rejected or failed.
         answered: bool,
     },
-    /// The client of a query disconnected.
+    /// Nobody waits for a query any more: its client disconnected, or the caller has ended it otherwise.
     ClientDisconnected(QueryId),
     /// An attempt ended.
     AttemptCompleted {
--- a/crates/router/src/router/attempts.rs
+++ b/crates/router/src/router/attempts.rs
@@ -135,7 +135,8 @@
         if let Some(attempt) = self.parts.get_mut(id).and_then(|p| p.attempts.get_mut(number as usize)) {
             attempt.overdue = true;
         }
-        if !self.may_hedge(id) {
+        // Where it may not be replaced now, it is left to its time-out.
+        if !self.may_replace_overdue(id) {
             return;
         }
         match self.retries.overdue_response(was_ejected, is_silent) {
@@ -145,9 +146,9 @@
         }
     }
 
-    /// Whether a part with an overdue attempt may have one more. While its class sheds load there is no
-    /// capacity to do work twice.
-    fn may_hedge(&self, id: PartId) -> bool {
+    /// Whether a part with an overdue attempt may have one more, beside it or in its place. While its class sheds
+    /// load there is no capacity to do work twice.
+    fn may_replace_overdue(&self, id: PartId) -> bool {
         let Some(part) = self.parts.get(id).filter(|part| part.is_wanted()) else { return false };
         let in_flight = part.attempts.iter().filter(|attempt| attempt.is_in_flight()).count();
         in_flight <= 1
--- a/crates/router/src/slow_start.rs
+++ b/crates/router/src/slow_start.rs
@@ -176,6 +176,7 @@
     ) -> bool {
         let window = self.rules.overload_window;
         let parts = demand.traffic.admitted_parts_in(now, window);
+        // Parts that wait are sent beside those that arrive: the draw becomes harder by their ratio.
         let crowding = 1.0 + demand.waiting_parts as f64 / parts;
         let (mut replica_count, mut replica_capacity) = (0.0, 0.0);
         for started_at in replicas {
@@ -188,6 +189,9 @@
         let known_windows = demand.traffic.age(now) as f64 / window.max(1) as f64;
         let quota = quota * known_windows.clamp(NEW_ROUTER_FRACTION, 1.0);
         let draw = unit_interval(hash_query_shard(demand.query, WHOLE_QUERY)) * crowding / DRAWN_CAPACITY_USE;
-        draw < replica_capacity / replica_count || draw * work * expected_parts < quota
+        // Queries pass in proportion to the mean warm-up fraction of the replicas, whatever the quota.
+        let within_mean_capacity = draw < replica_capacity / replica_count;
+        let within_quota = draw * work * expected_parts < quota;
+        within_mean_capacity || within_quota
     }
 }
