--- a/crates/core/tests/two_phase.rs
+++ b/crates/core/tests/two_phase.rs
@@ -6,7 +6,7 @@
 
 use mallowgauge_core::two_phase::{
     parse_rows, parse_sketch, BlockSetup, Choose, PartLoss, PhaseTimeEstimator, Plan, PlanAction, PlanSetup,
-    Row, Rule, ScoutBudget, Silent, Sketch, SketchBounds, SketchCache, Spec, MAX_ROWS_PER_BLOCK,
+    Ranked, Row, Rule, ScoutBudget, Silent, Sketch, SketchBounds, SketchCache, Spec, MAX_ROWS_PER_BLOCK,
 };
 use mallowgauge_router::{Micros, ShardId};
 use proptest::prelude::*;
@@ -77,7 +77,10 @@
     case.blocks[block].scores.iter().enumerate().map(row).collect()
 }
 
-fn play(case: &Case) -> Result<(), TestCaseError> {
+const OBJECTIVE: Micros = 1_000_000;
+const DEADLINE: Micros = 2_000_000;
+
+fn spec_of(case: &Case) -> Spec {
     let choose = match case.choose {
         0 => Choose::Best(case.k),
         1 => Choose::Threshold,
@@ -85,161 +88,198 @@
         _ => Choose::All,
     };
     let silent = if case.skip { Silent::Skip } else { Silent::Ask };
-    let spec = Spec { choose, top: case.top, wave: case.wave, silent };
+    Spec { choose, top: case.top, wave: case.wave, silent }
+}
+
+fn setup_of(case: &Case) -> PlanSetup {
     let count = case.blocks.len();
-    let weight = 1.0 / count as f64;
-    let (objective, deadline) = (1_000_000, 2_000_000);
     let stale = |b: &BlockModel| b.stale.map(|bound| Sketch { bound: f64::from(bound), count: Some(0) });
-    let setup = PlanSetup {
-        blocks: (0..count)
-            .map(|i| BlockSetup { shard: ShardId(i as u32), weight, known: stale(&case.blocks[i]) })
-            .collect(),
-        spec,
+    let block = |i: usize| BlockSetup {
+        shard: ShardId(i as u32),
+        weight: 1.0 / count as f64,
+        known: stale(&case.blocks[i]),
+    };
+    PlanSetup {
+        blocks: (0..count).map(block).collect(),
+        spec: spec_of(case),
         has_effect: case.effect,
         minimum_completeness: case.floor,
-        objective,
-        deadline,
+        objective: OBJECTIVE,
+        deadline: DEADLINE,
         budget: if case.blind { ScoutBudget::NoScouts } else { ScoutBudget::Until(case.budget) },
         wave_time: 100_000,
-    };
-    let mut now = 0;
-    let (mut plan, actions) = Plan::start(now, setup);
-    let (mut scouts, mut fetches) = (BTreeSet::new(), BTreeSet::new());
-    let (mut scouted, mut fetched) = (BTreeSet::new(), BTreeSet::new());
-    let mut ends: Vec<PlanAction> = Vec::new();
-    let mut effects = 0;
-    let mut todo = actions;
-    let mut order = case.order.iter();
-    loop {
-        for action in std::mem::take(&mut todo) {
-            prop_assert!(ends.is_empty(), "something behind the final action: {:?}", action);
-            match action {
-                PlanAction::SendScouts(blocks) => {
-                    for block in blocks {
-                        prop_assert!(scouted.insert(block), "a scout asked twice");
-                        scouts.insert(block);
-                    }
+    }
+}
+
+/// A part that is in flight.
+#[derive(Clone, Copy)]
+enum Sent {
+    Scout(usize),
+    Fetch(usize),
+}
+
+/// What carries out a plan's actions, and remembers them.
+#[derive(Default)]
+struct Model {
+    scouts: BTreeSet<usize>,
+    fetches: BTreeSet<usize>,
+    ever_scouted: BTreeSet<usize>,
+    ever_fetched: BTreeSet<usize>,
+    /// Effects that were had or may have been.
+    effects: u32,
+    final_actions: Vec<PlanAction>,
+}
+
+impl Model {
+    fn act(&mut self, case: &Case, action: PlanAction) -> Result<(), TestCaseError> {
+        prop_assert!(self.final_actions.is_empty(), "something behind the final action: {:?}", action);
+        match action {
+            PlanAction::SendScouts(blocks) => {
+                for block in blocks {
+                    prop_assert!(self.ever_scouted.insert(block), "a scout sent twice");
+                    self.scouts.insert(block);
                 }
-                PlanAction::Fetch(blocks) => {
-                    prop_assert!(!blocks.is_empty() && (!case.effect || blocks.len() == 1));
-                    prop_assert!(!case.effect || effects == 0, "asked on though an effect may have been had");
-                    for block in blocks {
-                        prop_assert!(fetched.insert(block), "a block asked twice");
-                        fetches.insert(block);
-                    }
+            }
+            PlanAction::Fetch(blocks) => {
+                prop_assert!(!blocks.is_empty() && (!case.effect || blocks.len() == 1));
+                let goes_on = case.effect && self.effects > 0;
+                prop_assert!(!goes_on, "fetched on though an effect may have been had");
+                for block in blocks {
+                    prop_assert!(self.ever_fetched.insert(block), "a block fetched twice");
+                    self.fetches.insert(block);
                 }
-                PlanAction::CancelScouts(blocks) => scouts.retain(|b| !blocks.contains(b)),
-                PlanAction::CancelFetches(blocks) => {
-                    for block in blocks {
-                        prop_assert!(fetches.remove(&block));
-                        effects += 1;
-                    }
+            }
+            PlanAction::CancelScouts(blocks) => self.scouts.retain(|b| !blocks.contains(b)),
+            PlanAction::CancelFetches(blocks) => {
+                for block in blocks {
+                    prop_assert!(self.fetches.remove(&block));
+                    self.effects += 1;
                 }
-                end => ends.push(end),
             }
+            PlanAction::Respond(_) | PlanAction::GiveUp { .. } => self.final_actions.push(action),
+        }
+        Ok(())
+    }
+
+    /// One of the parts in flight that end one day.
+    fn pick(&self, case: &Case, pick: u16) -> Option<Sent> {
+        let scouts = self.scouts.iter().map(|&block| Sent::Scout(block));
+        let ending = self.fetches.iter().filter(|&&block| case.blocks[block].fetch < 10);
+        let sent: Vec<Sent> = scouts.chain(ending.map(|&block| Sent::Fetch(block))).collect();
+        sent.get(usize::from(pick) % sent.len().max(1)).copied()
+    }
+
+    /// Ends a part as the case says.
+    fn complete(&mut self, case: &Case, plan: &mut Plan, now: Micros, sent: Sent) -> Vec<PlanAction> {
+        let block = match sent {
+            Sent::Scout(block) => {
+                self.scouts.remove(&block);
+                return plan.scout_completed(now, block, report_of(&case.blocks[block]));
+            }
+            Sent::Fetch(block) => block,
+        };
+        self.fetches.remove(&block);
+        match case.blocks[block].fetch {
+            8 => plan.fetch_completed(now, block, Err(PartLoss::NotExecuted)),
+            9 => {
+                self.effects += 1;
+                plan.fetch_completed(now, block, Err(PartLoss::PossiblyExecuted))
+            }
+            _ if case.effect => {
+                self.effects += 1;
+                plan.effect_completed(now, block, "held".into())
+            }
+            _ => plan.fetch_completed(now, block, Ok(rows_of(case, block))),
+        }
+    }
+}
+
+fn report_of(model: &BlockModel) -> Result<Sketch, PartLoss> {
+    if model.scout_fails {
+        return Err(PartLoss::PossiblyExecuted);
+    }
+    let top = model.scores.iter().max().copied().unwrap_or(0);
+    Ok(Sketch {
+        bound: f64::from(top + model.slack),
+        count: model.counts.then_some(model.scores.len() as u64),
+    })
+}
+
+fn play(case: &Case) -> Result<(), TestCaseError> {
+    let mut now = 0;
+    let (mut plan, mut actions) = Plan::start(now, setup_of(case));
+    let mut model = Model::default();
+    let mut order = case.order.iter();
+    loop {
+        for action in std::mem::take(&mut actions) {
+            model.act(case, action)?;
         }
         if plan.is_over() {
             break;
         }
         let due = plan.poll_timeout().expect("an open plan has a time-out");
-        let Some(&(pick, wait)) = order.next() else {
-            // Nothing more comes: only the clock goes on.
+        // The caller handles each time-out when it is due. Once nothing more comes, only the clock goes on.
+        let next = order.next().map(|&(pick, wait)| (pick, now + u64::from(wait) * 1000));
+        let Some((pick, next)) = next.filter(|&(_, next)| next < due) else {
             now = now.max(due);
-            todo = plan.handle_timeout(now);
+            actions = plan.handle_timeout(now);
             continue;
         };
-        let next = now + u64::from(wait) * 1000;
-        if due <= next {
-            // The caller handles each time-out when it is due.
-            now = now.max(due);
-            todo = plan.handle_timeout(now);
-            continue;
-        }
         now = next;
-        let comes: Vec<(bool, usize)> = scouts
-            .iter()
-            .map(|&b| (true, b))
-            .chain(fetches.iter().filter(|&&b| case.blocks[b].fetch < 10).map(|&b| (false, b)))
-            .collect();
-        let Some(&(scout, block)) = comes.get(usize::from(pick) % comes.len().max(1)) else { continue };
-        let model = &case.blocks[block];
-        if scout {
-            scouts.remove(&block);
-            let top = model.scores.iter().max().copied().unwrap_or(0);
-            let said = Sketch {
-                bound: f64::from(top + model.slack),
-                count: model.counts.then_some(model.scores.len() as u64),
-            };
-            todo = plan.scout_completed(
-                now,
-                block,
-                if model.scout_fails { Err(PartLoss::PossiblyExecuted) } else { Ok(said) },
-            );
-        } else {
-            fetches.remove(&block);
-            todo = match model.fetch {
-                8 => plan.fetch_completed(now, block, Err(PartLoss::NotExecuted)),
-                9 => {
-                    effects += 1;
-                    plan.fetch_completed(now, block, Err(PartLoss::PossiblyExecuted))
-                }
-                _ if case.effect => {
-                    effects += 1;
-                    plan.effect_completed(now, block, "held".into())
-                }
-                _ => plan.fetch_completed(now, block, Ok(rows_of(case, block))),
-            };
+        if let Some(sent) = model.pick(case, pick) {
+            actions = model.complete(case, &mut plan, now, sent);
         }
     }
-    prop_assert_eq!(ends.len(), 1, "one final action");
-    prop_assert!(now <= deadline, "before its deadline");
+    prop_assert_eq!(model.final_actions.len(), 1, "one final action");
+    prop_assert!(now <= DEADLINE, "before its deadline");
     // Whatever comes behind it changes nothing.
-    for block in 0..count {
+    for block in 0..case.blocks.len() {
         prop_assert!(plan.scout_completed(now, block, Err(PartLoss::NotExecuted)).is_empty());
         prop_assert!(plan.fetch_completed(now, block, Ok(rows_of(case, block))).is_empty());
     }
-    prop_assert!(plan.handle_timeout(deadline + 1).is_empty() && plan.poll_timeout().is_none());
-    let answer = match ends.pop() {
-        Some(PlanAction::Respond(answer)) => answer,
+    prop_assert!(plan.handle_timeout(DEADLINE + 1).is_empty() && plan.poll_timeout().is_none());
+    match model.final_actions.pop() {
+        Some(PlanAction::Respond(response)) => check_response(case, &model, &response),
         Some(PlanAction::GiveUp { effect_possible }) => {
-            prop_assert_eq!(effect_possible, case.effect && effects > 0);
-            return Ok(());
+            prop_assert_eq!(effect_possible, case.effect && model.effects > 0);
+            Ok(())
         }
-        other => return Err(TestCaseError::fail(format!("{other:?}"))),
-    };
+        other => Err(TestCaseError::fail(format!("{other:?}"))),
+    }
+}
+
+fn check_response(case: &Case, model: &Model, response: &Ranked) -> Result<(), TestCaseError> {
+    let count = case.blocks.len();
     // Each block is in one list, and the lists tell the truth.
-    let mut all: Vec<u32> = [&answer.asked, &answer.pruned, &answer.skipped, &answer.failed]
-        .into_iter()
-        .flatten()
-        .map(|shard| shard.0)
-        .collect();
+    let lists = [&response.asked, &response.pruned, &response.skipped, &response.failed];
+    let mut all: Vec<u32> = lists.into_iter().flatten().map(|shard| shard.0).collect();
     all.sort_unstable();
     prop_assert_eq!(all, (0..count as u32).collect::<Vec<_>>());
-    let asked: BTreeSet<usize> = answer.asked.iter().map(|shard| shard.0 as usize).collect();
-    prop_assert!(asked.is_subset(&fetched));
-    prop_assert_eq!(answer.whole, asked.len() == count);
-    prop_assert!(
-        !case.effect || (!answer.exact || answer.whole) && answer.effect.is_some() && asked.len() == 1
-    );
-    if !case.effect {
-        // The rows are the best of what is in.
-        let best = |of: &mut dyn Iterator<Item = usize>| {
-            let mut rows: Vec<Row> = of.flat_map(|block| rows_of(case, block)).collect();
-            rows.sort_by(Row::order);
-            rows.truncate(case.top);
-            rows
-        };
-        prop_assert_eq!(&answer.rows, &best(&mut asked.iter().copied()));
-        if answer.exact {
-            prop_assert_eq!(&answer.rows, &best(&mut (0..count)), "exact, and it is not");
-        }
-        // What failed or had no time counts against the class's minimum completeness.
-        let wanted = answer.asked.len()
-            + answer.failed.len()
-            + answer.skipped.iter().filter(|s| !case.skip || fetched.contains(&(s.0 as usize))).count();
-        let share = if wanted == 0 { 1.0 } else { answer.asked.len() as f64 / wanted as f64 };
-        prop_assert!(case.skip || share >= case.floor - 1e-6, "{share} under {}", case.floor);
+    let received: BTreeSet<usize> = response.asked.iter().map(|shard| shard.0 as usize).collect();
+    prop_assert!(received.is_subset(&model.ever_fetched));
+    prop_assert_eq!(response.whole, received.len() == count);
+    if case.effect {
+        prop_assert!(!response.exact || response.whole);
+        prop_assert!(response.effect.is_some() && received.len() == 1);
+        return Ok(());
+    }
+    // The rows are the best of what was received.
+    let best = |of: &mut dyn Iterator<Item = usize>| {
+        let mut rows: Vec<Row> = of.flat_map(|block| rows_of(case, block)).collect();
+        rows.sort_by(Row::order);
+        rows.truncate(case.top);
+        rows
+    };
+    prop_assert_eq!(&response.rows, &best(&mut received.iter().copied()));
+    if response.exact {
+        prop_assert_eq!(&response.rows, &best(&mut (0..count)), "exact, and it is not");
     }
+    // What failed or had no time counts against the class's minimum completeness.
+    let counts = |shard: &&ShardId| !case.skip || model.ever_fetched.contains(&(shard.0 as usize));
+    let wanted =
+        response.asked.len() + response.failed.len() + response.skipped.iter().filter(counts).count();
+    let share = if wanted == 0 { 1.0 } else { response.asked.len() as f64 / wanted as f64 };
+    prop_assert!(case.skip || share >= case.floor - 1e-6, "{share} under {}", case.floor);
     Ok(())
 }
 
@@ -264,8 +304,8 @@
         spec,
         has_effect: false,
         minimum_completeness: 1.0,
-        objective: 1_000_000,
-        deadline: 2_000_000,
+        objective: OBJECTIVE,
+        deadline: DEADLINE,
         budget: ScoutBudget::Until(300_000),
         wave_time: 100_000,
     }
