--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
 //! What the platform and the operator configure, checked: the platform's file with the settings of its site
-//! ([`Config`], [`Site`]), endpoint lists ([`hosts`]) and the operator's file ([`Operator`], [`Flight`], [`Fleet`]).
+//! ([`Config`], [`Site`]), endpoint lists ([`endpoint_list`]) and the operator's file ([`OperatorSettings`], [`FlightSettings`], [`PeerSettings`]).
 //!
 //! Whatever is wrong is a typed error ([`error`]) that names the file and the key. No socket is opened here.
 
