--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -79,7 +79,7 @@
 //!
 //! // The attempt succeeds, and the query is answered.
 //! actions.clear();
-//! let completed = Event::AttemptCompleted { part, attempt: 0, outcome: Outcome::Succeeded, took: 20_000 };
+//! let completed = Event::AttemptCompleted { part, attempt: 0, outcome: Outcome::Succeeded, latency: 20_000 };
 //! router.handle(21_000, vec![completed], &mut actions);
 //! assert!(actions.contains(&Action::Respond { query, complete: true }));
 //! assert_eq!(router.drop_rate(ClassId(0)), Some(0.0));
