--- a/crates/core/src/query_stream.rs
+++ b/crates/core/src/query_stream.rs
@@ -22,7 +22,7 @@
     Over,
 }
 
-/// QueryStreamRejection a query is rejected.
+/// Why a query is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryStreamRejection {
     /// The tag stands for a query that is open.
--- a/crates/edge/src/front/flight/mod.rs
+++ b/crates/edge/src/front/flight/mod.rs
@@ -11,7 +11,7 @@
 //! | `service` | the state that all calls share |
 //!
 //! Decisions are taken in `mallowgauge_core`: who is admitted (`stream_admission`), what becomes of a ticket and of a
-//! polled query (`polled_queries`), what a batch stream may begin (`batch`), which sessions are kept (`sessions`).
+//! polled query (`polled_queries`), what a batch stream may begin (`query_stream`), which sessions are kept (`sessions`).
 
 mod auth;
 mod batch_driver;
--- a/crates/settings/src/flight.rs
+++ b/crates/settings/src/flight.rs
@@ -1,4 +1,4 @@
-//! The section `flight` of the operator's file: the FlightSettings frontend, and the backends that offer Flight.
+//! The section `flight` of the operator's file: the Flight frontend, and the backends that offer Flight.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -31,12 +31,12 @@
     pub identity: Option<(Vec<u8>, Vec<u8>)>,
 }
 
-/// FlightSettings, where an operator has set it up.
+/// The settings of Flight, where an operator has set it up.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FlightSettings {
-    /// Where FlightSettings clients connect.
+    /// Where Flight clients connect.
     pub listen: Option<SocketAddr>,
-    /// The backends that offer FlightSettings, by their ids.
+    /// The backends that offer Flight, by their ids.
     pub backends: BTreeSet<String>,
     /// Every backend offers it.
     pub every_backend: bool,
@@ -107,7 +107,7 @@
     }
 }
 
-/// The backends that offer FlightSettings by their ids, and whether every one does.
+/// The backends that offer Flight by their ids, and whether every one does.
 fn read_hosts(section: &OperatorSection<'_>) -> Result<(BTreeSet<String>, bool), OperatorError> {
     let error = |problem| section.error("hosts", Problem::Unexpected(problem));
     match section.value("hosts") {
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -51,7 +51,7 @@
     pub memory: usize,
     /// The cached endpoint list, which is valid.
     pub cached_endpoints: Value,
-    /// The FlightSettings frontend, and the backends that offer Flight.
+    /// The Flight frontend, and the backends that offer Flight.
     pub flight: FlightSettings,
     /// Queries in two phases, where they are accepted.
     pub two_phase: Option<TwoPhaseSettings>,
