--- a/crates/core/src/connection_limits.rs
+++ b/crates/core/src/connection_limits.rs
@@ -82,7 +82,7 @@
 
 /// Which connection a call takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
+pub enum ConnectionChoice {
     /// This one.
     Use(u64),
     /// A new one; where none can be opened or evicted for it, the other one if there is one.
@@ -95,26 +95,31 @@
 /// together and `hosts` counts the backends.
 ///
 /// The one with the fewest parts in flight is taken, and of those the one used last, since the longer one was
-/// idle the likelier it was closed without notice. Silent ones are taken only where no more can be opened.
+/// idle the likelier it was closed without notice. MissingSketchPolicy ones are taken only where no more can be opened.
 /// While all are busy another is opened, but none to another backend is evicted for that: with hundreds of
 /// backends each instance would close and open connections all day, and all of them together would fill the
 /// backends' tables.
 #[must_use]
-pub fn choose(held: &[ConnectionView], most: usize, hosts: usize, room: ConnectionCapacity) -> Choice {
+pub fn choose(
+    held: &[ConnectionView],
+    most: usize,
+    hosts: usize,
+    room: ConnectionCapacity,
+) -> ConnectionChoice {
     let may_open = held.len() < MAX_CONNECTIONS_PER_BACKEND;
     let rank = |view: &&ConnectionView| (view.silent, view.attempts_in_flight, Reverse(view.last_used_at));
     let Some(best) = held.iter().filter(|view| view.has_capacity).min_by_key(rank) else {
-        return if may_open { Choice::Open(None) } else { Choice::Unavailable };
+        return if may_open { ConnectionChoice::Open(None) } else { ConnectionChoice::Unavailable };
     };
     if best.attempts_in_flight == 0 {
-        return Choice::Use(best.id);
+        return ConnectionChoice::Use(best.id);
     }
     let spread = (most / hosts.max(1)).clamp(1, MAX_SPREAD_CONNECTIONS);
     let may_spread = held.len() < spread && room == ConnectionCapacity::Available;
     if (best.silent && may_open) || (!best.silent && may_spread) {
-        return Choice::Open(Some(best.id));
+        return ConnectionChoice::Open(Some(best.id));
     }
-    Choice::Use(best.id)
+    ConnectionChoice::Use(best.id)
 }
 
 /// Which connection is evicted: of those that are idle, each with when it was last used, the one used longest
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -15,7 +15,7 @@
 use crate::query::{Action, AttemptId, CompletedQuery, Failure, QueryRequest, QueryResponse, ResponseHandle};
 use crate::router_actions::BatchActions;
 use crate::stream_outcome::not_executed;
-use crate::table_memory::CallId;
+use crate::table_memory::TableQueryId;
 use crate::value::Value;
 
 /// What the router counts of what it keeps, in its order.
@@ -295,7 +295,7 @@
 
     /// The memory for tables is exhausted, and this query has to release its share: it is rejected where a
     /// retry is safe, and fails otherwise.
-    pub fn memory_limit_exceeded(&mut self, call: CallId) {
+    pub fn memory_limit_exceeded(&mut self, call: TableQueryId) {
         let query = QueryId(call.0);
         let Some(open) = self.open.get(query) else { return };
         let not_executed = open.not_executed();
--- a/crates/core/src/planned_queries.rs
+++ b/crates/core/src/planned_queries.rs
@@ -15,8 +15,8 @@
 use crate::open_queries::{OpenQuery, PartKind, PartState};
 use crate::query::{Failure, PartRequest, PlanRequest, QueryResponse};
 use crate::two_phase::{
-    parse_rows, parse_sketch, BlockSetup, Choose, PartLoss, PhaseTimeEstimator, Plan, PlanAction, PlanSetup,
-    Row, Rule, Sketch, SketchBounds, SketchCache,
+    parse_rows, parse_sketch, BlockSelection, BlockSetup, PartLoss, PhaseTimeEstimator, Plan, PlanAction,
+    PlanSetup, Row, ScoutBudgetRule, Sketch, SketchCache, SketchCacheLimits,
 };
 use crate::value::Value;
 
@@ -24,9 +24,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TwoPhaseSettings {
     /// How the time is divided between the phases.
-    pub rule: Rule,
+    pub rule: ScoutBudgetRule,
     /// Limits of what is kept of scouts' reports.
-    pub sketches: SketchBounds,
+    pub sketches: SketchCacheLimits,
 }
 
 /// Where a backend stands in the endpoint list, as far as it matters to the sketches of its blocks.
@@ -156,10 +156,10 @@
 fn expected_waves(request: &PlanRequest, blocks: usize) -> usize {
     /// Where the bounds decide how many blocks are queried.
     const UNKNOWN_BLOCKS_WAVES: usize = 2;
-    match request.spec.choose {
-        Choose::Best(chosen) => chosen.div_ceil(request.spec.wave),
-        Choose::All => blocks.div_ceil(request.spec.wave),
-        Choose::Threshold | Choose::Share(_) => UNKNOWN_BLOCKS_WAVES,
+    match request.spec.selection {
+        BlockSelection::Best(chosen) => chosen.div_ceil(request.spec.wave_size),
+        BlockSelection::All => blocks.div_ceil(request.spec.wave_size),
+        BlockSelection::Threshold | BlockSelection::Share(_) => UNKNOWN_BLOCKS_WAVES,
     }
 }
 
--- a/crates/core/src/query.rs
+++ b/crates/core/src/query.rs
@@ -4,8 +4,8 @@
 
 use mallowgauge_router::{BackendId, ClassId, Micros, PartId, ShardId};
 
-use crate::table_memory::CallId;
-use crate::two_phase::{Ranked, Spec};
+use crate::table_memory::TableQueryId;
+use crate::two_phase::{PlanSpec, Ranked};
 use crate::validation::ValidationError;
 use crate::value::Value;
 
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanRequest {
     /// Which blocks are queried and how many rows are returned.
-    pub spec: Spec,
+    pub spec: PlanSpec,
     /// What each scout carries to its backend, unchanged.
     pub scout: Rc<[u8]>,
 }
@@ -124,7 +124,7 @@
     /// The client's id of the query.
     pub request_id: Rc<str>,
     /// The core's number of the query: the lower, the older.
-    pub call: CallId,
+    pub call: TableQueryId,
     /// The shard that is queried.
     pub shard: ShardId,
     /// When the response is no longer waited for. The request may be written long after the batch that sent
--- a/crates/core/src/router_actions.rs
+++ b/crates/core/src/router_actions.rs
@@ -9,7 +9,7 @@
 use crate::core::{Core, DEADLINE_MARGIN_US};
 use crate::open_queries::{OpenQuery, PartKind};
 use crate::query::{Action, AttemptId, AttemptRequest, Failure, QueryResponse};
-use crate::table_memory::CallId;
+use crate::table_memory::TableQueryId;
 
 /// How long an attempt has, in microseconds from when it is sent.
 #[derive(Clone, Copy, Debug)]
@@ -130,7 +130,7 @@
         Some(AttemptRequest {
             attempt: id,
             request_id: Rc::clone(&open.request.id),
-            call: CallId(query.0),
+            call: TableQueryId(query.0),
             shard: open.request.parts[part.request_index].shard,
             deadline,
             start_by: deadline.min(now.saturating_add(window.begin_within)),
--- a/crates/core/src/sessions.rs
+++ b/crates/core/src/sessions.rs
@@ -38,7 +38,7 @@
 
 /// Why an option is not set, in the words of Flight's `SetSessionOptionsResult`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum OptionError {
     /// There is no such option.
     UnknownName,
     /// The option takes no such value.
@@ -67,7 +67,7 @@
     ///
     /// # Errors
     /// There is no such option or value.
-    pub fn set(&mut self, name: &str, value: &Setting) -> Result<(), Bad> {
+    pub fn set(&mut self, name: &str, value: &Setting) -> Result<(), OptionError> {
         match (name, value) {
             ("compression", Setting::Unset) => self.compression = Compression::None,
             ("compression", Setting::Text(text)) => {
@@ -75,18 +75,18 @@
                     "none" => Compression::None,
                     "lz4" => Compression::Lz4,
                     "zstd" => Compression::Zstd,
-                    _ => return Err(Bad::InvalidValue),
+                    _ => return Err(OptionError::InvalidValue),
                 }
             }
             ("timeout_ms", Setting::Unset) => self.timeout = None,
             ("timeout_ms", Setting::Whole(ms)) => {
                 let ms = u64::try_from(*ms).ok().filter(|ms| TIMEOUT_MS.contains(ms));
-                self.timeout = Some(ms.ok_or(Bad::InvalidValue)? * MICROS_PER_MS);
+                self.timeout = Some(ms.ok_or(OptionError::InvalidValue)? * MICROS_PER_MS);
             }
             ("whole_only", Setting::Unset) => self.whole_only = false,
             ("whole_only", Setting::Flag(flag)) => self.whole_only = *flag,
-            ("compression" | "timeout_ms" | "whole_only", _) => return Err(Bad::InvalidValue),
-            _ => return Err(Bad::UnknownName),
+            ("compression" | "timeout_ms" | "whole_only", _) => return Err(OptionError::InvalidValue),
+            _ => return Err(OptionError::UnknownName),
         }
         Ok(())
     }
--- a/crates/core/src/stream_admission/limits.rs
+++ b/crates/core/src/stream_admission/limits.rs
@@ -38,7 +38,7 @@
 
 /// The limits of the Flight frontend and of Flight towards backends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct StreamLimits {
     /// Connections of clients.
     pub connections: usize,
     /// Streams of one connection that are open at a time.
@@ -72,7 +72,7 @@
     pub handshakes_per_second: u32,
 }
 
-impl Limits {
+impl StreamLimits {
     /// The limits for so many bytes of memory and so many descriptors, where backends may have `streams` parts
     /// in flight.
     ///
--- a/crates/core/src/stream_admission/mod.rs
+++ b/crates/core/src/stream_admission/mod.rs
@@ -1,7 +1,7 @@
 //! Admission at the Flight frontend: connections, calls, and checks of passwords.
 //!
-//! [`Limits`] holds every limit, sized from memory and descriptors. [`Admission`] counts against them and says
-//! what a client is told that is rejected: always the reason, and when to come back. [`Reader`] says when a
+//! [`StreamLimits`] holds every limit, sized from memory and descriptors. [`StreamAdmission`] counts against them and says
+//! what a client is told that is rejected: always the reason, and when to come back. [`SlowReaderDetector`] says when a
 //! client that does not read its response is disconnected.
 
 mod limits;
@@ -11,8 +11,8 @@
 
 use mallowgauge_router::Micros;
 
-pub use limits::{Limits, CONNECTION_WINDOW};
-pub use reader::{Reader, STALL};
+pub use limits::{StreamLimits, CONNECTION_WINDOW};
+pub use reader::{SlowReaderDetector, MAX_READ_STALL};
 
 /// When a client comes back whose call was rejected, in microseconds.
 const CALL_RETRY_AFTER_US: Micros = 250_000;
@@ -29,8 +29,8 @@
 
 /// What is admitted, counted against the limits.
 #[derive(Debug)]
-pub struct Admission {
-    limits: Limits,
+pub struct StreamAdmission {
+    limits: StreamLimits,
     connections: usize,
     calls: usize,
     /// When the passwords of the last second were checked.
@@ -38,16 +38,16 @@
     rejected: u64,
 }
 
-impl Admission {
+impl StreamAdmission {
     /// Nothing is admitted yet.
     #[must_use]
-    pub fn new(limits: Limits) -> Self {
+    pub fn new(limits: StreamLimits) -> Self {
         Self { limits, connections: 0, calls: 0, recent_handshakes: VecDeque::new(), rejected: 0 }
     }
 
     /// The limits.
     #[must_use]
-    pub fn limits(&self) -> &Limits {
+    pub fn limits(&self) -> &StreamLimits {
         &self.limits
     }
 
--- a/crates/core/src/stream_admission/reader.rs
+++ b/crates/core/src/stream_admission/reader.rs
@@ -5,20 +5,20 @@
 
 const SECOND_US: Micros = 1_000_000;
 /// A client that reads nothing for so long is disconnected, in microseconds.
-pub const STALL: Micros = 10_000_000;
+pub const MAX_READ_STALL: Micros = 10_000_000;
 /// After so long a client has to read at least at [`MIN_BYTES_PER_SECOND`], in microseconds.
 const RATE_GRACE_US: Micros = 30_000_000;
 const MIN_BYTES_PER_SECOND: u64 = 4 * 1024;
 
 /// How a client reads one response.
 #[derive(Clone, Copy, Debug)]
-pub struct Reader {
+pub struct SlowReaderDetector {
     started_at: Micros,
     last_read_at: Micros,
     bytes_read: u64,
 }
 
-impl Reader {
+impl SlowReaderDetector {
     /// A response has started.
     #[must_use]
     pub fn new(now: Micros) -> Self {
@@ -41,9 +41,9 @@
     /// When the client is disconnected unless it reads more.
     #[must_use]
     pub fn deadline(&self) -> Micros {
-        let stalled_at = self.last_read_at + STALL;
+        let stalled_at = self.last_read_at + MAX_READ_STALL;
         let time_earned = self.bytes_read / MIN_BYTES_PER_SECOND * SECOND_US;
-        let too_slow_at = self.started_at + RATE_GRACE_US.max(time_earned.saturating_add(STALL));
+        let too_slow_at = self.started_at + RATE_GRACE_US.max(time_earned.saturating_add(MAX_READ_STALL));
         stalled_at.min(too_slow_at)
     }
 }
--- a/crates/core/src/table_memory.rs
+++ b/crates/core/src/table_memory.rs
@@ -22,7 +22,7 @@
 
 /// A query, by a number that grows with each: the lower, the older.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CallId(pub u128);
+pub struct TableQueryId(pub u128);
 
 /// The limits, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
 
 #[derive(Debug)]
 struct Stream {
-    query: CallId,
+    query: TableQueryId,
     /// Bytes reserved for it beyond its initial window.
     reserved: usize,
     /// Bytes that it waits for.
@@ -56,7 +56,7 @@
 /// A stream that waits, in the order in which streams are granted more: the oldest query's first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Waiting {
-    query: CallId,
+    query: TableQueryId,
     stream: StreamId,
     bytes: usize,
 }
@@ -65,7 +65,7 @@
 struct Reservations {
     streams: BTreeMap<StreamId, Stream>,
     /// Bytes reserved by each query: of its open streams, and of its complete tables.
-    by_query: BTreeMap<CallId, usize>,
+    by_query: BTreeMap<TableQueryId, usize>,
     total: usize,
     /// Of the total, what belongs to complete tables: it is released as clients read them.
     leased: usize,
@@ -74,7 +74,7 @@
 }
 
 impl Reservations {
-    fn reserve(&mut self, query: CallId, bytes: usize) {
+    fn reserve(&mut self, query: TableQueryId, bytes: usize) {
         if bytes > 0 {
             *self.by_query.entry(query).or_default() += bytes;
             self.total += bytes;
@@ -82,7 +82,7 @@
         }
     }
 
-    fn release(&mut self, query: CallId, bytes: usize) {
+    fn release(&mut self, query: TableQueryId, bytes: usize) {
         self.total -= bytes;
         if let Some(reserved) = self.by_query.get_mut(&query) {
             *reserved -= bytes;
@@ -92,7 +92,7 @@
         }
     }
 
-    fn of_query(&self, query: CallId) -> usize {
+    fn of_query(&self, query: TableQueryId) -> usize {
         self.by_query.get(&query).copied().unwrap_or(0)
     }
 
@@ -101,7 +101,7 @@
         &self,
         limits: &TableMemoryLimits,
         stream: StreamId,
-        query: CallId,
+        query: TableQueryId,
         bytes: usize,
     ) -> WindowGrant {
         // What the query's other streams wait for will be granted one day, and counts.
@@ -133,7 +133,7 @@
     }
 
     /// A stream is opened for a query; its initial window is not reserved from here.
-    pub fn open(&self, stream: StreamId, query: CallId) {
+    pub fn open(&self, stream: StreamId, query: TableQueryId) {
         let opened = Stream { query, reserved: 0, queued: 0 };
         self.reservations.borrow_mut().streams.insert(stream, opened);
     }
@@ -181,7 +181,7 @@
     /// held by streams that wait, and no complete table is on its way to a client. The youngest one that has
     /// anything reserved.
     #[must_use]
-    pub fn query_to_evict(&self) -> Option<CallId> {
+    pub fn query_to_evict(&self) -> Option<TableQueryId> {
         let reservations = self.reservations.borrow();
         let streams = || reservations.streams.values();
         let oldest_waiting = streams().filter(|open| open.queued > 0).map(|open| open.query).min()?;
@@ -238,7 +238,7 @@
 
 struct Lease {
     reservations: Rc<RefCell<Reservations>>,
-    query: CallId,
+    query: TableQueryId,
     bytes: usize,
 }
 
--- a/crates/core/src/two_phase/actions.rs
+++ b/crates/core/src/two_phase/actions.rs
@@ -7,7 +7,7 @@
 use super::phase_times::ScoutBudget;
 use super::rows::Row;
 use super::sketch::Sketch;
-use super::spec::Spec;
+use super::spec::PlanSpec;
 
 /// One block of a query when its plan starts.
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
     /// The blocks. Actions name a block by its position here.
     pub blocks: Vec<BlockSetup>,
     /// What the client wants.
-    pub spec: Spec,
+    pub spec: PlanSpec,
     /// The second phase has an effect: one block is fetched, once.
     pub has_effect: bool,
     /// The least completeness of a response.
--- a/crates/core/src/two_phase/mod.rs
+++ b/crates/core/src/two_phase/mod.rs
@@ -30,9 +30,9 @@
 mod spec;
 
 pub use actions::{BlockEffect, BlockSetup, PartLoss, PhaseTimes, PlanAction, PlanSetup, Ranked};
-pub use phase_times::{PhaseTimeEstimator, Rule, ScoutBudget};
+pub use phase_times::{PhaseTimeEstimator, ScoutBudget, ScoutBudgetRule};
 pub use plan::Plan;
 pub use rows::{parse_rows, Row, RowsError, TopRows, MAX_ROWS_PER_BLOCK};
 pub use sketch::{parse_sketch, Sketch, SketchError};
-pub use sketch_cache::{SketchBounds, SketchCache};
-pub use spec::{Choose, Silent, Spec, MAX_TOP, MAX_WAVE};
+pub use sketch_cache::{SketchCache, SketchCacheLimits};
+pub use spec::{BlockSelection, MissingSketchPolicy, PlanSpec, MAX_ROW_LIMIT, MAX_WAVE_SIZE};
--- a/crates/core/src/two_phase/phase_times.rs
+++ b/crates/core/src/two_phase/phase_times.rs
@@ -10,7 +10,7 @@
 
 /// How the time is divided between the phases.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Rule {
+pub enum ScoutBudgetRule {
     /// By how long phases took recently.
     #[default]
     Learned,
@@ -80,7 +80,7 @@
 /// How long the phases of one class's queries are expected to take.
 #[derive(Debug)]
 pub struct PhaseTimeEstimator {
-    rule: Rule,
+    rule: ScoutBudgetRule,
     scouts: FadingHistogram,
     waves: FadingHistogram,
 }
@@ -97,7 +97,7 @@
 impl PhaseTimeEstimator {
     /// One without observations.
     #[must_use]
-    pub fn new(rule: Rule) -> Self {
+    pub fn new(rule: ScoutBudgetRule) -> Self {
         Self { rule, scouts: FadingHistogram::new(), waves: FadingHistogram::new() }
     }
 
@@ -130,9 +130,9 @@
     pub fn budget(&self, now: Micros, objective: Micros, left: Micros, waves: usize) -> ScoutBudget {
         let fraction = |fraction: f64| ScoutBudget::Until(now + (left as f64 * fraction) as Micros);
         match self.rule {
-            Rule::Half => fraction(0.5),
-            Rule::Share(fixed) => fraction(fixed),
-            Rule::Learned => self.learned_budget(now, objective, left, waves),
+            ScoutBudgetRule::Half => fraction(0.5),
+            ScoutBudgetRule::Share(fixed) => fraction(fixed),
+            ScoutBudgetRule::Learned => self.learned_budget(now, objective, left, waves),
         }
     }
 
--- a/crates/core/src/two_phase/plan.rs
+++ b/crates/core/src/two_phase/plan.rs
@@ -10,7 +10,7 @@
 use super::phase_times::ScoutBudget;
 use super::rows::{Row, TopRows};
 use super::sketch::Sketch;
-use super::spec::{Choose, Silent, Spec};
+use super::spec::{BlockSelection, MissingSketchPolicy, PlanSpec};
 
 /// A response has to leave so long before the objective or the deadline to count, in microseconds.
 const RESPONSE_MARGIN_US: Micros = 20_000;
@@ -27,7 +27,7 @@
 /// A plan that is carried out. Its methods return what has to be done next.
 #[derive(Debug)]
 pub struct Plan {
-    spec: Spec,
+    spec: PlanSpec,
     has_effect: bool,
     minimum_completeness: f64,
     objective: Micros,
@@ -87,9 +87,9 @@
             scout_until,
             wave_time: setup.wave_time,
             phase: Phase::Scouting,
-            blocks: Blocks::new(setup.blocks, setup.spec.silent == Silent::Skip),
+            blocks: Blocks::new(setup.blocks, setup.spec.missing_sketches == MissingSketchPolicy::Skip),
             queue: VecDeque::new(),
-            best: TopRows::new(setup.spec.top),
+            best: TopRows::new(setup.spec.row_limit),
             sketch_contradicted: false,
             effect_possible: false,
             effect: None,
@@ -231,16 +231,16 @@
         let mut candidates: Vec<Candidate> = self.blocks.positions().filter_map(candidate).collect();
         let shard = |candidate: &Candidate| self.blocks.get(candidate.block).shard;
         candidates.sort_by(|a, b| b.bound.total_cmp(&a.bound).then_with(|| shard(a).cmp(&shard(b))));
-        match self.spec.choose {
-            Choose::Best(count) => candidates.truncate(count.max(1)),
-            Choose::Share(share) => {
+        match self.spec.selection {
+            BlockSelection::Best(count) => candidates.truncate(count.max(1)),
+            BlockSelection::Share(share) => {
                 let highest =
                     candidates.iter().map(|candidate| candidate.bound).find(|bound| bound.is_finite());
                 // Subtracted, not multiplied: of bounds below zero too the fraction lies below the highest.
                 let least = highest.map_or(f64::NEG_INFINITY, |high| high - (1.0 - share) * high.abs());
                 candidates.retain(|candidate| candidate.bound >= least);
             }
-            Choose::Threshold | Choose::All => {}
+            BlockSelection::Threshold | BlockSelection::All => {}
         }
         candidates.into_iter().map(|candidate| candidate.block).collect()
     }
@@ -270,7 +270,7 @@
     }
 
     fn start_wave(&mut self, now: Micros, actions: &mut Vec<PlanAction>) {
-        let size = if self.has_effect { 1 } else { self.spec.wave.max(1) };
+        let size = if self.has_effect { 1 } else { self.spec.wave_size.max(1) };
         let wave: Vec<usize> = self.queue.drain(..size.min(self.queue.len())).collect();
         self.blocks.set_fetches(&wave, FetchState::InFlight);
         self.wave_started_at = now;
@@ -297,7 +297,7 @@
 
     /// Takes blocks out of the queue that cannot bring a row among the best.
     fn prune(&mut self) {
-        if self.spec.choose == Choose::All || self.sketch_contradicted {
+        if self.spec.selection == BlockSelection::All || self.sketch_contradicted {
             return;
         }
         let Some(threshold) = self.best.threshold() else { return };
--- a/crates/core/src/two_phase/sketch_cache.rs
+++ b/crates/core/src/two_phase/sketch_cache.rs
@@ -12,7 +12,7 @@
 
 /// The limits of the cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SketchBounds {
+pub struct SketchCacheLimits {
     /// Most sketches; with 0 none are cached.
     pub entries: usize,
     /// How long a sketch counts, in microseconds.
@@ -41,7 +41,7 @@
 /// The cached sketches.
 #[derive(Debug)]
 pub struct SketchCache {
-    limits: SketchBounds,
+    limits: SketchCacheLimits,
     entries: BTreeMap<SketchKey, CachedSketch>,
     by_age: BTreeSet<AgeEntry>,
 }
@@ -49,7 +49,7 @@
 impl SketchCache {
     /// An empty cache.
     #[must_use]
-    pub fn new(limits: SketchBounds) -> Self {
+    pub fn new(limits: SketchCacheLimits) -> Self {
         Self { limits, entries: BTreeMap::new(), by_age: BTreeSet::new() }
     }
 
--- a/crates/core/src/two_phase/spec.rs
+++ b/crates/core/src/two_phase/spec.rs
@@ -2,7 +2,7 @@
 
 /// Which blocks the second phase fetches.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Choose {
+pub enum BlockSelection {
     /// So many, with the highest bounds.
     Best(usize),
     /// Each block whose bound can still bring a row among the best.
@@ -15,28 +15,28 @@
 
 /// What becomes of blocks whose scouts did not report within their budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Silent {
+pub enum MissingSketchPolicy {
     /// They are fetched before all others, since nothing bounds their rows.
     #[default]
-    Ask,
+    Fetch,
     /// They are left out, and the response says so.
     Skip,
 }
 
 /// What a client wants.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Spec {
+pub struct PlanSpec {
     /// Which blocks are fetched.
-    pub choose: Choose,
+    pub selection: BlockSelection,
     /// How many rows are returned.
-    pub top: usize,
+    pub row_limit: usize,
     /// How many blocks are fetched at a time.
-    pub wave: usize,
+    pub wave_size: usize,
     /// What becomes of blocks whose scouts did not report.
-    pub silent: Silent,
+    pub missing_sketches: MissingSketchPolicy,
 }
 
 /// Most rows that a client may want.
-pub const MAX_TOP: usize = 1000;
+pub const MAX_ROW_LIMIT: usize = 1000;
 /// Most blocks of a wave.
-pub const MAX_WAVE: usize = 1000;
+pub const MAX_WAVE_SIZE: usize = 1000;
--- a/crates/core/src/validation.rs
+++ b/crates/core/src/validation.rs
@@ -5,7 +5,7 @@
 use mallowgauge_router::ShardId;
 
 use crate::query::PartRequest;
-use crate::two_phase::{Choose, Spec, MAX_TOP, MAX_WAVE};
+use crate::two_phase::{BlockSelection, PlanSpec, MAX_ROW_LIMIT, MAX_WAVE_SIZE};
 
 /// How far the weights of a query's parts may add up to something other than 1, by rounding.
 const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
@@ -77,14 +77,14 @@
 }
 
 /// Checks the numbers of a two-phase plan against their ranges.
-pub(crate) fn validate_plan(spec: &Spec) -> Result<(), ValidationError> {
-    let choice_in_range = match spec.choose {
-        Choose::Best(blocks) => blocks > 0,
-        Choose::Share(share) => (0.0..=1.0).contains(&share),
-        Choose::Threshold | Choose::All => true,
+pub(crate) fn validate_plan(spec: &PlanSpec) -> Result<(), ValidationError> {
+    let choice_in_range = match spec.selection {
+        BlockSelection::Best(blocks) => blocks > 0,
+        BlockSelection::Share(share) => (0.0..=1.0).contains(&share),
+        BlockSelection::Threshold | BlockSelection::All => true,
     };
-    let top_in_range = (1..=MAX_TOP).contains(&spec.top);
-    let wave_in_range = (1..=MAX_WAVE).contains(&spec.wave);
+    let top_in_range = (1..=MAX_ROW_LIMIT).contains(&spec.row_limit);
+    let wave_in_range = (1..=MAX_WAVE_SIZE).contains(&spec.wave_size);
     if choice_in_range && top_in_range && wave_in_range {
         Ok(())
     } else {
--- a/crates/core/tests/connection_limits.rs
+++ b/crates/core/tests/connection_limits.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use mallowgauge_core::connection_limits::{
-    choose, connection_to_evict, largest_connection, Choice, ConnectionCapacity, ConnectionLimits,
+    choose, connection_to_evict, largest_connection, ConnectionCapacity, ConnectionChoice, ConnectionLimits,
     ConnectionResources, ConnectionView,
 };
 use proptest::prelude::*;
@@ -75,9 +75,9 @@
             let capacity = if connections.len() < most { ConnectionCapacity::Available } else { ConnectionCapacity::Exhausted };
             let any_idle = connections.values().any(|c| c.load == 0);
             let id = match choose(&views, most, backends as usize, capacity) {
-                Choice::Use(id) => Some(id),
-                Choice::Unavailable => None,
-                Choice::Open(instead) => {
+                ConnectionChoice::Use(id) => Some(id),
+                ConnectionChoice::Unavailable => None,
+                ConnectionChoice::Open(instead) => {
                     let idle = connections.iter().filter(|(_, c)| c.load == 0);
                     let evicted = connection_to_evict(idle.map(|(&id, c)| (id, c.used)));
                     if capacity == ConnectionCapacity::Exhausted {
@@ -128,32 +128,32 @@
 #[test]
 fn the_least_loaded_is_chosen_and_of_those_the_one_used_last() {
     let held = [view(1, 2, 9), view(2, 0, 5), view(3, 0, 7)];
-    assert_eq!(choose(&held, 100, 10, ConnectionCapacity::Available), Choice::Use(3));
+    assert_eq!(choose(&held, 100, 10, ConnectionCapacity::Available), ConnectionChoice::Use(3));
 }
 
 #[test]
 fn busy_ones_are_spread_only_while_there_is_capacity() {
     let held = [view(1, 1, 0)];
-    assert_eq!(choose(&held, 100, 10, ConnectionCapacity::Available), Choice::Open(Some(1)));
-    assert_eq!(choose(&held, 100, 10, ConnectionCapacity::Exhausted), Choice::Use(1));
+    assert_eq!(choose(&held, 100, 10, ConnectionCapacity::Available), ConnectionChoice::Open(Some(1)));
+    assert_eq!(choose(&held, 100, 10, ConnectionCapacity::Exhausted), ConnectionChoice::Use(1));
     // With as many backends as connections each has one.
-    assert_eq!(choose(&held, 100, 90, ConnectionCapacity::Available), Choice::Use(1));
+    assert_eq!(choose(&held, 100, 90, ConnectionCapacity::Available), ConnectionChoice::Use(1));
 }
 
 #[test]
 fn a_silent_one_is_used_only_where_no_other_can_be_opened() {
     let silent = |id| ConnectionView { silent: true, ..view(id, 1, 0) };
-    assert_eq!(choose(&[silent(1)], 100, 90, ConnectionCapacity::Exhausted), Choice::Open(Some(1)));
+    assert_eq!(choose(&[silent(1)], 100, 90, ConnectionCapacity::Exhausted), ConnectionChoice::Open(Some(1)));
     let eight: Vec<ConnectionView> = (1..=8).map(silent).collect();
-    assert_eq!(choose(&eight, 100, 90, ConnectionCapacity::Available), Choice::Use(1));
+    assert_eq!(choose(&eight, 100, 90, ConnectionCapacity::Available), ConnectionChoice::Use(1));
 }
 
 #[test]
 fn what_fits_on_no_connection_is_not_forced() {
     let full: Vec<ConnectionView> =
         (1..=8).map(|id| ConnectionView { has_capacity: false, ..view(id, 32, 0) }).collect();
-    assert_eq!(choose(&full, 100, 10, ConnectionCapacity::Available), Choice::Unavailable);
-    assert_eq!(choose(&full[..7], 100, 10, ConnectionCapacity::Available), Choice::Open(None));
+    assert_eq!(choose(&full, 100, 10, ConnectionCapacity::Available), ConnectionChoice::Unavailable);
+    assert_eq!(choose(&full[..7], 100, 10, ConnectionCapacity::Available), ConnectionChoice::Open(None));
 }
 
 #[test]
--- a/crates/core/tests/resource_counts.rs
+++ b/crates/core/tests/resource_counts.rs
@@ -7,7 +7,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use mallowgauge_core::two_phase::{Choose, Rule, Silent, SketchBounds, Spec};
+use mallowgauge_core::two_phase::{
+    BlockSelection, MissingSketchPolicy, PlanSpec, ScoutBudgetRule, SketchCacheLimits,
+};
 use mallowgauge_core::{
     Action, AttemptId, AttemptRequest, Core, CoreLimits, PartRequest, PlanRequest, QueryRequest,
     ResponseHandle, TwoPhaseSettings, Value,
@@ -97,8 +99,8 @@
         let bounds = CoreLimits { max_open: 400, shards: RING_POSITIONS * 2 };
         let mut core = Core::new(seed, settings(kind), names, bounds).expect("sound settings");
         core.enable_two_phase(TwoPhaseSettings {
-            rule: Rule::Learned,
-            sketches: SketchBounds { entries: 50, age: SECOND },
+            rule: ScoutBudgetRule::Learned,
+            sketches: SketchCacheLimits { entries: 50, age: SECOND },
         });
         if kind.permits {
             core.require_permits();
@@ -184,12 +186,21 @@
             shard: ShardId((first + i) % (RING_POSITIONS * 2)),
             weight: 1.0 / f64::from(count),
         });
-        let chooses = [Choose::Best(2), Choose::Threshold, Choose::Share(0.6), Choose::All];
-        let spec = Spec {
-            choose: chooses[self.rng.usize(0..4)],
-            top: 3,
-            wave: self.rng.usize(1..4),
-            silent: if self.rng.bool() { Silent::Ask } else { Silent::Skip },
+        let selections = [
+            BlockSelection::Best(2),
+            BlockSelection::Threshold,
+            BlockSelection::Share(0.6),
+            BlockSelection::All,
+        ];
+        let spec = PlanSpec {
+            selection: selections[self.rng.usize(0..4)],
+            row_limit: 3,
+            wave_size: self.rng.usize(1..4),
+            missing_sketches: if self.rng.bool() {
+                MissingSketchPolicy::Fetch
+            } else {
+                MissingSketchPolicy::Skip
+            },
         };
         let planned = self.rng.u32(0..3) == 0;
         // Some ids come again: sent again, or by chance.
--- a/crates/core/tests/sessions.rs
+++ b/crates/core/tests/sessions.rs
@@ -1,6 +1,6 @@
 //! Sessions: their number, their options, and when they end.
 
-use mallowgauge_core::sessions::{Bad, Compression, Options, SessionId, Sessions, Setting};
+use mallowgauge_core::sessions::{Compression, OptionError, Options, SessionId, Sessions, Setting};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -30,11 +30,11 @@
     let mut sessions = Sessions::new(5, 1_000);
     let options = sessions.open(10, SessionId(1));
     assert_eq!(options.set("compression", &Setting::Text("lz4".into())), Ok(()));
-    assert_eq!(options.set("compression", &Setting::Text("brotli".into())), Err(Bad::InvalidValue));
-    assert_eq!(options.set("compression", &Setting::Flag(true)), Err(Bad::InvalidValue));
+    assert_eq!(options.set("compression", &Setting::Text("brotli".into())), Err(OptionError::InvalidValue));
+    assert_eq!(options.set("compression", &Setting::Flag(true)), Err(OptionError::InvalidValue));
     assert_eq!(options.set("timeout_ms", &Setting::Whole(250)), Ok(()));
-    assert_eq!(options.set("timeout_ms", &Setting::Whole(0)), Err(Bad::InvalidValue));
-    assert_eq!(options.set("colour", &Setting::Unset), Err(Bad::UnknownName));
+    assert_eq!(options.set("timeout_ms", &Setting::Whole(0)), Err(OptionError::InvalidValue));
+    assert_eq!(options.set("colour", &Setting::Unset), Err(OptionError::UnknownName));
     let set = Options { compression: Compression::Lz4, timeout: Some(250_000), whole_only: false };
     assert_eq!(sessions.touch(900, SessionId(1)), Some(set));
     assert_eq!(sessions.touch(1_899, SessionId(1)), Some(set));
--- a/crates/core/tests/stream_admission.rs
+++ b/crates/core/tests/stream_admission.rs
@@ -1,6 +1,6 @@
 //! Admission at the Flight frontend: its limits, handshakes and calls, and clients that do not read.
 
-use mallowgauge_core::stream_admission::{Admission, Limits, Reader, STALL};
+use mallowgauge_core::stream_admission::{SlowReaderDetector, StreamAdmission, StreamLimits, MAX_READ_STALL};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -10,7 +10,7 @@
     #[test]
     fn the_limits_add_up_to_the_memory(memory_mb in 8..4096_usize, sockets in 32..4096_usize, streams in 1..4096_usize) {
         let memory = memory_mb << 20;
-        let limits = Limits::of(memory, sockets, streams);
+        let limits = StreamLimits::of(memory, sockets, streams);
         prop_assert!(limits.connections <= sockets);
         // Initial windows have a least size; below it there are too many streams for so little memory.
         if memory / 8 / streams >= 4096 && memory >= 16 << 20 {
@@ -23,8 +23,8 @@
 
 #[test]
 fn handshakes_are_checked_at_a_bounded_rate_and_calls_are_counted() {
-    let limits = Limits { handshakes_per_second: 3, calls: 2, ..Limits::of(64 << 20, 256, 64) };
-    let mut admission = Admission::new(limits);
+    let limits = StreamLimits { handshakes_per_second: 3, calls: 2, ..StreamLimits::of(64 << 20, 256, 64) };
+    let mut admission = StreamAdmission::new(limits);
     assert!((0..3).all(|at| admission.admit_handshake(at).is_ok()));
     let full = admission.admit_handshake(400_000).expect_err("the fourth within a second");
     assert_eq!(full.retry_after, 600_000);
@@ -38,17 +38,17 @@
 
 #[test]
 fn a_client_that_reads_nothing_or_next_to_nothing_is_disconnected() {
-    let mut reader = Reader::new(0);
-    assert_eq!(reader.deadline(), STALL);
+    let mut reader = SlowReaderDetector::new(0);
+    assert_eq!(reader.deadline(), MAX_READ_STALL);
     // A byte at a time does not keep a connection for ever.
     let mut now = 0;
     while reader.deadline() > now {
-        now += STALL / 2;
+        now += MAX_READ_STALL / 2;
         reader.bytes_read(now, 1);
-        assert!(now < 10 * STALL, "a trickle lasts for ever");
+        assert!(now < 10 * MAX_READ_STALL, "a trickle lasts for ever");
     }
     // One that reads enough is kept however long its response is.
-    let mut reader = Reader::new(0);
+    let mut reader = SlowReaderDetector::new(0);
     for second in 1..1_000_u64 {
         reader.bytes_read(second * 1_000_000, 64 * 1024);
         assert!(reader.deadline() > second * 1_000_000);
--- a/crates/core/tests/table_memory.rs
+++ b/crates/core/tests/table_memory.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use mallowgauge_core::table_memory::{
-    CallId, StreamId, TableLease, TableMemory, TableMemoryLimits, WindowGrant,
+    StreamId, TableLease, TableMemory, TableMemoryLimits, TableQueryId, WindowGrant,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -53,7 +53,7 @@
             match step {
                 Step::Open { call } => {
                     next += 1;
-                    memory.open(StreamId(next), CallId(call.into()));
+                    memory.open(StreamId(next), TableQueryId(call.into()));
                     streams.insert(StreamId(next), Stream { call, ..Stream::default() });
                 }
                 Step::Request { which, bytes } => {
@@ -134,14 +134,14 @@
 fn the_youngest_is_evicted_and_the_oldest_completes() {
     let memory = TableMemory::new(LIMITS);
     for call in 1..=3_u64 {
-        memory.open(StreamId(call), CallId(call.into()));
+        memory.open(StreamId(call), TableQueryId(call.into()));
         assert_eq!(memory.request_window(StreamId(call), 330), WindowGrant::Granted);
     }
     for call in 1..=3_u64 {
         assert_eq!(memory.request_window(StreamId(call), 60), WindowGrant::Queued);
     }
     assert!(memory.take_grants().is_empty());
-    assert_eq!(memory.query_to_evict(), Some(CallId(3)));
+    assert_eq!(memory.query_to_evict(), Some(TableQueryId(3)));
     memory.close(StreamId(3));
     assert_eq!(memory.take_grants(), [(StreamId(1), 60), (StreamId(2), 60)]);
     assert_eq!(memory.request_window(StreamId(1), 20), WindowGrant::Exceeded);
--- a/crates/core/tests/two_phase.rs
+++ b/crates/core/tests/two_phase.rs
@@ -5,8 +5,9 @@
 use std::collections::BTreeSet;
 
 use mallowgauge_core::two_phase::{
-    parse_rows, parse_sketch, BlockSetup, Choose, PartLoss, PhaseTimeEstimator, Plan, PlanAction, PlanSetup,
-    Ranked, Row, Rule, ScoutBudget, Silent, Sketch, SketchBounds, SketchCache, Spec, MAX_ROWS_PER_BLOCK,
+    parse_rows, parse_sketch, BlockSelection, BlockSetup, MissingSketchPolicy, PartLoss, PhaseTimeEstimator,
+    Plan, PlanAction, PlanSetup, PlanSpec, Ranked, Row, ScoutBudget, ScoutBudgetRule, Sketch, SketchCache,
+    SketchCacheLimits, MAX_ROWS_PER_BLOCK,
 };
 use mallowgauge_router::{Micros, ShardId};
 use proptest::prelude::*;
@@ -80,15 +81,15 @@
 const OBJECTIVE: Micros = 1_000_000;
 const DEADLINE: Micros = 2_000_000;
 
-fn spec_of(case: &Case) -> Spec {
-    let choose = match case.choose {
-        0 => Choose::Best(case.k),
-        1 => Choose::Threshold,
-        2 => Choose::Share(0.6),
-        _ => Choose::All,
+fn spec_of(case: &Case) -> PlanSpec {
+    let selection = match case.choose {
+        0 => BlockSelection::Best(case.k),
+        1 => BlockSelection::Threshold,
+        2 => BlockSelection::Share(0.6),
+        _ => BlockSelection::All,
     };
-    let silent = if case.skip { Silent::Skip } else { Silent::Ask };
-    Spec { choose, top: case.top, wave: case.wave, silent }
+    let missing_sketches = if case.skip { MissingSketchPolicy::Skip } else { MissingSketchPolicy::Fetch };
+    PlanSpec { selection, row_limit: case.top, wave_size: case.wave, missing_sketches }
 }
 
 fn setup_of(case: &Case) -> PlanSetup {
@@ -295,7 +296,7 @@
     proptest!(config, |(case in case())| play(&case)?);
 }
 
-fn setup(bounds: &[f64], spec: Spec) -> PlanSetup {
+fn setup(bounds: &[f64], spec: PlanSpec) -> PlanSetup {
     let weight = 1.0 / bounds.len() as f64;
     PlanSetup {
         blocks: (0..bounds.len())
@@ -327,7 +328,12 @@
 #[test]
 fn of_a_thousand_blocks_a_few_are_fetched() {
     let bounds: Vec<f64> = (0..1000).map(|i| f64::from((i * 7919) % 1000)).collect();
-    let spec = Spec { choose: Choose::Best(3), top: 10, wave: 4, silent: Silent::Ask };
+    let spec = PlanSpec {
+        selection: BlockSelection::Best(3),
+        row_limit: 10,
+        wave_size: 4,
+        missing_sketches: MissingSketchPolicy::Fetch,
+    };
     let (mut plan, actions) = Plan::start(0, setup(&bounds, spec));
     assert!(matches!(&actions[..], [PlanAction::SendScouts(all)] if all.len() == 1000));
     let actions = scouted(&mut plan, &bounds);
@@ -348,7 +354,12 @@
 #[test]
 fn each_wave_raises_the_threshold() {
     let bounds = [10.0, 9.0, 8.0, 7.0, 3.0, 2.0];
-    let spec = Spec { choose: Choose::Threshold, top: 2, wave: 2, silent: Silent::Ask };
+    let spec = PlanSpec {
+        selection: BlockSelection::Threshold,
+        row_limit: 2,
+        wave_size: 2,
+        missing_sketches: MissingSketchPolicy::Fetch,
+    };
     let (mut plan, _) = Plan::start(0, setup(&bounds, spec));
     assert_eq!(scouted(&mut plan, &bounds), [PlanAction::Fetch(vec![0, 1])]);
     assert!(plan.fetch_completed(2_000, 0, Ok(one(5.0, 0))).is_empty());
@@ -365,7 +376,12 @@
 #[test]
 fn a_contradicted_sketch_takes_the_proof_away() {
     let bounds = [10.0, 2.0];
-    let spec = Spec { choose: Choose::Threshold, top: 1, wave: 1, silent: Silent::Ask };
+    let spec = PlanSpec {
+        selection: BlockSelection::Threshold,
+        row_limit: 1,
+        wave_size: 1,
+        missing_sketches: MissingSketchPolicy::Fetch,
+    };
     let (mut plan, _) = Plan::start(0, setup(&bounds, spec));
     scouted(&mut plan, &bounds);
     // A score above its own bound: none of the bounds is believed any more, and the rest is asked.
@@ -375,7 +391,12 @@
 #[test]
 fn a_non_idempotent_query_goes_to_the_next_block_only_if_not_executed() {
     let bounds = [3.0, 2.0, 1.0];
-    let spec = Spec { choose: Choose::Best(2), top: 1, wave: 4, silent: Silent::Ask };
+    let spec = PlanSpec {
+        selection: BlockSelection::Best(2),
+        row_limit: 1,
+        wave_size: 4,
+        missing_sketches: MissingSketchPolicy::Fetch,
+    };
     let hold = PlanSetup { has_effect: true, ..setup(&bounds, spec) };
     let (mut plan, _) = Plan::start(0, hold.clone());
     assert_eq!(scouted(&mut plan, &bounds), [PlanAction::Fetch(vec![0])]);
@@ -395,8 +416,11 @@
 #[test]
 fn slow_scouts_are_cancelled_at_their_budget_and_timeouts_may_coincide() {
     let bounds = [5.0, 4.0, 3.0];
-    for (silent, fetch) in [(Silent::Ask, vec![1, 2, 0]), (Silent::Skip, vec![0])] {
-        let spec = Spec { choose: Choose::Threshold, top: 1, wave: 9, silent };
+    for (missing_sketches, fetch) in
+        [(MissingSketchPolicy::Fetch, vec![1, 2, 0]), (MissingSketchPolicy::Skip, vec![0])]
+    {
+        let spec =
+            PlanSpec { selection: BlockSelection::Threshold, row_limit: 1, wave_size: 9, missing_sketches };
         let (mut plan, _) = Plan::start(0, setup(&bounds, spec));
         assert!(plan.scout_completed(1_000, 0, Ok(Sketch { bound: 5.0, count: None })).is_empty());
         assert_eq!(plan.poll_timeout(), Some(300_000));
@@ -407,7 +431,12 @@
         assert_eq!(actions, [PlanAction::CancelScouts(vec![1, 2]), PlanAction::Fetch(fetch)]);
     }
     // The deadline comes in the same call as the end of the scouts' budget.
-    let spec = Spec { choose: Choose::Threshold, top: 1, wave: 9, silent: Silent::Ask };
+    let spec = PlanSpec {
+        selection: BlockSelection::Threshold,
+        row_limit: 1,
+        wave_size: 9,
+        missing_sketches: MissingSketchPolicy::Fetch,
+    };
     let (mut plan, _) = Plan::start(0, setup(&bounds, spec));
     let actions = plan.handle_timeout(2_000_000);
     assert!(
@@ -426,7 +455,7 @@
 
 #[test]
 fn sketches_are_bounded_expire_and_are_invalidated() {
-    let mut sketches = SketchCache::new(SketchBounds { entries: 3, age: 100 });
+    let mut sketches = SketchCache::new(SketchCacheLimits { entries: 3, age: 100 });
     let sketch = |bound| Sketch { bound, count: None };
     for shard in 0..5_u32 {
         sketches.insert(u64::from(shard), 7, ShardId(shard), sketch(f64::from(shard)));
@@ -465,7 +494,7 @@
 
 #[test]
 fn scouts_get_what_they_need_and_no_more_than_waves_leave() {
-    let mut times = PhaseTimeEstimator::new(Rule::Learned);
+    let mut times = PhaseTimeEstimator::new(ScoutBudgetRule::Learned);
     // Without observations: fractions of the objective.
     assert_eq!(times.budget(0, 1_000_000, 1_000_000, 1), ScoutBudget::Until(300_000));
     for _ in 0..100 {
@@ -489,6 +518,12 @@
 
 #[test]
 fn simpler_rules_split_what_is_left() {
-    assert_eq!(PhaseTimeEstimator::new(Rule::Half).budget(10, 1_000, 400, 3), ScoutBudget::Until(210));
-    assert_eq!(PhaseTimeEstimator::new(Rule::Share(0.25)).budget(10, 1_000, 400, 3), ScoutBudget::Until(110));
+    assert_eq!(
+        PhaseTimeEstimator::new(ScoutBudgetRule::Half).budget(10, 1_000, 400, 3),
+        ScoutBudget::Until(210)
+    );
+    assert_eq!(
+        PhaseTimeEstimator::new(ScoutBudgetRule::Share(0.25)).budget(10, 1_000, 400, 3),
+        ScoutBudget::Until(110)
+    );
 }
--- a/crates/core/tests/validation.rs
+++ b/crates/core/tests/validation.rs
@@ -2,7 +2,9 @@
 
 mod common;
 
-use mallowgauge_core::two_phase::{Choose, Rule, Silent, SketchBounds, Spec};
+use mallowgauge_core::two_phase::{
+    BlockSelection, MissingSketchPolicy, PlanSpec, ScoutBudgetRule, SketchCacheLimits,
+};
 use mallowgauge_core::{
     Core, CoreLimits, Failure, PartRequest, PlanRequest, QueryRequest, QueryResponse, ResponseHandle,
     TwoPhaseSettings, ValidationError,
@@ -12,7 +14,12 @@
 use common::request;
 
 const SHARDS: u32 = 4;
-const SPEC: Spec = Spec { choose: Choose::Threshold, top: 10, wave: 4, silent: Silent::Ask };
+const SPEC: PlanSpec = PlanSpec {
+    selection: BlockSelection::Threshold,
+    row_limit: 10,
+    wave_size: 4,
+    missing_sketches: MissingSketchPolicy::Fetch,
+};
 
 fn core(idempotency: Idempotency) -> Core {
     let settings = common::settings(vec![common::class(idempotency)]);
@@ -25,7 +32,7 @@
     QueryRequest { parts: parts.iter().map(part).collect(), ..request("a") }
 }
 
-fn with_plan(spec: Spec) -> QueryRequest {
+fn with_plan(spec: PlanSpec) -> QueryRequest {
     let scout = b"scout".as_slice().into();
     QueryRequest { plan: Some(PlanRequest { spec, scout }), ..request("a") }
 }
@@ -62,21 +69,22 @@
     let mut core = core(Idempotency::Idempotent);
     let disabled = "queries in two phases are not taken here";
     assert_rejected(&mut core, with_plan(SPEC), ValidationError::TwoPhaseDisabled, disabled);
-    let sketches = SketchBounds { entries: 0, age: 0 };
-    core.enable_two_phase(TwoPhaseSettings { rule: Rule::Learned, sketches });
+    let sketches = SketchCacheLimits { entries: 0, age: 0 };
+    core.enable_two_phase(TwoPhaseSettings { rule: ScoutBudgetRule::Learned, sketches });
     let out_of_range = [
-        Spec { choose: Choose::Best(0), ..SPEC },
-        Spec { choose: Choose::Share(1.1), ..SPEC },
-        Spec { choose: Choose::Share(f64::NAN), ..SPEC },
-        Spec { top: 0, ..SPEC },
-        Spec { top: 1001, ..SPEC },
-        Spec { wave: 0, ..SPEC },
-        Spec { wave: 1001, ..SPEC },
+        PlanSpec { selection: BlockSelection::Best(0), ..SPEC },
+        PlanSpec { selection: BlockSelection::Share(1.1), ..SPEC },
+        PlanSpec { selection: BlockSelection::Share(f64::NAN), ..SPEC },
+        PlanSpec { row_limit: 0, ..SPEC },
+        PlanSpec { row_limit: 1001, ..SPEC },
+        PlanSpec { wave_size: 0, ..SPEC },
+        PlanSpec { wave_size: 1001, ..SPEC },
     ];
     for spec in out_of_range {
         assert_rejected(&mut core, with_plan(spec), ValidationError::InvalidPlan, "the plan makes no sense");
     }
-    let largest = Spec { choose: Choose::Share(1.0), top: 1000, wave: 1000, ..SPEC };
+    let largest =
+        PlanSpec { selection: BlockSelection::Share(1.0), row_limit: 1000, wave_size: 1000, ..SPEC };
     assert_eq!(core.submit(0, ResponseHandle::Http(1), with_plan(largest)), Ok(()));
 }
 
--- a/crates/edge/src/front/flight/auth.rs
+++ b/crates/edge/src/front/flight/auth.rs
@@ -8,7 +8,7 @@
 use base64::Engine;
 use http::HeaderMap;
 use mallowgauge_core::sessions::SessionId;
-use mallowgauge_core::stream_admission::Admission;
+use mallowgauge_core::stream_admission::StreamAdmission;
 use mallowgauge_flight::grpc::{Code, Status};
 use mallowgauge_flight::seal::{self, Key, Token};
 use mallowgauge_router::Micros;
@@ -103,7 +103,7 @@
         &self,
         now: Micros,
         headers: &HeaderMap,
-        admission: &mut Admission,
+        admission: &mut StreamAdmission,
     ) -> Result<Identity, Status> {
         let Some(users) = &self.users else {
             return Ok(Identity { user: "".into(), session: session_cookie(headers) });
@@ -143,7 +143,7 @@
         now: Micros,
         name: &str,
         password: &str,
-        admission: &mut Admission,
+        admission: &mut StreamAdmission,
     ) -> Result<Rc<str>, Status> {
         let Some(users) = &self.users else { return Ok("".into()) };
         admission.admit_handshake(now).map_err(|full| {
--- a/crates/edge/src/front/flight/batch_stream.rs
+++ b/crates/edge/src/front/flight/batch_stream.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use mallowgauge_core::polled_queries::WaiterId;
 use mallowgauge_core::query_stream::{QueryStream, QueryStreamLimits, QueryStreamPhase};
-use mallowgauge_core::stream_admission::Limits;
+use mallowgauge_core::stream_admission::StreamLimits;
 use mallowgauge_core::Message;
 use mallowgauge_flight::grpc::Status;
 use mallowgauge_flight::ipc::Collector;
@@ -67,7 +67,7 @@
 
 impl BatchStream {
     /// A stream on which nothing has been received.
-    pub fn new(form: BatchKind, limits: &Limits) -> Self {
+    pub fn new(form: BatchKind, limits: &StreamLimits) -> Self {
         Self {
             kind: form,
             batch: QueryStream::new(QueryStreamLimits {
--- a/crates/edge/src/front/flight/call.rs
+++ b/crates/edge/src/front/flight/call.rs
@@ -10,7 +10,7 @@
 use http::{HeaderMap, HeaderValue, Request, Response};
 use mallowgauge_core::polled_queries::{PolledQueryKey, WaiterId};
 use mallowgauge_core::sessions::Options;
-use mallowgauge_core::stream_admission::Reader;
+use mallowgauge_core::stream_admission::SlowReaderDetector;
 use mallowgauge_flight::answer;
 use mallowgauge_flight::grpc::{self, Code, Deframer, Encoding, Status};
 use mallowgauge_router::Micros;
@@ -100,7 +100,7 @@
     trailers: Option<HeaderMap>,
     /// Headers that go with the head of the response.
     extra_headers: HeaderMap,
-    reader: Reader,
+    reader: SlowReaderDetector,
     last_activity: Micros,
     send_buffer: usize,
     is_closed: bool,
@@ -140,7 +140,7 @@
             outbound: VecDeque::new(),
             trailers: None,
             extra_headers: HeaderMap::new(),
-            reader: Reader::new(now),
+            reader: SlowReaderDetector::new(now),
             last_activity: now,
             send_buffer,
             is_closed: false,
--- a/crates/edge/src/front/flight/methods/actions.rs
+++ b/crates/edge/src/front/flight/methods/actions.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use mallowgauge_core::polled_queries::{CancelResult, PolledQueryKey, PolledQuerySpec, RejectReason};
-use mallowgauge_core::sessions::Bad as OptionError;
+use mallowgauge_core::sessions::OptionError;
 use mallowgauge_core::{Core, ResponseHandle};
 use mallowgauge_flight::grpc::{Code, Status};
 use mallowgauge_flight::proto::{
--- a/crates/edge/src/front/flight/mod.rs
+++ b/crates/edge/src/front/flight/mod.rs
@@ -35,7 +35,7 @@
 use h2::server;
 use mallowgauge_core::polled_queries::{self, PolledQueries, RunId};
 use mallowgauge_core::sessions::Sessions;
-use mallowgauge_core::stream_admission::{Admission, Limits, CONNECTION_WINDOW};
+use mallowgauge_core::stream_admission::{StreamAdmission, StreamLimits, CONNECTION_WINDOW};
 use mallowgauge_core::{Core, QueryResponse};
 use mallowgauge_flight::answer::{schema_message, text_schema};
 use mallowgauge_flight::seal;
@@ -67,7 +67,7 @@
 /// What a frontend is made of.
 pub struct Setup<'a> {
     /// Its limits.
-    pub limits: Limits,
+    pub limits: StreamLimits,
     /// The operator's settings.
     pub settings: &'a Settings,
     /// The number of query classes.
@@ -102,7 +102,7 @@
             poll_timeout: ABANDONED_POLL_TIME,
         };
         let service = FlightService {
-            admission: Admission::new(*limits),
+            admission: StreamAdmission::new(*limits),
             polled_queries: PolledQueries::new(bounds),
             runs: BTreeMap::new(),
             waiters: BTreeMap::new(),
--- a/crates/edge/src/front/flight/service.rs
+++ b/crates/edge/src/front/flight/service.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use mallowgauge_core::polled_queries::{PolledQueries, RunId, WaiterId};
 use mallowgauge_core::sessions::{SessionId, Sessions};
-use mallowgauge_core::stream_admission::Admission;
+use mallowgauge_core::stream_admission::StreamAdmission;
 use mallowgauge_core::QueryResponse;
 use mallowgauge_flight::grpc::Status;
 use mallowgauge_flight::seal;
@@ -47,7 +47,7 @@
 /// The state that all calls share. The decisions behind it are taken in `mallowgauge_core`.
 pub struct FlightService {
     /// Counts connections, calls and handshakes against their limits.
-    pub admission: Admission,
+    pub admission: StreamAdmission,
     /// Queries that several calls may share: polled ones, and those that must run once.
     pub polled_queries: PolledQueries<Rc<QueryResponse>>,
     /// Queries in the core.
--- a/crates/edge/src/front/query.rs
+++ b/crates/edge/src/front/query.rs
@@ -5,7 +5,7 @@
 use serde_json::{json, Value};
 
 use mallowgauge_core as core;
-use mallowgauge_core::two_phase::{Choose, Ranked, Row, Silent, Spec};
+use mallowgauge_core::two_phase::{BlockSelection, MissingSketchPolicy, PlanSpec, Ranked, Row};
 use mallowgauge_core::{PartRequest, PlanRequest, QueryRequest};
 use mallowgauge_flight::rows;
 use mallowgauge_router::{ClassId, Micros, ShardId};
@@ -113,13 +113,15 @@
         return Err(QueryError::UnknownPlanKey);
     }
     let odd = QueryError::UnknownChoice;
-    let choose = match fields.get("choose") {
-        None => Choose::Threshold,
-        Some(Value::String(word)) if word == "threshold" => Choose::Threshold,
-        Some(Value::String(word)) if word == "all" => Choose::All,
+    let selection = match fields.get("choose") {
+        None => BlockSelection::Threshold,
+        Some(Value::String(word)) if word == "threshold" => BlockSelection::Threshold,
+        Some(Value::String(word)) if word == "all" => BlockSelection::All,
         Some(Value::Object(one)) => match (one.get("best"), one.get("share"), one.len()) {
-            (Some(k), None, 1) => Choose::Best(k.as_u64().and_then(|k| usize::try_from(k).ok()).ok_or(odd)?),
-            (None, Some(share), 1) => Choose::Share(share.as_f64().ok_or(odd)?),
+            (Some(k), None, 1) => {
+                BlockSelection::Best(k.as_u64().and_then(|k| usize::try_from(k).ok()).ok_or(odd)?)
+            }
+            (None, Some(share), 1) => BlockSelection::Share(share.as_f64().ok_or(odd)?),
             _ => return Err(odd),
         },
         Some(_) => return Err(odd),
@@ -128,12 +130,17 @@
         let value = fields.get(key).map_or(Some(usual), Value::as_u64);
         value.and_then(|n| usize::try_from(n).ok()).ok_or(QueryError::NotWholeNumber)
     };
-    let silent = match fields.get("silent").map(|word| word.as_str()) {
-        None | Some(Some("ask")) => Silent::Ask,
-        Some(Some("skip")) => Silent::Skip,
+    let missing_sketches = match fields.get("silent").map(|word| word.as_str()) {
+        None | Some(Some("ask")) => MissingSketchPolicy::Fetch,
+        Some(Some("skip")) => MissingSketchPolicy::Skip,
         Some(_) => return Err(QueryError::UnknownSilentRule),
     };
-    let spec = Spec { choose, top: number("top", DEFAULT_TOP)?, wave: number("wave", DEFAULT_WAVE)?, silent };
+    let spec = PlanSpec {
+        selection,
+        row_limit: number("top", DEFAULT_TOP)?,
+        wave_size: number("wave", DEFAULT_WAVE)?,
+        missing_sketches,
+    };
     Ok(PlanRequest { spec, scout: format!("{SCOUT}{text}").into_bytes().into() })
 }
 
--- a/crates/edge/src/server/dispatch.rs
+++ b/crates/edge/src/server/dispatch.rs
@@ -1,7 +1,7 @@
 //! From events to their handlers: sockets that are ready, what the core wants done, what connections to backends
 //! report, and what takeover wants done.
 
-use mallowgauge_core::table_memory::CallId;
+use mallowgauge_core::table_memory::TableQueryId;
 use mallowgauge_core::{
     Action, AttemptId, AttemptRequest, CompletedQuery, QueryResponse, ResponseHandle, Value,
 };
@@ -174,7 +174,7 @@
 
     /// A query's tables have no room in memory: the query fails, unless this was a hedge whose other attempt goes
     /// on. The attempt at which it showed has ended.
-    fn table_memory_exceeded(&mut self, now: Micros, query: CallId, attempt: Option<AttemptId>) {
+    fn table_memory_exceeded(&mut self, now: Micros, query: TableQueryId, attempt: Option<AttemptId>) {
         if !attempt.is_some_and(|attempt| self.core.has_other_attempt(attempt)) {
             self.core.memory_limit_exceeded(query);
         }
--- a/crates/edge/src/server/resources.rs
+++ b/crates/edge/src/server/resources.rs
@@ -20,7 +20,7 @@
     /// Connections to backends, and those of HTTP clients.
     pub(super) connections: ConnectionLimits,
     /// Connections and streams of Flight clients, and the memory for tables.
-    pub(super) flight: stream_admission::Limits,
+    pub(super) flight: stream_admission::StreamLimits,
 }
 
 impl ResourceLimits {
@@ -48,7 +48,7 @@
         let streams =
             (connections.backends * config.connections.max_attempts).min(config.core_limits.max_open);
         let flight_descriptors = if uses_flight { descriptors } else { 0 };
-        let flight_limits = stream_admission::Limits::of(memory / 2, flight_descriptors, streams);
+        let flight_limits = stream_admission::StreamLimits::of(memory / 2, flight_descriptors, streams);
         if flight.listen.is_some() {
             connections.clients = connections.clients.saturating_sub(flight_limits.connections).max(1);
         }
--- a/crates/edge/src/upstream/flight_stream.rs
+++ b/crates/edge/src/upstream/flight_stream.rs
@@ -11,7 +11,7 @@
 use h2::client::{ResponseFuture, SendRequest};
 use h2::{Reason, RecvStream, SendStream};
 use mallowgauge_core::stream_outcome::{self, StreamEnd, StreamStage};
-use mallowgauge_core::table_memory::{CallId, StreamId, TableMemory, WindowGrant};
+use mallowgauge_core::table_memory::{StreamId, TableMemory, TableQueryId, WindowGrant};
 use mallowgauge_core::{AttemptId, AttemptRequest, Table, Value};
 use mallowgauge_flight::grpc::{self, Code, Deframer, Encoding};
 use mallowgauge_flight::ipc::Collector;
@@ -65,7 +65,7 @@
     /// Since when a message has come in part.
     pub(super) partial_since: Option<Micros>,
     backend: BackendId,
-    query: CallId,
+    query: TableQueryId,
     shard: ShardId,
     request: SendStream<Bytes>,
     response: Option<ResponseFuture>,
--- a/crates/edge/src/upstream/mod.rs
+++ b/crates/edge/src/upstream/mod.rs
@@ -11,7 +11,7 @@
 
 pub use pool::ConnectionPool;
 
-use mallowgauge_core::table_memory::CallId;
+use mallowgauge_core::table_memory::TableQueryId;
 use mallowgauge_core::{AttemptId, AttemptRequest, Value};
 use mallowgauge_router::{BackendId, Micros, Outcome};
 
@@ -24,7 +24,7 @@
     /// An attempt has ended, with its value if it succeeded.
     AttemptEnded(AttemptId, Outcome, Option<Value>),
     /// The tables of a query have no room in memory; the attempt at which that showed, if any, has ended.
-    TableMemoryExceeded(CallId, Option<AttemptId>),
+    TableMemoryExceeded(TableQueryId, Option<AttemptId>),
     /// A health check passed, or did not.
     HealthCheckCompleted(BackendId, bool),
 }
--- a/crates/edge/src/upstream/pool.rs
+++ b/crates/edge/src/upstream/pool.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 
 use mallowgauge_core::connection_limits::{
-    choose, connection_to_evict, largest_connection, Choice, ConnectionCapacity, ConnectionLimits,
+    choose, connection_to_evict, largest_connection, ConnectionCapacity, ConnectionChoice, ConnectionLimits,
     ConnectionView,
 };
 use mallowgauge_core::{AttemptId, AttemptRequest};
@@ -365,9 +365,9 @@
             ConnectionCapacity::Exhausted
         };
         let fallback = match choose(&views, limit, self.backends.len(), capacity) {
-            Choice::Use(id) => return Some(Selection::Existing(id)),
-            Choice::Unavailable => return None,
-            Choice::Open(fallback) => fallback,
+            ConnectionChoice::Use(id) => return Some(Selection::Existing(id)),
+            ConnectionChoice::Unavailable => return None,
+            ConnectionChoice::Open(fallback) => fallback,
         };
         if capacity == ConnectionCapacity::Available {
             return Some(Selection::New { fallback, evict: None });
--- a/crates/mallowgauge/tests/promises.rs
+++ b/crates/mallowgauge/tests/promises.rs
@@ -105,7 +105,7 @@
         jsonschema::validate(&message["payload"], &json!(rest)).unwrap_or_else(|e| panic!("{name}: {e}"));
     };
     let send = |shard: u32| AttemptRequest {
-        call: mallowgauge_core::table_memory::CallId(1),
+        call: mallowgauge_core::table_memory::TableQueryId(1),
         attempt: AttemptId { part: PartId(shard.into()), number: 0 },
         request_id: Rc::from("9b1f03aa5c7e2d41"),
         shard: ShardId(shard),
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -12,7 +12,7 @@
 //! What `fleet` holds stands in [`crate::Fleet`]'s module. `"hosts": "all"` names every backend. Files are looked for in
 //! the folder of the operator's own.
 
-use mallowgauge_core::two_phase::{Rule, SketchBounds};
+use mallowgauge_core::two_phase::{ScoutBudgetRule, SketchCacheLimits};
 use mallowgauge_core::TwoPhaseSettings;
 use serde_json::Value;
 
@@ -78,17 +78,17 @@
     let rule = read_rule(&section)?;
     let entries = section.number_up_to("sketches", SKETCHES, 1_000_000)? as usize;
     let age = section.number_up_to("sketch_ms", SKETCH_MS, 600_000)? * 1000;
-    Ok(TwoPhaseSettings { rule, sketches: SketchBounds { entries, age } })
+    Ok(TwoPhaseSettings { rule, sketches: SketchCacheLimits { entries, age } })
 }
 
-fn read_rule(section: &OperatorSection<'_>) -> Result<Rule, OperatorError> {
-    let Some(value) = section.raw("rule") else { return Ok(Rule::Learned) };
+fn read_rule(section: &OperatorSection<'_>) -> Result<ScoutBudgetRule, OperatorError> {
+    let Some(value) = section.raw("rule") else { return Ok(ScoutBudgetRule::Learned) };
     match value.as_str() {
-        Some("learned") => return Ok(Rule::Learned),
-        Some("half") => return Ok(Rule::Half),
+        Some("learned") => return Ok(ScoutBudgetRule::Learned),
+        Some("half") => return Ok(ScoutBudgetRule::Half),
         _ => {}
     }
     let share = value.get("share").and_then(Value::as_f64).filter(|s| (0.01..=0.99).contains(s));
     let problem = Problem::Unexpected("is none of \"learned\", \"half\", {\"share\": 0.01 to 0.99}");
-    share.map(Rule::Share).ok_or_else(|| section.error("rule", problem))
+    share.map(ScoutBudgetRule::Share).ok_or_else(|| section.error("rule", problem))
 }
