--- a/crates/core/src/sessions.rs
+++ b/crates/core/src/sessions.rs
@@ -1,9 +1,9 @@
-//! Sessions of the Flight frontend: options that a client has set for all its calls, kept until it has been
-//! idle for too long.
+//! Sessions of the Flight frontend: options that a client sets once for all its calls, kept until an idle
+//! timeout.
 //!
 //! A session is known by a number that its client sends (a cookie or a field of its token). Memory is bounded:
-//! beyond the limit the session that was idle longest is evicted. Its client finds its options gone as after a
-//! restart, is told so, and sets them again.
+//! beyond the limit the session that was idle longest is evicted. As after a restart, its client is notified that
+//! the options are gone, and sets them again.
 
 use std::collections::BTreeMap;
 
@@ -13,10 +13,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SessionId(pub u128);
 
-/// How the bodies of tables are compressed that this instance writes.
+/// Compression of the table bodies that this instance writes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Compression {
-    /// Not at all.
+    /// No compression.
     #[default]
     None,
     /// LZ4 frames.
@@ -28,37 +28,37 @@
 /// The options of a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Options {
-    /// How tables are compressed that this instance writes.
+    /// Compression of the tables that this instance writes.
     pub compression: Compression,
-    /// The client time-out of its queries in microseconds, where a call states none.
+    /// Client timeout of queries whose call states none, in microseconds.
     pub timeout: Option<Micros>,
-    /// Only complete responses: a partial one counts as a failure.
-    pub whole_only: bool,
+    /// Whether only complete responses are accepted: a partial one counts as a failure.
+    pub complete_only: bool,
 }
 
-/// Why an option is not set, in the words of Flight's `SetSessionOptionsResult`.
+/// Why an option was not set, as Flight's `SetSessionOptionsResult` distinguishes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OptionError {
-    /// There is no such option.
+    /// No option has this name.
     UnknownName,
-    /// The option takes no such value.
+    /// The option does not accept this value.
     InvalidValue,
 }
 
-/// A value of an option.
+/// The value of an option.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Setting {
-    /// Back to the default.
+    /// Resets the option to its default.
     Unset,
-    /// A text.
+    /// A string.
     Text(String),
-    /// True or false.
+    /// A boolean.
     Flag(bool),
-    /// A whole number.
-    Whole(i64),
+    /// An integer.
+    Integer(i64),
 }
 
-/// Time-outs that a session can set, in milliseconds: up to a day.
+/// Timeouts that a session can set, in milliseconds: up to a day.
 const TIMEOUT_MS: std::ops::RangeInclusive<u64> = 1..=86_400_000;
 const MICROS_PER_MS: Micros = 1000;
 
@@ -66,7 +66,7 @@
     /// Sets one option, by its name on the wire.
     ///
     /// # Errors
-    /// There is no such option or value.
+    /// No option has this name, or it does not accept this value.
     pub fn set(&mut self, name: &str, value: &Setting) -> Result<(), OptionError> {
         match (name, value) {
             ("compression", Setting::Unset) => self.compression = Compression::None,
@@ -79,19 +79,19 @@
                 }
             }
             ("timeout_ms", Setting::Unset) => self.timeout = None,
-            ("timeout_ms", Setting::Whole(ms)) => {
+            ("timeout_ms", Setting::Integer(ms)) => {
                 let ms = u64::try_from(*ms).ok().filter(|ms| TIMEOUT_MS.contains(ms));
                 self.timeout = Some(ms.ok_or(OptionError::InvalidValue)? * MICROS_PER_MS);
             }
-            ("whole_only", Setting::Unset) => self.whole_only = false,
-            ("whole_only", Setting::Flag(flag)) => self.whole_only = *flag,
+            ("whole_only", Setting::Unset) => self.complete_only = false,
+            ("whole_only", Setting::Flag(flag)) => self.complete_only = *flag,
             ("compression" | "timeout_ms" | "whole_only", _) => return Err(OptionError::InvalidValue),
             _ => return Err(OptionError::UnknownName),
         }
         Ok(())
     }
 
-    /// All options by their names on the wire, with their values.
+    /// Returns all options by their names on the wire, with their values.
     #[must_use]
     pub fn all(&self) -> Vec<(&'static str, Setting)> {
         let compression = match self.compression {
@@ -101,11 +101,11 @@
         };
         let timeout = self
             .timeout
-            .map_or(Setting::Unset, |t| Setting::Whole(i64::try_from(t / MICROS_PER_MS).unwrap_or(0)));
+            .map_or(Setting::Unset, |t| Setting::Integer(i64::try_from(t / MICROS_PER_MS).unwrap_or(0)));
         vec![
             ("compression", Setting::Text(compression.to_owned())),
             ("timeout_ms", timeout),
-            ("whole_only", Setting::Flag(self.whole_only)),
+            ("whole_only", Setting::Flag(self.complete_only)),
         ]
     }
 }
@@ -116,7 +116,7 @@
     expires_at: Micros,
 }
 
-/// The sessions that are open.
+/// The open sessions.
 #[derive(Debug)]
 pub struct Sessions {
     sessions: BTreeMap<SessionId, Session>,
@@ -125,23 +125,23 @@
 }
 
 impl Sessions {
-    /// At most `limit` sessions, each closed when it was idle for `idle_timeout` microseconds.
+    /// Creates a table of at most `limit` sessions, each closed after `idle_timeout` microseconds without a call.
     #[must_use]
     pub fn new(limit: usize, idle_timeout: Micros) -> Self {
         Self { sessions: BTreeMap::new(), limit: limit.max(1), idle_timeout }
     }
 
-    /// The options for a call of this session; `None` if it is not open.
+    /// Returns the options for a call of this session and restarts its idle timeout; `None` if it is not open.
     pub fn touch(&mut self, now: Micros, id: SessionId) -> Option<Options> {
         let session = self.sessions.get_mut(&id).filter(|session| session.expires_at > now)?;
         session.expires_at = now + self.idle_timeout;
         Some(session.options)
     }
 
-    /// The session's options, to be changed; it is opened if it is not.
+    /// Returns the session's options for changes, and opens the session if necessary.
     pub fn open(&mut self, now: Micros, id: SessionId) -> &mut Options {
         if !self.sessions.contains_key(&id) {
-            self.make_room(now);
+            self.evict_to_limit(now);
         }
         let opened = Session { options: Options::default(), expires_at: Micros::MAX };
         let session = self.sessions.entry(id).or_insert(opened);
@@ -152,8 +152,8 @@
         &mut session.options
     }
 
-    /// Closes sessions that have expired, and evicts the one that was idle longest while there are too many.
-    fn make_room(&mut self, now: Micros) {
+    /// Closes expired sessions, then evicts those that were idle longest until one more fits.
+    fn evict_to_limit(&mut self, now: Micros) {
         self.sessions.retain(|_, session| session.expires_at > now);
         while self.sessions.len() >= self.limit {
             let idle_longest = self.sessions.iter().min_by_key(|(_, session)| session.expires_at);
@@ -162,12 +162,12 @@
         }
     }
 
-    /// Closes a session; `false` if it was not open.
+    /// Closes a session. Returns `false` if it was not open.
     pub fn close(&mut self, id: SessionId) -> bool {
         self.sessions.remove(&id).is_some()
     }
 
-    /// How many are open or expired and not yet closed.
+    /// Returns the number of sessions that are open, or expired and not yet closed.
     #[must_use]
     pub fn count(&self) -> usize {
         self.sessions.len()
--- a/crates/core/src/stream_admission/limits.rs
+++ b/crates/core/src/stream_admission/limits.rs
@@ -1,83 +1,82 @@
-//! The limits of Flight's connections, calls and memory, sized from the memory and descriptors that the
-//! program is told of, so that they can be added up against these.
+//! The limits of Flight's connections, calls and memory, sized from the memory and descriptors available, so that
+//! their sum can be checked against these.
 
 use std::ops::RangeInclusive;
 
-/// What a client may send ahead of what was read, in bytes: the flow-control window of its connection, which
-/// all messages on its streams share.
+/// Flow-control window of a client's connection in bytes: what it may send ahead of what was read, on all its
+/// streams together.
 pub const CONNECTION_WINDOW: u32 = 512 * 1024;
-/// Longest message of a client, in bytes: a request of the platform's is up to 64 KiB, a batch of queries in
-/// columns may be more.
+/// Longest message of a client, in bytes: one of the platform's requests has up to 64 KiB, and a batch of queries
+/// in columns may be larger.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024;
-/// Bytes that may be on their way out for one call, for the least and the most memory.
+/// Send buffer of one call in bytes, for the smallest and the largest memory.
 const SEND_BUFFER_BYTES: RangeInclusive<usize> = 16 * 1024..=128 * 1024;
-/// The send buffer's fraction of the memory.
+/// Divisor of the memory that gives the size of one send buffer.
 const SEND_BUFFERS_IN_MEMORY: usize = 4096;
-/// Streams of one connection.
+/// Open streams per connection.
 const MAX_STREAMS: u32 = 16;
-/// Bytes of header lines of a call.
+/// Header bytes of a call.
 const MAX_HEADER_BYTES: u32 = 16 * 1024;
-/// Bytes that TLS may hold for one connection.
+/// TLS buffers of one connection, in bytes.
 const TLS_BYTES: usize = 64 * 1024;
-/// Bytes of a retained outcome beside its values.
+/// Bytes of a polled query besides the values of its outcome.
 const POLLED_QUERY_BYTES: usize = 1024;
-/// Polled queries that are known, for the least and the most memory.
+/// Number of polled queries kept, for the smallest and the largest memory.
 const POLLED_QUERIES: RangeInclusive<usize> = 16..=65_536;
 /// Bytes of a session.
 const SESSION_BYTES: usize = 1024;
-/// Sessions, for the least and the most memory.
+/// Number of sessions, for the smallest and the largest memory.
 const SESSIONS: RangeInclusive<usize> = 4..=4096;
-/// The initial window of a backend's stream in bytes, for the least and the most memory.
+/// Initial window of a backend's stream in bytes, for the smallest and the largest memory.
 const BACKEND_WINDOW_BYTES: RangeInclusive<usize> = 4 * 1024..=1024 * 1024;
-/// Least bytes for the tables of one query.
+/// Minimum bytes for the tables of one query.
 const MIN_TABLES_PER_QUERY_BYTES: usize = 64 * 1024;
-/// Queries that one stream of queries may have open.
+/// Open queries per stream of queries.
 const MAX_QUERIES_PER_STREAM: usize = 64;
-/// Passwords that are checked in a second.
+/// Password checks per second.
 const MAX_HANDSHAKES_PER_SECOND: u32 = 50;
 
-/// The limits of the Flight frontend and of Flight towards backends.
+/// The limits of the Flight frontend and of the Flight connections to backends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamLimits {
-    /// Connections of clients.
+    /// Client connections.
     pub connections: usize,
-    /// Streams of one connection that are open at a time.
+    /// Open streams per connection.
     pub streams: u32,
-    /// Calls of all connections.
+    /// Open calls on all connections.
     pub calls: usize,
-    /// Bytes of a message of a client, after decompression.
+    /// Bytes of a client's message, after decompression.
     pub message_bytes: usize,
-    /// Bytes of header lines of a call.
+    /// Header bytes of a call.
     pub header_bytes: u32,
-    /// Bytes of a call's response that may be in the connection, beyond what is held as a table.
+    /// Bytes of a call's response that may be buffered in the connection, beyond those reserved as a table.
     pub send_buffer: usize,
-    /// Bytes that one connection of a client may hold: headers, a message for each stream, what is on its way
-    /// out, and TLS.
+    /// Bytes that one client connection may buffer: headers, a message for each stream, outgoing data, and TLS.
     pub connection_bytes: usize,
-    /// Bytes of tables, for all queries.
+    /// Bytes of tables of all queries.
     pub table_bytes: usize,
-    /// Bytes of tables, for one query.
+    /// Bytes of tables of one query.
     pub table_bytes_per_query: usize,
-    /// The initial window of a backend's stream, in bytes.
+    /// Initial window of a backend's stream, in bytes.
     pub backend_window: u32,
-    /// Polled queries that are known.
+    /// Polled queries that are kept.
     pub polled_queries: usize,
     /// Bytes of their retained outcomes.
     pub outcome_bytes: usize,
-    /// Sessions with options of their own.
+    /// Sessions.
     pub sessions: usize,
-    /// Queries that one stream of queries may have open.
+    /// Open queries per stream of queries.
     pub queries_per_stream: usize,
-    /// Passwords that are checked in a second.
+    /// Password checks per second.
     pub handshakes_per_second: u32,
 }
 
 impl StreamLimits {
-    /// The limits for so many bytes of memory and so many descriptors, where backends may have `streams` parts
-    /// in flight.
+    /// Derives the limits from `memory` bytes and a number of descriptors, with up to `streams` parts in flight to
+    /// backends.
     ///
-    /// Half of the memory goes to tables, a quarter to connections, an eighth to the initial windows of
-    /// backends' streams and an eighth to what is retained.
+    /// Half of the memory goes to tables, a quarter to connections, an eighth to the initial windows of backends'
+    /// streams, and an eighth to retained outcomes and sessions.
     #[must_use]
     pub fn of(memory: usize, descriptors: usize, streams: usize) -> Self {
         let send_buffer = clamp(memory / SEND_BUFFERS_IN_MEMORY, SEND_BUFFER_BYTES);
@@ -104,7 +103,7 @@
         }
     }
 
-    /// What all of it adds up to at worst, in bytes, with so many streams of backends open.
+    /// Returns the worst-case memory use in bytes with `streams` streams to backends open.
     #[must_use]
     pub fn worst_case_bytes(&self, streams: usize) -> usize {
         self.connections * self.connection_bytes
@@ -116,7 +115,7 @@
     }
 }
 
-/// Bytes that one connection may hold: what comes in, what goes out, and TLS.
+/// Returns the bytes that one connection may buffer: incoming and outgoing data, and TLS.
 fn connection_bytes(send_buffer: usize) -> usize {
     CONNECTION_WINDOW as usize + MAX_STREAMS as usize * send_buffer + TLS_BYTES
 }
--- a/crates/core/src/stream_admission/mod.rs
+++ b/crates/core/src/stream_admission/mod.rs
@@ -1,8 +1,8 @@
-//! Admission at the Flight frontend: connections, calls, and checks of passwords.
+//! Admission at the Flight frontend: connections, calls, and password checks.
 //!
-//! [`StreamLimits`] holds every limit, sized from memory and descriptors. [`StreamAdmission`] counts against them and says
-//! what a client is told that is rejected: always the reason, and when to come back. [`SlowReaderDetector`] says when a
-//! client that does not read its response is disconnected.
+//! [`StreamLimits`] holds every limit, sized from memory and descriptors. [`StreamAdmission`] enforces them; each
+//! rejection carries its reason and when to retry. [`SlowReaderDetector`] determines when a client that does not
+//! read its response is disconnected.
 
 mod limits;
 mod reader;
@@ -14,55 +14,55 @@
 pub use limits::{StreamLimits, CONNECTION_WINDOW};
 pub use reader::{SlowReaderDetector, MAX_READ_STALL};
 
-/// When a client comes back whose call was rejected, in microseconds.
+/// When a client whose call was rejected may retry, in microseconds.
 const CALL_RETRY_AFTER_US: Micros = 250_000;
 const SECOND_US: Micros = 1_000_000;
 
-/// Why a call is rejected, and when to come back.
+/// Why a call or handshake was rejected, and when the client may retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionRejection {
-    /// What there are too many of, as the client is told.
+    /// The limit that was reached, as sent to the client.
     pub message: &'static str,
-    /// When to come back, in microseconds.
+    /// When the client may retry, in microseconds.
     pub retry_after: Micros,
 }
 
-/// What is admitted, counted against the limits.
+/// The open connections and calls and the recent handshakes, counted against the limits.
 #[derive(Debug)]
 pub struct StreamAdmission {
     limits: StreamLimits,
     connections: usize,
     calls: usize,
-    /// When the passwords of the last second were checked.
+    /// Times of the password checks within the last second.
     recent_handshakes: VecDeque<Micros>,
     rejected: u64,
 }
 
 impl StreamAdmission {
-    /// Nothing is admitted yet.
+    /// Creates an admission controller with nothing admitted.
     #[must_use]
     pub fn new(limits: StreamLimits) -> Self {
         Self { limits, connections: 0, calls: 0, recent_handshakes: VecDeque::new(), rejected: 0 }
     }
 
-    /// The limits.
+    /// Returns the limits.
     #[must_use]
     pub fn limits(&self) -> &StreamLimits {
         &self.limits
     }
 
-    /// Whether another connection may be accepted.
+    /// Returns whether another connection may be accepted.
     #[must_use]
     pub fn has_capacity(&self) -> bool {
         self.connections < self.limits.connections
     }
 
-    /// A connection was accepted.
+    /// Counts a connection that was accepted.
     pub fn connected(&mut self) {
         self.connections += 1;
     }
 
-    /// A connection has ended.
+    /// Counts a connection that has ended.
     pub fn disconnected(&mut self) {
         self.connections = self.connections.saturating_sub(1);
     }
@@ -83,12 +83,12 @@
         Ok(())
     }
 
-    /// A call has ended.
+    /// Counts a call that has ended.
     pub fn call_ended(&mut self) {
         self.calls = self.calls.saturating_sub(1);
     }
 
-    /// Admits the check of a password, which costs time of the one thread that all clients share.
+    /// Admits a password check, which uses CPU time of the single thread that serves all clients.
     ///
     /// # Errors
     /// Too many passwords were checked within the last second.
@@ -106,7 +106,7 @@
         Ok(())
     }
 
-    /// Connections and calls that are open, and how many calls and handshakes were rejected.
+    /// Returns the open connections, the open calls, and the number of calls and handshakes rejected.
     #[must_use]
     pub fn counts(&self) -> (usize, usize, u64) {
         (self.connections, self.calls, self.rejected)
--- a/crates/core/src/stream_admission/reader.rs
+++ b/crates/core/src/stream_admission/reader.rs
@@ -1,16 +1,16 @@
-//! When a client that does not read its response is disconnected: if it reads nothing for too long, or so
-//! little that its response would hold memory for ever.
+//! Detection of slow readers: a client is disconnected if it reads nothing for too long, or so little that its
+//! response would occupy memory indefinitely.
 
 use mallowgauge_router::Micros;
 
 const SECOND_US: Micros = 1_000_000;
-/// A client that reads nothing for so long is disconnected, in microseconds.
+/// Time without any read after which a client is disconnected, in microseconds.
 pub const MAX_READ_STALL: Micros = 10_000_000;
-/// After so long a client has to read at least at [`MIN_BYTES_PER_SECOND`], in microseconds.
+/// Time after which a client has to read at [`MIN_BYTES_PER_SECOND`] or faster, in microseconds.
 const RATE_GRACE_US: Micros = 30_000_000;
 const MIN_BYTES_PER_SECOND: u64 = 4 * 1024;
 
-/// How a client reads one response.
+/// Tracks how fast a client reads one response.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowReaderDetector {
     started_at: Micros,
@@ -19,13 +19,13 @@
 }
 
 impl SlowReaderDetector {
-    /// A response has started.
+    /// Starts tracking at the start of a response.
     #[must_use]
     pub fn new(now: Micros) -> Self {
         Self { started_at: now, last_read_at: now, bytes_read: 0 }
     }
 
-    /// The client has read so many bytes.
+    /// Records that the client has read `bytes` bytes.
     pub fn bytes_read(&mut self, now: Micros, bytes: usize) {
         if bytes > 0 {
             self.last_read_at = now;
@@ -33,12 +33,12 @@
         }
     }
 
-    /// There is something to read again, after a time in which there was nothing.
+    /// Restarts tracking when there is something to read again after a time without.
     pub fn resumed(&mut self, now: Micros) {
         *self = Self::new(now);
     }
 
-    /// When the client is disconnected unless it reads more.
+    /// Returns when the client is disconnected unless it reads more.
     #[must_use]
     pub fn deadline(&self) -> Micros {
         let stalled_at = self.last_read_at + MAX_READ_STALL;
--- a/crates/core/src/stream_outcome.rs
+++ b/crates/core/src/stream_outcome.rs
@@ -1,36 +1,36 @@
-//! The outcome of an attempt that was sent as an HTTP/2 stream, for each way in which the stream can end.
+//! Classification of the end of an HTTP/2 stream as the outcome of the attempt that was sent on it.
 //!
-//! What matters most is whether a non-idempotent part can have been executed. Three ends of a stream prove that
-//! it was not: the request was never handed to a connection, the backend refused the stream before it looked
-//! at it, or the backend's GOAWAY names a lower stream as its last. In a fourth the backend says so itself: a
-//! status that says `LATER`. Everything else leaves it possibly executed: a reset for any other reason, a
-//! connection that broke while the request may have been in the socket, an incomplete table.
+//! The main question is whether a non-idempotent part can have been executed. Three ends prove that it was not:
+//! the request was never handed to a connection, the backend refused the stream before processing it, or the
+//! backend's GOAWAY names a lower stream as its last. In a fourth case the backend states it: a status with the
+//! reason `LATER`. Everything else leaves the part possibly executed: a reset for any other reason, a connection
+//! that broke while the request may have been in the socket, an incomplete table.
 
 use mallowgauge_router::Outcome;
 
-/// How far a stream has got.
+/// The progress of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StreamStage {
-    /// It waits for a connection, or for a place on one; nothing was handed over.
+    /// The request waits for a connection or for capacity on one; nothing was handed over.
     Queued,
     /// The request was handed to the connection, and may have reached the backend.
     Sent,
-    /// The backend's response has begun.
+    /// The backend's response has started.
     Answering,
-    /// A complete table was received, and its status was not.
+    /// A complete table was received, but not the status.
     Complete,
 }
 
-/// What ended a stream.
+/// Why a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
     /// The backend's status was OK.
     Ok,
-    /// The backend's status says in its details that it rejected the part unseen.
+    /// The backend's status states in its details that it rejected the part without executing it.
     RetryLaterStatus,
-    /// The backend's status says that the deadline was exceeded.
+    /// The backend's status is DEADLINE_EXCEEDED.
     DeadlineStatus,
-    /// Any other status, or none where one should be.
+    /// Any other status, or a missing one.
     Status,
     /// REFUSED_STREAM from the backend.
     RefusedStream,
@@ -40,25 +40,25 @@
     Reset,
     /// The connection ended or broke.
     ConnectionLost,
-    /// What was received is no table, is for another part, is too large, or is compressed in an unknown way.
+    /// The response is no table, is for another part, is too large, or has an unknown compression.
     Malformed,
-    /// A message that had begun was not completed in time.
+    /// A message was not completed in time.
     Stalled,
-    /// Nobody waits for it any more.
+    /// The attempt was cancelled.
     Cancelled,
 }
 
-/// The attempt's outcome, for the router.
+/// Returns the attempt's outcome for the router.
 #[must_use]
 pub fn classify(stage: StreamStage, end: StreamEnd) -> Outcome {
     match (stage, end) {
-        // Nothing was handed over, whatever ended it.
+        // Whatever the end, nothing was handed over.
         (StreamStage::Queued, StreamEnd::Cancelled) => Outcome::Cancelled,
         (StreamStage::Queued, _) => Outcome::ConnectFailed,
         (StreamStage::Complete, StreamEnd::Ok) => Outcome::Succeeded,
-        // OK without a complete table is no response.
+        // OK without a complete table is not a valid response.
         (_, StreamEnd::Ok) => Outcome::ConnectionLost,
-        // A backend that has begun its response has looked at the part: a rejection then proves nothing.
+        // A backend that has started its response has processed the part: a rejection then proves nothing.
         (
             StreamStage::Sent,
             StreamEnd::RetryLaterStatus | StreamEnd::RefusedStream | StreamEnd::AboveGoAway,
@@ -79,7 +79,7 @@
     }
 }
 
-/// Whether an outcome proves that the part was not executed.
+/// Returns whether an outcome proves that the part was not executed.
 #[must_use]
 pub fn not_executed(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
--- a/crates/core/src/table_memory.rs
+++ b/crates/core/src/table_memory.rs
@@ -1,59 +1,59 @@
-//! The memory for tables: which backend may send how much more, and which query is evicted when all of it is
-//! reserved.
+//! The memory budget for tables: how much more each backend may send, and which query is evicted when the whole
+//! budget is reserved.
 //!
 //! Every byte that a backend may still send or has sent is reserved from one budget. A stream opens with an
-//! initial window that is always there (it is set aside for as many streams as may be open); for all that
-//! comes beyond, [`TableMemory::request_window`] says whether the backend may go on. A backend that may not is
-//! not notified: its window stays shut, and HTTP/2 makes it wait. Bytes that clients have not read yet stay
-//! reserved ([`TableLease`]), so a slow client shuts the windows of backends.
+//! initial window that is always available (it is set aside for the maximum number of open streams); everything
+//! beyond it has to be granted by [`TableMemory::request_window`]. A backend without a grant is not notified: its
+//! window is not enlarged, and HTTP/2 flow control makes it wait. Bytes that clients have not read yet stay
+//! reserved ([`TableLease`]), so a slow client stops the backends.
 //!
-//! Two rules prevent a deadlock. A query has a limit of its own. And once the whole budget is reserved by
-//! queries that all wait for more, with nothing on its way to a client, the youngest of them is evicted
-//! ([`TableMemory::query_to_evict`]): the oldest can then always complete.
+//! Two rules prevent a deadlock. First, each query has a limit. Second, when the whole budget is reserved by
+//! queries that all wait for more, and no table is being sent to a client, the youngest of them is evicted
+//! ([`TableMemory::query_to_evict`]), so that the oldest can always complete.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::rc::Rc;
 
-/// A stream of a backend, by a number that its opener gave out.
+/// The number of a backend's stream, assigned by the caller that opens it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StreamId(pub u64);
 
-/// A query, by a number that grows with each: the lower, the older.
+/// The number of a query. Numbers ascend: a lower one is an older query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TableQueryId(pub u128);
 
-/// The limits, in bytes.
+/// The limits of the table memory, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableMemoryLimits {
-    /// For all tables together, beyond initial windows.
+    /// Limit of all tables together, beyond initial windows.
     pub total: usize,
-    /// For the tables of one query.
+    /// Limit of the tables of one query.
     pub per_query: usize,
 }
 
-/// Whether a backend may send more.
+/// The result of a request for a larger window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WindowGrant {
-    /// It may, at once.
+    /// The backend may send more at once.
     Granted,
-    /// Not yet; [`TableMemory::take_grants`] says when.
+    /// The backend has to wait until [`TableMemory::take_grants`] returns its stream.
     Queued,
-    /// Never: the query's tables would exceed their limit.
+    /// The request is denied: the query's tables would exceed their limit.
     Exceeded,
 }
 
 #[derive(Debug)]
 struct Stream {
     query: TableQueryId,
-    /// Bytes reserved for it beyond its initial window.
+    /// Bytes reserved beyond the initial window.
     reserved: usize,
-    /// Bytes that it waits for.
+    /// Bytes requested and not granted yet.
     queued: usize,
 }
 
-/// A stream that waits, in the order in which streams are granted more: the oldest query's first.
+/// A waiting stream, ordered as grants are given: the oldest query's first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Waiting {
     query: TableQueryId,
@@ -64,12 +64,12 @@
 #[derive(Debug, Default)]
 struct Reservations {
     streams: BTreeMap<StreamId, Stream>,
-    /// Bytes reserved by each query: of its open streams, and of its complete tables.
+    /// Bytes reserved by each query, for its open streams and its complete tables.
     by_query: BTreeMap<TableQueryId, usize>,
     total: usize,
-    /// Of the total, what belongs to complete tables: it is released as clients read them.
+    /// The share of the total that belongs to complete tables; released as clients read them.
     leased: usize,
-    /// The largest total there ever was.
+    /// The largest total so far.
     peak: usize,
 }
 
@@ -96,7 +96,7 @@
         self.by_query.get(&query).copied().unwrap_or(0)
     }
 
-    /// Whether a stream of `query` may be granted so many bytes.
+    /// Decides whether a stream of `query` is granted `bytes` more.
     fn decide(
         &self,
         limits: &TableMemoryLimits,
@@ -104,7 +104,7 @@
         query: TableQueryId,
         bytes: usize,
     ) -> WindowGrant {
-        // What the query's other streams wait for will be granted one day, and counts.
+        // What the query's other streams wait for will be granted later, and counts.
         let others = self.streams.iter().filter(|(id, other)| other.query == query && **id != stream);
         let queued: usize = others.map(|(_, other)| other.queued).sum();
         if self.of_query(query) + queued + bytes > limits.per_query {
@@ -118,7 +118,7 @@
     }
 }
 
-/// The budget. Clones share it.
+/// The memory budget for tables. Clones share it.
 #[derive(Clone, Debug)]
 pub struct TableMemory {
     limits: TableMemoryLimits,
@@ -126,19 +126,19 @@
 }
 
 impl TableMemory {
-    /// A budget of which nothing is reserved.
+    /// Creates a budget with nothing reserved.
     #[must_use]
     pub fn new(limits: TableMemoryLimits) -> Self {
         Self { limits, reservations: Rc::default() }
     }
 
-    /// A stream is opened for a query; its initial window is not reserved from here.
+    /// Registers a stream that is opened for a query. Its initial window is not part of this budget.
     pub fn open(&self, stream: StreamId, query: TableQueryId) {
         let opened = Stream { query, reserved: 0, queued: 0 };
         self.reservations.borrow_mut().streams.insert(stream, opened);
     }
 
-    /// The backend of this stream could send so many bytes more.
+    /// Requests `bytes` more for the backend of this stream to send.
     pub fn request_window(&self, stream: StreamId, bytes: usize) -> WindowGrant {
         let mut reservations = self.reservations.borrow_mut();
         let Some(open) = reservations.streams.get(&stream) else { return WindowGrant::Exceeded };
@@ -154,8 +154,8 @@
         grant
     }
 
-    /// The streams that may go on now, with the bytes that each may send: the oldest query's come first, and
-    /// a younger one does not overtake it.
+    /// Grants waiting streams what they requested, as far as the budget allows. Returns these streams, each with
+    /// the bytes granted. The oldest query's streams come first, and younger ones do not overtake them.
     pub fn take_grants(&self) -> Vec<(StreamId, usize)> {
         let mut reservations = self.reservations.borrow_mut();
         let queued = reservations.streams.iter().filter(|(_, open)| open.queued > 0);
@@ -177,25 +177,24 @@
         granted
     }
 
-    /// The query that has to be evicted because nothing else can bring the others on: all that is reserved is
-    /// held by streams that wait, and no complete table is on its way to a client. The youngest one that has
-    /// anything reserved.
+    /// Returns the query to evict if the others cannot proceed otherwise: the whole reservation belongs to waiting
+    /// streams, and no complete table is being sent to a client. It is the youngest query with a reservation.
     #[must_use]
     pub fn query_to_evict(&self) -> Option<TableQueryId> {
         let reservations = self.reservations.borrow();
         let streams = || reservations.streams.values();
         let oldest_waiting = streams().filter(|open| open.queued > 0).map(|open| open.query).min()?;
-        // A stream that has something reserved and does not wait will end, or wait later.
-        let moves = streams().any(|open| open.reserved > 0 && open.queued == 0);
-        if reservations.leased > 0 || moves {
+        // A stream with a reservation that does not wait will end, or wait later.
+        let any_progressing = streams().any(|open| open.reserved > 0 && open.queued == 0);
+        if reservations.leased > 0 || any_progressing {
             return None;
         }
         let youngest = streams().filter(|open| open.reserved > 0).map(|open| open.query).max();
-        // The oldest is not evicted: where it cannot complete alone, its own limit ends it.
+        // The oldest is not evicted: if it cannot complete alone, the limit per query ends it.
         youngest.filter(|&query| query != oldest_waiting)
     }
 
-    /// The stream has ended, and nothing of it is kept.
+    /// Ends a stream of which nothing is kept, and releases its reservation.
     pub fn close(&self, stream: StreamId) {
         let mut reservations = self.reservations.borrow_mut();
         if let Some(open) = reservations.streams.remove(&stream) {
@@ -203,9 +202,9 @@
         }
     }
 
-    /// The stream has ended with a complete table of so many bytes, which stay reserved until the lease is
-    /// dropped. `None` if there is no capacity: a small table comes through the initial window alone, and needs
-    /// a reservation only now.
+    /// Ends a stream with a complete table of `bytes` bytes, which stay reserved until the returned lease is
+    /// dropped. Returns `None` if there is no capacity: a small table arrives through the initial window alone and
+    /// needs a reservation only now.
     #[must_use]
     pub fn retain(&self, stream: StreamId, bytes: usize) -> Option<TableLease> {
         let mut reservations = self.reservations.borrow_mut();
@@ -222,14 +221,14 @@
         Some(TableLease(Some(Lease { reservations: Rc::clone(&self.reservations), query, bytes })))
     }
 
-    /// Bytes reserved now, and the most that ever were.
+    /// Returns the bytes reserved now, and the peak.
     #[must_use]
     pub fn usage(&self) -> (usize, usize) {
         let reservations = self.reservations.borrow();
         (reservations.total, reservations.peak)
     }
 
-    /// Whether any backend waits.
+    /// Returns whether any stream waits for a grant.
     #[must_use]
     pub fn has_waiting_streams(&self) -> bool {
         self.reservations.borrow().streams.values().any(|open| open.queued > 0)
@@ -242,11 +241,11 @@
     bytes: usize,
 }
 
-/// A complete table's share of the budget; it is released when this is dropped.
+/// A complete table's reservation, released on drop.
 pub struct TableLease(Option<Lease>);
 
 impl TableLease {
-    /// A share of nothing.
+    /// Returns a lease of no bytes.
     #[must_use]
     pub fn none() -> Self {
         Self(None)
--- a/crates/core/src/validation.rs
+++ b/crates/core/src/validation.rs
@@ -1,4 +1,4 @@
-//! Which requests are rejected before the router sees them, and with what text.
+//! Validation of requests before they reach the router, with the error texts that clients get.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 use crate::query::PartRequest;
 use crate::two_phase::{BlockSelection, PlanSpec, MAX_ROW_LIMIT, MAX_WAVE_SIZE};
 
-/// How far the weights of a query's parts may add up to something other than 1, by rounding.
+/// How far the sum of the weights of a query's parts may differ from 1, because of rounding.
 const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
 
 /// Why a request is invalid. Nothing was sent for it.
@@ -16,29 +16,29 @@
 pub enum ValidationError {
     /// The request has no parts.
     NoParts,
-    /// A part names a shard beyond the number of shards.
+    /// A part names a shard that does not exist.
     UnknownShard,
     /// Two parts name the same shard.
     DuplicateShard,
     /// A weight is not above 0, or the weights do not add up to 1.
     InvalidWeights,
-    /// A query with the same id is open. Backends know parts by the query's id, so two could not be told
-    /// apart.
+    /// A query with the same id is open. Backends identify parts by the query's id, so two queries could not be
+    /// distinguished.
     IdInUse,
-    /// A query with the same id and another body, class or list of parts is open.
+    /// A query with the same id and a different body, class or list of parts is open.
     IdInUseWithDifferentBody,
-    /// The request has a plan, and two-phase queries are disabled.
+    /// The request has a plan, but two-phase queries are disabled.
     TwoPhaseDisabled,
     /// A number in the plan is out of its range.
     InvalidPlan,
-    /// Another instance was asked for something else under the same id.
+    /// Another instance has a record of a different request under the same id.
     IdReplicatedWithDifferentBody,
     /// The request does not fit into a replicated record.
     TooLargeToReplicate,
 }
 
 impl ValidationError {
-    /// The text that a client is sent.
+    /// Returns the error text for the client.
     #[must_use]
     pub const fn message(self) -> &'static str {
         match self {
@@ -78,14 +78,14 @@
 
 /// Checks the numbers of a two-phase plan against their ranges.
 pub(crate) fn validate_plan(spec: &PlanSpec) -> Result<(), ValidationError> {
-    let choice_in_range = match spec.selection {
+    let selection_in_range = match spec.selection {
         BlockSelection::Best(blocks) => blocks > 0,
         BlockSelection::Share(share) => (0.0..=1.0).contains(&share),
         BlockSelection::Threshold | BlockSelection::All => true,
     };
-    let top_in_range = (1..=MAX_ROW_LIMIT).contains(&spec.row_limit);
-    let wave_in_range = (1..=MAX_WAVE_SIZE).contains(&spec.wave_size);
-    if choice_in_range && top_in_range && wave_in_range {
+    let row_limit_in_range = (1..=MAX_ROW_LIMIT).contains(&spec.row_limit);
+    let wave_size_in_range = (1..=MAX_WAVE_SIZE).contains(&spec.wave_size);
+    if selection_in_range && row_limit_in_range && wave_size_in_range {
         Ok(())
     } else {
         Err(ValidationError::InvalidPlan)
--- a/crates/core/src/value.rs
+++ b/crates/core/src/value.rs
@@ -1,4 +1,4 @@
-//! The value of a part: a text, as the platform's frames carry it, or a table in Arrow's format.
+//! The value of a part: a string from the platform's frame protocol, or a table in Arrow's format.
 
 use std::fmt;
 use std::rc::Rc;
@@ -7,7 +7,7 @@
 
 use crate::table_memory::TableLease;
 
-/// One Arrow IPC message of a table as it was received, never copied on its way to the client.
+/// One Arrow IPC message of a table as received; it is not copied on its way to the client.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Message {
     /// The header, a flatbuffer.
@@ -31,12 +31,12 @@
     pub messages: Vec<Message>,
     /// Rows in all record batches.
     pub rows: u64,
-    /// Its share of the memory for tables, until all of it has been sent to the client.
+    /// Its reservation in the table memory, until the whole table has been sent to the client.
     pub lease: TableLease,
 }
 
 impl Table {
-    /// Its size in bytes.
+    /// Returns the size in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         let messages = self.messages.iter().map(|m| m.header.len() + m.body.len());
@@ -53,14 +53,14 @@
 /// The value of a part.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// A text.
+    /// A string.
     Text(Rc<str>),
     /// A table.
     Table(Rc<Table>),
 }
 
 impl Value {
-    /// Its size in bytes.
+    /// Returns the size in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         match self {
--- a/crates/core/tests/sessions.rs
+++ b/crates/core/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions: their number, their options, and when they end.
+//! Sessions: the limit on their number, their options, and their idle timeout.
 
 use mallowgauge_core::sessions::{Compression, OptionError, Options, SessionId, Sessions, Setting};
 use proptest::prelude::*;
@@ -32,10 +32,10 @@
     assert_eq!(options.set("compression", &Setting::Text("lz4".into())), Ok(()));
     assert_eq!(options.set("compression", &Setting::Text("brotli".into())), Err(OptionError::InvalidValue));
     assert_eq!(options.set("compression", &Setting::Flag(true)), Err(OptionError::InvalidValue));
-    assert_eq!(options.set("timeout_ms", &Setting::Whole(250)), Ok(()));
-    assert_eq!(options.set("timeout_ms", &Setting::Whole(0)), Err(OptionError::InvalidValue));
+    assert_eq!(options.set("timeout_ms", &Setting::Integer(250)), Ok(()));
+    assert_eq!(options.set("timeout_ms", &Setting::Integer(0)), Err(OptionError::InvalidValue));
     assert_eq!(options.set("colour", &Setting::Unset), Err(OptionError::UnknownName));
-    let set = Options { compression: Compression::Lz4, timeout: Some(250_000), whole_only: false };
+    let set = Options { compression: Compression::Lz4, timeout: Some(250_000), complete_only: false };
     assert_eq!(sessions.touch(900, SessionId(1)), Some(set));
     assert_eq!(sessions.touch(1_899, SessionId(1)), Some(set));
     assert_eq!(sessions.touch(2_899, SessionId(1)), None);
--- a/crates/core/tests/stream_admission.rs
+++ b/crates/core/tests/stream_admission.rs
@@ -1,4 +1,4 @@
-//! Admission at the Flight frontend: its limits, handshakes and calls, and clients that do not read.
+//! Admission at the Flight frontend: limits, handshakes and calls, and clients that do not read their responses.
 
 use mallowgauge_core::stream_admission::{SlowReaderDetector, StreamAdmission, StreamLimits, MAX_READ_STALL};
 use proptest::prelude::*;
@@ -8,11 +8,11 @@
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_limits_add_up_to_the_memory(memory_mb in 8..4096_usize, sockets in 32..4096_usize, streams in 1..4096_usize) {
+    fn the_limits_add_up_to_the_memory(memory_mb in 8..4096_usize, descriptors in 32..4096_usize, streams in 1..4096_usize) {
         let memory = memory_mb << 20;
-        let limits = StreamLimits::of(memory, sockets, streams);
-        prop_assert!(limits.connections <= sockets);
-        // Initial windows have a least size; below it there are too many streams for so little memory.
+        let limits = StreamLimits::of(memory, descriptors, streams);
+        prop_assert!(limits.connections <= descriptors);
+        // Initial windows have a minimum size; below it there is too little memory for that many streams.
         if memory / 8 / streams >= 4096 && memory >= 16 << 20 {
             let worst = limits.worst_case_bytes(streams);
             prop_assert!(worst <= memory + memory / 16, "{} of {memory}", worst);
@@ -38,19 +38,19 @@
 
 #[test]
 fn a_client_that_reads_nothing_or_next_to_nothing_is_disconnected() {
-    let mut reader = SlowReaderDetector::new(0);
-    assert_eq!(reader.deadline(), MAX_READ_STALL);
-    // A byte at a time does not keep a connection for ever.
+    let mut detector = SlowReaderDetector::new(0);
+    assert_eq!(detector.deadline(), MAX_READ_STALL);
+    // Reading a byte at a time does not keep a connection open indefinitely.
     let mut now = 0;
-    while reader.deadline() > now {
+    while detector.deadline() > now {
         now += MAX_READ_STALL / 2;
-        reader.bytes_read(now, 1);
-        assert!(now < 10 * MAX_READ_STALL, "a trickle lasts for ever");
+        detector.bytes_read(now, 1);
+        assert!(now < 10 * MAX_READ_STALL, "a byte at a time keeps the connection open");
     }
-    // One that reads enough is kept however long its response is.
-    let mut reader = SlowReaderDetector::new(0);
+    // A client that reads fast enough is kept, however long its response is.
+    let mut detector = SlowReaderDetector::new(0);
     for second in 1..1_000_u64 {
-        reader.bytes_read(second * 1_000_000, 64 * 1024);
-        assert!(reader.deadline() > second * 1_000_000);
+        detector.bytes_read(second * 1_000_000, 64 * 1024);
+        assert!(detector.deadline() > second * 1_000_000);
     }
 }
--- a/crates/core/tests/stream_outcome.rs
+++ b/crates/core/tests/stream_outcome.rs
@@ -1,4 +1,4 @@
-//! The outcome of an attempt for each end of its stream.
+//! The outcome of an attempt for each stage and end of its stream.
 
 use mallowgauge_core::stream_outcome::{classify, not_executed, StreamEnd, StreamStage};
 use mallowgauge_router::Outcome;
@@ -19,9 +19,9 @@
     StreamEnd::Cancelled,
 ];
 
-// Guards against executing a non-idempotent part twice: nothing but these ends proves that it was not executed.
+// Guards against executing a non-idempotent part twice: only these ends prove that it was not executed.
 #[test]
-fn only_three_ends_and_the_backends_own_status_prove_that_a_part_was_not_executed() {
+fn only_three_stream_ends_and_the_later_status_prove_that_a_part_was_not_executed() {
     for stage in STAGES {
         for end in ENDS {
             let outcome = classify(stage, end);
--- a/crates/core/tests/table_memory.rs
+++ b/crates/core/tests/table_memory.rs
@@ -1,5 +1,5 @@
-//! Random streams that reserve from the budget: never more than there is, nothing lost, and always a stream
-//! that can go on.
+//! Random streams that reserve from the budget: it is never exceeded, no reservation is lost, and some stream can
+//! always proceed.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Open { call: u8 },
+    Open { query: u8 },
     Request { which: usize, bytes: usize },
     Close { which: usize },
     Retain { which: usize, bytes: usize },
@@ -22,7 +22,7 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        2 => (0..6_u8).prop_map(|call| Step::Open { call }),
+        2 => (0..6_u8).prop_map(|query| Step::Open { query }),
         6 => (any::<usize>(), 1..120_usize).prop_map(|(which, bytes)| Step::Request { which, bytes }),
         1 => any::<usize>().prop_map(|which| Step::Close { which }),
         1 => (any::<usize>(), 0..200_usize).prop_map(|(which, bytes)| Step::Retain { which, bytes }),
@@ -32,7 +32,7 @@
 
 #[derive(Default)]
 struct Stream {
-    call: u8,
+    query: u8,
     granted: usize,
     queued: usize,
 }
@@ -41,7 +41,7 @@
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_more_is_reserved_than_there_is_and_a_stream_goes_on(steps in prop::collection::vec(step(), 1..150)) {
+    fn the_budget_is_never_exceeded_and_a_stream_can_always_proceed(steps in prop::collection::vec(step(), 1..150)) {
         let memory = TableMemory::new(LIMITS);
         let mut streams: BTreeMap<StreamId, Stream> = BTreeMap::new();
         let mut leases: Vec<(TableLease, usize)> = Vec::new();
@@ -51,10 +51,10 @@
                 streams.keys().nth(which % streams.len().max(1)).copied()
             };
             match step {
-                Step::Open { call } => {
+                Step::Open { query } => {
                     next += 1;
-                    memory.open(StreamId(next), TableQueryId(call.into()));
-                    streams.insert(StreamId(next), Stream { call, ..Stream::default() });
+                    memory.open(StreamId(next), TableQueryId(query.into()));
+                    streams.insert(StreamId(next), Stream { query, ..Stream::default() });
                 }
                 Step::Request { which, bytes } => {
                     let Some(id) = pick(&streams, which) else { continue };
@@ -79,7 +79,7 @@
                 }
                 Step::Retain { which, bytes } => {
                     let Some(id) = pick(&streams, which) else { continue };
-                    // A table is as long as what was granted, or came through the initial window.
+                    // A table is as long as what was granted, or arrived through the initial window.
                     let bytes = bytes.max(streams[&id].granted / 2);
                     streams.remove(&id);
                     leases.extend(memory.retain(id, bytes).map(|lease| (lease, bytes)));
@@ -90,7 +90,7 @@
                     }
                 }
             }
-            // The streams that go on are the oldest queries' first.
+            // The oldest queries' streams are granted first.
             for (id, bytes) in memory.take_grants() {
                 let stream = streams.get_mut(&id).expect("it is open");
                 prop_assert_eq!(bytes, stream.queued);
@@ -100,27 +100,27 @@
             let reserved: usize = streams.values().map(|s| s.granted).sum::<usize>() + leases.iter().map(|l| l.1).sum::<usize>();
             prop_assert_eq!(memory.usage().0, reserved, "nothing is lost and nothing is counted twice");
             prop_assert!(reserved <= LIMITS.total);
-            for call in 0..6 {
-                let of = streams.values().filter(|s| s.call == call).map(|s| s.granted).sum::<usize>();
-                prop_assert!(of <= LIMITS.per_query);
+            for query in 0..6 {
+                let granted = streams.values().filter(|s| s.query == query).map(|s| s.granted).sum::<usize>();
+                prop_assert!(granted <= LIMITS.per_query);
             }
-            // Once all that hold something wait, one of them has to be evicted, and it is not the oldest.
-            let waits = streams.values().filter(|s| s.queued > 0);
-            let stuck = leases.iter().all(|l| l.1 == 0)
+            // When all streams with a reservation wait, one query has to be evicted, and not the oldest one.
+            let waiting = streams.values().filter(|s| s.queued > 0);
+            let deadlocked = leases.iter().all(|l| l.1 == 0)
                 && streams.values().all(|s| s.granted == 0 || s.queued > 0)
-                && waits.clone().count() > 0;
+                && waiting.clone().count() > 0;
             match memory.query_to_evict() {
-                None if stuck => {
-                    // Only the oldest holds anything: it alone may be short, and its own limit ends it.
-                    let oldest = waits.map(|s| s.call).min();
-                    let others = streams.values().any(|s| s.granted > 0 && Some(s.call) != oldest);
+                None if deadlocked => {
+                    // Only the oldest has a reservation: it may lack capacity, and the limit per query ends it.
+                    let oldest = waiting.map(|s| s.query).min();
+                    let others = streams.values().any(|s| s.granted > 0 && Some(s.query) != oldest);
                     prop_assert!(!others, "none is evicted");
                 }
                 None => {}
-                Some(victim) => {
-                    prop_assert!(stuck);
-                    let oldest = waits.map(|s| u128::from(s.call)).min();
-                    prop_assert!(Some(victim.0) != oldest);
+                Some(evicted) => {
+                    prop_assert!(deadlocked);
+                    let oldest = waiting.map(|s| u128::from(s.query)).min();
+                    prop_assert!(Some(evicted.0) != oldest);
                 }
             }
         }
@@ -133,19 +133,19 @@
 #[test]
 fn the_youngest_is_evicted_and_the_oldest_completes() {
     let memory = TableMemory::new(LIMITS);
-    for call in 1..=3_u64 {
-        memory.open(StreamId(call), TableQueryId(call.into()));
-        assert_eq!(memory.request_window(StreamId(call), 330), WindowGrant::Granted);
+    for query in 1..=3_u64 {
+        memory.open(StreamId(query), TableQueryId(query.into()));
+        assert_eq!(memory.request_window(StreamId(query), 330), WindowGrant::Granted);
     }
-    for call in 1..=3_u64 {
-        assert_eq!(memory.request_window(StreamId(call), 60), WindowGrant::Queued);
+    for query in 1..=3_u64 {
+        assert_eq!(memory.request_window(StreamId(query), 60), WindowGrant::Queued);
     }
     assert!(memory.take_grants().is_empty());
     assert_eq!(memory.query_to_evict(), Some(TableQueryId(3)));
     memory.close(StreamId(3));
     assert_eq!(memory.take_grants(), [(StreamId(1), 60), (StreamId(2), 60)]);
     assert_eq!(memory.request_window(StreamId(1), 20), WindowGrant::Exceeded);
-    let lease = memory.retain(StreamId(2), 390).expect("room");
+    let lease = memory.retain(StreamId(2), 390).expect("there is capacity");
     memory.close(StreamId(1));
     assert_eq!(memory.usage().0, 390);
     drop(lease);
--- a/crates/core/tests/validation.rs
+++ b/crates/core/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Requests that are rejected before the router sees them, each with the text that its client is sent.
+//! Requests that are rejected before they reach the router, with the error text that clients get.
 
 mod common;
 
@@ -24,7 +24,7 @@
 fn core(idempotency: Idempotency) -> Core {
     let settings = common::settings(vec![common::class(idempotency)]);
     let limits = CoreLimits { max_open: 100, shards: SHARDS };
-    Core::new(7, settings, vec!["search".to_owned()], limits).expect("sound settings")
+    Core::new(7, settings, vec!["search".to_owned()], limits).expect("valid settings")
 }
 
 fn with_parts(parts: &[(u32, f64)]) -> QueryRequest {
@@ -37,7 +37,7 @@
     QueryRequest { plan: Some(PlanRequest { spec, scout }), ..request("a") }
 }
 
-/// Submits a request that is to be rejected, and checks the reason and its text.
+/// Submits an invalid request and checks the error and its text.
 fn assert_rejected(core: &mut Core, request: QueryRequest, error: ValidationError, text: &str) {
     let open = core.open_queries();
     let response = core.submit(0, ResponseHandle::Http(9), request);
@@ -47,13 +47,13 @@
 }
 
 #[test]
-fn parts_name_each_shard_once_and_their_weights_add_up() {
+fn parts_need_distinct_shards_and_weights_that_add_up_to_one() {
     let mut core = core(Idempotency::Idempotent);
     assert_rejected(&mut core, with_parts(&[]), ValidationError::NoParts, "a query needs a part");
     let unknown = ValidationError::UnknownShard;
     assert_rejected(&mut core, with_parts(&[(SHARDS, 1.0)]), unknown, "there is no such shard");
-    let twice = ValidationError::DuplicateShard;
-    assert_rejected(&mut core, with_parts(&[(1, 0.5), (1, 0.5)]), twice, "a shard is named twice");
+    let duplicate = ValidationError::DuplicateShard;
+    assert_rejected(&mut core, with_parts(&[(1, 0.5), (1, 0.5)]), duplicate, "a shard is named twice");
     for weights in [(0.5, 0.4), (0.6, 0.5), (1.0, 0.0), (1.5, -0.5), (f64::NAN, 0.5), (f64::INFINITY, 0.5)] {
         let parts = with_parts(&[(0, weights.0), (1, weights.1)]);
         let text = "the shares of the parts do not add up to 1";
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn plans_are_checked_where_two_phase_queries_are_enabled() {
+fn plans_are_validated_if_two_phase_queries_are_enabled() {
     let mut core = core(Idempotency::Idempotent);
     let disabled = "queries in two phases are not taken here";
     assert_rejected(&mut core, with_plan(SPEC), ValidationError::TwoPhaseDisabled, disabled);
@@ -95,24 +95,29 @@
     let in_use = "a query of this id is open";
     assert_rejected(&mut idempotent, request("a"), ValidationError::IdInUse, in_use);
 
-    let mut guarded = core(Idempotency::NonIdempotent);
-    guarded.require_permits();
-    assert_eq!(guarded.submit(0, ResponseHandle::Http(1), request("a")), Ok(()));
+    let mut non_idempotent = core(Idempotency::NonIdempotent);
+    non_idempotent.require_permits();
+    assert_eq!(non_idempotent.submit(0, ResponseHandle::Http(1), request("a")), Ok(()));
     let other_body = QueryRequest { body: b"other".as_slice().into(), ..request("a") };
     let different = ValidationError::IdInUseWithDifferentBody;
-    assert_rejected(&mut guarded, other_body, different, "a query of this id with another body is open");
-    // Sixteen more may wait for the same outcome.
+    assert_rejected(
+        &mut non_idempotent,
+        other_body,
+        different,
+        "a query of this id with another body is open",
+    );
+    // Up to 16 more clients may wait for the same outcome.
     for waiter in 2..18 {
-        assert_eq!(guarded.submit(0, ResponseHandle::Http(waiter), request("a")), Ok(()));
+        assert_eq!(non_idempotent.submit(0, ResponseHandle::Http(waiter), request("a")), Ok(()));
     }
-    let full = guarded.submit(0, ResponseHandle::Http(18), request("a"));
+    let full = non_idempotent.submit(0, ResponseHandle::Http(18), request("a"));
     assert!(matches!(full, Err(QueryResponse::Rejected { not_executed: false, .. })), "{full:?}");
-    assert_eq!(guarded.release_query("a").len(), 17);
+    assert_eq!(non_idempotent.release_query("a").len(), 17);
 }
 
-// Guards the texts that only other crates send.
+// Guards the error texts that only other crates send.
 #[test]
-fn the_texts_about_replicated_records_stay() {
+fn error_texts_about_replicated_records_are_unchanged() {
     let different = ValidationError::IdReplicatedWithDifferentBody;
     assert_eq!(different.message(), "this id was asked with another body");
     let too_large = ValidationError::TooLargeToReplicate;
--- a/crates/edge/src/front/flight/methods/sessions.rs
+++ b/crates/edge/src/front/flight/methods/sessions.rs
@@ -25,7 +25,7 @@
         None => Setting::Unset,
         Some(OptionValue::Text(text)) => Setting::Text(text),
         Some(OptionValue::Flag(flag)) => Setting::Flag(flag),
-        Some(OptionValue::Whole(number)) => Setting::Whole(number),
+        Some(OptionValue::Whole(number)) => Setting::Integer(number),
         Some(OptionValue::Number(_) | OptionValue::Texts(_)) => return None,
     })
 }
@@ -36,7 +36,7 @@
         Setting::Unset => None,
         Setting::Text(text) => Some(OptionValue::Text(text)),
         Setting::Flag(flag) => Some(OptionValue::Flag(flag)),
-        Setting::Whole(number) => Some(OptionValue::Whole(number)),
+        Setting::Integer(number) => Some(OptionValue::Whole(number)),
     };
     SessionOptionValue { option_value }
 }
--- a/crates/edge/src/front/flight/response.rs
+++ b/crates/edge/src/front/flight/response.rs
@@ -36,7 +36,7 @@
             QueryResponse::Ranked(ranked) => !ranked.exact,
             _ => false,
         };
-        if self.head.options.whole_only && partial {
+        if self.head.options.complete_only && partial {
             return Err(Status::new(Code::Aborted, "only a part of it is in").because("PARTIAL"));
         }
         Ok(Rc::clone(response))
--- a/crates/edge/src/upstream/pool.rs
+++ b/crates/edge/src/upstream/pool.rs
@@ -13,8 +13,8 @@
 use std::net::SocketAddr;
 
 use mallowgauge_core::connection_limits::{
-    choose, connection_to_evict, largest_connection, ConnectionCapacity, ConnectionChoice, ConnectionLimits,
-    ConnectionView,
+    choose_connection, connection_to_evict, largest_connection, ConnectionCapacity, ConnectionChoice,
+    ConnectionLimits, ConnectionView,
 };
 use mallowgauge_core::{AttemptId, AttemptRequest};
 use mallowgauge_net::{Handle, Stream};
@@ -364,7 +364,7 @@
         } else {
             ConnectionCapacity::Exhausted
         };
-        let fallback = match choose(&views, limit, self.backends.len(), capacity) {
+        let fallback = match choose_connection(&views, limit, self.backends.len(), capacity) {
             ConnectionChoice::Use(id) => return Some(Selection::Existing(id)),
             ConnectionChoice::Unavailable => return None,
             ConnectionChoice::Open(fallback) => fallback,
