--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -1,7 +1,7 @@
-//! Attempts that are in flight, and when each of them times out.
+//! Attempts in flight and their timeouts.
 //!
 //! An attempt is in flight from the moment the router decides to send it until its outcome is known; it may
-//! still wait for a permit, a connection or a place on one.
+//! still wait for a permit, a connection or capacity on one.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,7 +25,7 @@
     attempt: AttemptId,
 }
 
-/// The attempts in flight by id and by time-out, and the next attempt number of each open part.
+/// The attempts in flight by id and by timeout, and the next attempt number of each open part.
 #[derive(Debug, Default)]
 pub(crate) struct InFlightAttempts {
     attempts: BTreeMap<AttemptId, InFlightAttempt>,
@@ -33,7 +33,7 @@
     timeouts: BTreeSet<AttemptTimeout>,
 }
 
-/// How many entries [`InFlightAttempts`] holds of each kind.
+/// Number of entries of each kind in [`InFlightAttempts`].
 pub(crate) struct AttemptCounts {
     pub(crate) attempts: usize,
     pub(crate) attempt_numbers: usize,
@@ -41,7 +41,7 @@
 }
 
 impl InFlightAttempts {
-    /// The id of the part's next attempt.
+    /// Returns the id of the part's next attempt.
     pub(crate) fn next_id(&mut self, part: PartId) -> AttemptId {
         let next = self.next_numbers.entry(part).or_insert(0);
         let number = *next;
@@ -49,53 +49,53 @@
         AttemptId { part, number }
     }
 
-    /// Whether an attempt of the part was ever sent.
+    /// Returns whether any attempt of the open part was made.
     pub(crate) fn was_attempted(&self, part: PartId) -> bool {
         self.next_numbers.contains_key(&part)
     }
 
-    /// The part is closed: no attempt of it will be sent any more.
+    /// Closes a part: no further attempt of it will be made.
     pub(crate) fn close_part(&mut self, part: PartId) {
         self.next_numbers.remove(&part);
     }
 
-    /// An attempt was sent.
+    /// Adds an attempt that was sent.
     pub(crate) fn insert(&mut self, id: AttemptId, attempt: InFlightAttempt) {
         self.timeouts.insert(AttemptTimeout { at: attempt.deadline, attempt: id });
         self.attempts.insert(id, attempt);
     }
 
-    /// The attempt with this id, if it is in flight.
+    /// Returns the attempt with this id, if it is in flight.
     pub(crate) fn get(&self, id: AttemptId) -> Option<&InFlightAttempt> {
         self.attempts.get(&id)
     }
 
-    /// Whether the attempt is in flight.
+    /// Returns whether the attempt is in flight.
     pub(crate) fn contains(&self, id: AttemptId) -> bool {
         self.attempts.contains_key(&id)
     }
 
-    /// The attempt's outcome is known.
+    /// Removes an attempt whose outcome is known.
     pub(crate) fn remove(&mut self, id: AttemptId) -> Option<InFlightAttempt> {
         let attempt = self.attempts.remove(&id)?;
         self.timeouts.remove(&AttemptTimeout { at: attempt.deadline, attempt: id });
         Some(attempt)
     }
 
-    /// The attempts of a part that are in flight, by number.
+    /// Returns the attempts of a part that are in flight, by number.
     pub(crate) fn of_part(&self, part: PartId) -> impl Iterator<Item = (AttemptId, &InFlightAttempt)> {
         let first = AttemptId { part, number: 0 };
         let last = AttemptId { part, number: u32::MAX };
         self.attempts.range(first..=last).map(|(id, attempt)| (*id, attempt))
     }
 
-    /// When the first attempt times out.
+    /// Returns when the first attempt times out.
     pub(crate) fn poll_timeout(&self) -> Option<Micros> {
         self.timeouts.first().map(|timeout| timeout.at)
     }
 
-    /// The next attempt that has timed out by `now`. It is still in flight until it is removed, and is not
-    /// returned again.
+    /// Returns the next attempt that has timed out by `now`. It stays in flight until it is removed, but is
+    /// not returned again.
     pub(crate) fn pop_timed_out(&mut self, now: Micros) -> Option<AttemptId> {
         if self.poll_timeout()? > now {
             return None;
@@ -103,7 +103,7 @@
         self.timeouts.pop_first().map(|timeout| timeout.attempt)
     }
 
-    /// How many entries are kept.
+    /// Returns the number of entries of each kind.
     pub(crate) fn counts(&self) -> AttemptCounts {
         AttemptCounts {
             attempts: self.attempts.len(),
--- a/crates/core/src/connection_limits.rs
+++ b/crates/core/src/connection_limits.rs
@@ -1,9 +1,9 @@
 //! Limits on the connections of each kind, the choice of a backend connection for a call, and the eviction of
 //! idle connections.
 //!
-//! If the endpoint list known at startup has more backends than the usual share of descriptors covers, backends
-//! get more of the descriptors; beyond that, the connection that was idle longest is evicted. A call that gets no
-//! connection failed for lack of local capacity, which is not a failure of the backend.
+//! If the endpoint list known at startup has more backends than the usual share of descriptors covers,
+//! backends get more of the descriptors; beyond that, the connection that was idle longest is evicted. A call
+//! that gets no connection failed for lack of local capacity, which is not a failure of the backend.
 
 use std::cmp::Reverse;
 
@@ -44,9 +44,9 @@
 impl ConnectionLimits {
     /// Derives the limits from the available resources.
     ///
-    /// Backends get a quarter of the descriptors, or, if there are more backends than that, one descriptor each
-    /// plus a quarter, up to five eighths of all; clients get the rest. Clients may fill half of the memory,
-    /// backends a quarter.
+    /// Backends get a quarter of the descriptors, or, if there are more backends than that, one descriptor
+    /// each plus a quarter, up to five eighths of all; clients get the rest. Clients may fill half of the
+    /// memory, backends a quarter.
     #[must_use]
     pub fn of(resources: ConnectionResources) -> Self {
         let descriptors = resources.descriptors.saturating_sub(RESERVED_DESCRIPTORS);
@@ -93,14 +93,14 @@
     Unavailable,
 }
 
-/// Chooses the connection for a call from `connections`, those to its backend. `limit` applies to the connections
-/// to all `backends` together.
+/// Chooses the connection for a call from `connections`, those to its backend. `limit` applies to the
+/// connections to all `backends` together.
 ///
-/// The connection with the fewest parts in flight is used; among equals the one used last, because the longer a
-/// connection was idle, the likelier the other side has closed it without notice. Silent connections are used only
-/// if no more can be opened. While all are busy another one is opened, but no connection to another backend is
-/// evicted for it: with hundreds of backends each instance would constantly close and open connections, and all
-/// instances together would fill the backends' connection tables.
+/// The connection with the fewest parts in flight is used; among equals the one used last, because the longer
+/// a connection was idle, the likelier the other side has closed it without notice. Silent connections are
+/// used only if no more can be opened. While all are busy another one is opened, but no connection to another
+/// backend is evicted for it: with hundreds of backends each instance would constantly close and open
+/// connections, and all instances together would fill the backends' connection tables.
 #[must_use]
 pub fn choose_connection(
     connections: &[ConnectionView],
@@ -131,8 +131,8 @@
     idle.min_by_key(|&(id, used)| (used, id)).map(|(id, _)| id)
 }
 
-/// Returns the connection to close when the buffers of all connections, each given with its bytes, exceed their
-/// limit: the one that buffers most, so that as few connections as possible lose their parts in flight.
+/// Returns the connection to close when the buffers of all connections, each given with its bytes, exceed
+/// their limit: the one that buffers most, so that as few connections as possible lose their parts in flight.
 #[must_use]
 pub fn largest_connection(buffered: impl Iterator<Item = (u64, usize)>) -> Option<u64> {
     buffered.max_by_key(|&(id, bytes)| (bytes, id)).map(|(id, _)| id)
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -1,5 +1,5 @@
-//! Dispatch: requests, outcomes and endpoint updates in, one batch of them a batch interval to the router,
-//! the router's actions out.
+//! The core's event dispatch: requests, outcomes and endpoint updates are collected and passed to the router
+//! in one batch per batch interval; the router's actions become the core's.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -18,35 +18,35 @@
 use crate::table_memory::TableQueryId;
 use crate::value::Value;
 
-/// What the router counts of what it keeps, in its order.
+/// Labels of the router's resource counts, in the router's order.
 const ROUTER_RESOURCES: [&str; 8] = [
     "router queries",
     "router parts",
     "router backends",
-    "router calls",
-    "router attempts",
+    "router calls in flight",
+    "router recent sends",
     "router latency samples",
     "router timers",
-    "router windows",
+    "router window samples",
 ];
-/// A query that fails this close to its deadline failed for want of time.
+/// A query that fails within this time before its deadline is reported as past its deadline.
 pub(crate) const DEADLINE_MARGIN_US: Micros = 20_000;
 
-/// Limits on what is open at a time.
+/// Limits on open queries and parts.
 #[derive(Clone, Copy, Debug)]
 pub struct CoreLimits {
-    /// Most queries and parts together.
+    /// Maximum number of queries and parts together.
     pub max_open: usize,
     /// Number of shards.
     pub shards: u32,
 }
 
-/// What the core knows of a class.
+/// The settings of a class that the core uses.
 #[derive(Debug)]
 pub(crate) struct ClassRules {
-    /// The longest that a client waits, in microseconds.
+    /// Maximum time that a client waits, in microseconds.
     deadline: Micros,
-    /// Whether its parts may be repeated freely.
+    /// Whether its parts may be executed repeatedly.
     pub(crate) idempotent: bool,
     /// In microseconds.
     latency_objective: Micros,
@@ -77,30 +77,31 @@
     router: Router,
     class_names: Vec<String>,
     pub(crate) classes: Vec<ClassRules>,
-    /// Whether backends may be told that an attempt is cancelled.
+    /// Whether cancellations are sent to backends.
     pub(crate) cancellation: bool,
-    /// Whether non-idempotent attempts wait for a permit, and their queries' responses for a record.
+    /// Whether non-idempotent attempts wait for a permit, and the responses to their queries for a replicated
+    /// outcome.
     pub(crate) permits_required: bool,
     pub(crate) limits: CoreLimits,
     layout: ShardLayout,
     batch_interval: Micros,
-    /// Queries are answered by then at the latest.
+    /// The latest time at which new queries are answered.
     pub(crate) answer_deadline: Option<Micros>,
     pub(crate) two_phase: Option<TwoPhase>,
     pub(crate) open: OpenQueries,
     pub(crate) attempts: InFlightAttempts,
-    /// What the router is given with the next batch.
+    /// Events for the router's next batch.
     pub(crate) events: Vec<Event>,
-    /// Actions that came about between batches.
-    pub(crate) ready: Vec<Action>,
+    /// Actions that were added between batches.
+    pub(crate) ready_actions: Vec<Action>,
     pub(crate) router_timer: Option<Micros>,
     last_batch: Option<Micros>,
-    /// The next number of a query or part.
+    /// The next id of a query or part.
     pub(crate) next_id: u128,
 }
 
 impl Core {
-    /// A core with nothing open, for classes with these names.
+    /// Creates a core without open queries, for classes with these names.
     ///
     /// # Errors
     /// The router rejects the settings.
@@ -123,11 +124,11 @@
             open: OpenQueries::default(),
             attempts: InFlightAttempts::default(),
             events: Vec::new(),
-            ready: Vec::new(),
+            ready_actions: Vec::new(),
             router_timer: None,
             last_batch: None,
-            // Random draws and ties go by a hash of the query's number: instances that started together must
-            // not draw alike.
+            // Random draws and tie-breaks use a hash of the query's id: instances that started together must
+            // not draw the same values.
             next_id: (u128::from(seed) << 64) + 1,
             router: Router::new(seed, settings)?,
         })
@@ -138,43 +139,44 @@
         self.two_phase = Some(TwoPhase::new(setup, self.classes.len()));
     }
 
-    /// From now on non-idempotent attempts wait for permits, and the responses to their queries for a record.
+    /// Makes non-idempotent attempts wait for permits, and the responses to their queries for a replicated
+    /// outcome.
     pub fn require_permits(&mut self) {
         self.permits_required = true;
     }
 
-    /// Queries that are submitted from now on are answered by then, because the process may be killed soon
-    /// after.
+    /// Sets the latest time at which queries submitted from now on are answered, because the process may be
+    /// killed soon after.
     pub fn set_answer_deadline(&mut self, by: Option<Micros>) {
         self.answer_deadline = by;
     }
 
-    /// The class with this name.
+    /// Returns the class with this name.
     pub fn class_id(&self, name: &str) -> Option<ClassId> {
         self.class_names.iter().position(|known| known == name).map(ClassId)
     }
 
-    /// The names of the classes.
+    /// Returns the names of the classes.
     pub fn classes(&self) -> impl Iterator<Item = &str> {
         self.class_names.iter().map(String::as_str)
     }
 
-    /// The longest that a client of a class waits, in microseconds.
+    /// Returns the maximum time that a client of a class waits, in microseconds.
     pub fn deadline(&self, class: ClassId) -> Micros {
         self.classes[class.0].deadline
     }
 
-    /// Whether a class's queries may be repeated freely.
+    /// Returns whether a class's queries may be executed repeatedly.
     pub fn is_idempotent(&self, class: ClassId) -> bool {
         self.classes[class.0].idempotent
     }
 
-    /// Whether attempts of a class wait for permits.
+    /// Returns whether attempts of a class wait for permits.
     pub(crate) fn requires_permits(&self, class: ClassId) -> bool {
         self.permits_required && !self.is_idempotent(class)
     }
 
-    /// When a client that is rejected now may retry, in microseconds.
+    /// Returns when a client that is rejected now may retry, in microseconds.
     pub fn retry_after(&mut self) -> Micros {
         self.router.retry_after()
     }
@@ -183,52 +185,53 @@
         QueryResponse::Rejected { retry_after: self.router.retry_after(), not_executed }
     }
 
-    /// How many queries are open.
+    /// Returns the number of open queries.
     pub fn open_queries(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether a query with this id is open.
+    /// Returns whether a query with this id is open.
     pub fn is_open(&self, id: &str) -> bool {
         self.open.find(id).is_some()
     }
 
-    /// The request that is open under an id, and how long its client still waits, in microseconds.
+    /// Returns the open request with this id and its client's remaining time, in microseconds.
     pub fn open_request(&self, now: Micros, id: &str) -> Option<(&QueryRequest, Micros)> {
         let open = self.open.get(self.open.find(id)?)?;
         Some((&open.request, open.deadline.saturating_sub(now)))
     }
 
-    /// Whether a part of a client's query may have been executed; `false` if it is not open.
+    /// Returns whether a part of a client's query may have been executed; `false` if it is not open.
     pub fn possibly_executed(&self, handle: ResponseHandle) -> bool {
         self.open.waited_for_by(handle).is_some_and(|open| !open.not_executed())
     }
 
-    /// How many parts of a client's query have a value, and how many it has.
+    /// Returns how many parts of a client's query have a value, and how many parts there are.
     pub fn progress(&self, handle: ResponseHandle) -> Option<(usize, usize)> {
         let open = self.open.waited_for_by(handle)?;
         let parts = if open.plan.is_some() { open.parts.len().max(1) } else { open.request.parts.len() };
         Some((open.values().count(), parts))
     }
 
-    /// Whether an attempt is still waited for.
+    /// Returns whether an attempt is in flight.
     pub fn is_in_flight(&self, id: AttemptId) -> bool {
         self.attempts.contains(id)
     }
 
-    /// Whether another attempt of the same part is in flight.
+    /// Returns whether another attempt of the same part is in flight.
     pub fn has_other_attempt(&self, id: AttemptId) -> bool {
         self.attempts.of_part(id.part).any(|(other, _)| other != id)
     }
 
-    /// The client's id of the query and the shard of an attempt in flight.
+    /// Returns the client's id of the query and the shard of an attempt in flight.
     pub fn attempt_target(&self, id: AttemptId) -> Option<(Rc<str>, ShardId)> {
         let open = self.open.get(self.attempts.get(id)?.query)?;
         let part = open.parts.get(self.open.locate(id.part)?.index)?;
         Some((Rc::clone(&open.request.id), open.request.parts[part.request_index].shard))
     }
 
-    /// A value that was received for the query of an attempt; the schema of another one has to agree with it.
+    /// Returns a value already received for the query of an attempt. The schemas of further values have to
+    /// match it.
     pub fn received_value(&self, id: AttemptId) -> Option<&Value> {
         let open = self.open.get(self.attempts.get(id)?.query)?;
         if open.plan.is_some() {
@@ -237,13 +240,13 @@
         open.values().next()
     }
 
-    /// Whether an attempt belongs to a two-phase query, whose values are texts.
+    /// Returns whether an attempt belongs to a two-phase query, whose values are strings.
     pub fn is_planned(&self, id: AttemptId) -> bool {
         self.attempts.get(id).is_some_and(|attempt| self.open.is_planned(attempt.query))
     }
 
-    /// How many entries are kept here and in the router, by name: tests check that all of them come back to
-    /// their base.
+    /// Returns the number of entries in each table of the core and the router, by label. Tests check that all
+    /// counts return to their baseline.
     pub fn resource_counts(&self) -> BTreeMap<&'static str, usize> {
         let (open, attempts) = (self.open.counts(), self.attempts.counts());
         let own = [
@@ -258,13 +261,13 @@
             ("attempt numbers", attempts.attempt_numbers),
             ("attempt timeouts", attempts.timeouts),
             ("two-phase backends", self.two_phase.as_ref().map_or(0, TwoPhase::known_backends)),
-            ("events", self.events.len()),
-            ("ready", self.ready.len()),
+            ("pending events", self.events.len()),
+            ("pending actions", self.ready_actions.len()),
         ];
         own.into_iter().chain(ROUTER_RESOURCES.into_iter().zip(self.router.resource_counts())).collect()
     }
 
-    /// The client of a query has disconnected; it is not answered.
+    /// Handles the disconnect of a client. It is not answered.
     pub fn client_disconnected(&mut self, handle: ResponseHandle) {
         let Some(query) = self.open.remove_waiter(handle) else { return };
         if self.open.get(query).is_some_and(|open| self.outlives_client(open)) {
@@ -274,18 +277,20 @@
         self.events.push(Event::ClientDisconnected(query));
     }
 
-    /// Whether a query goes on although a client has disconnected. One that requires permits does once it was
-    /// attempted, since its client may send it again and has to find how it ended, and while others wait.
+    /// Returns whether a query continues although a client has disconnected. One that requires permits does
+    /// after its first attempt, since its client may send it again and has to get its outcome, and while
+    /// other clients wait.
     fn outlives_client(&self, open: &OpenQuery) -> bool {
         if !self.requires_permits(open.request.class) {
             return false;
         }
         let attempted = open.parts.iter().any(|part| self.attempts.was_attempted(part.part));
         let mut handles = open.coalesced_waiters.iter().chain([&open.response_handle]);
-        attempted || handles.any(|waiting| self.open.is_waiting(*waiting))
+        attempted || handles.any(|handle| self.open.is_waiting(*handle))
     }
 
-    /// Closes a query without a response, because another instance acts for it: who waited for it.
+    /// Closes a query without a response because another instance has taken it over. Returns its waiting
+    /// clients.
     pub fn release_query(&mut self, id: &str) -> Vec<ResponseHandle> {
         let Some(query) = self.open.find(id) else { return Vec::new() };
         let open = self.close(query);
@@ -293,10 +298,10 @@
         open.map(OpenQuery::into_response_handles).unwrap_or_default()
     }
 
-    /// The memory for tables is exhausted, and this query has to release its share: it is rejected where a
-    /// retry is safe, and fails otherwise.
-    pub fn memory_limit_exceeded(&mut self, call: TableQueryId) {
-        let query = QueryId(call.0);
+    /// Evicts a query from the exhausted table memory: it is rejected if a retry is safe, and fails
+    /// otherwise.
+    pub fn memory_limit_exceeded(&mut self, query: TableQueryId) {
+        let query = QueryId(query.0);
         let Some(open) = self.open.get(query) else { return };
         let not_executed = open.not_executed();
         let response = if not_executed || self.is_idempotent(open.request.class) {
@@ -305,11 +310,11 @@
             Failure::MemoryExhausted.into()
         };
         let action = self.finish(query, response);
-        self.ready.extend(action);
+        self.ready_actions.extend(action);
         self.events.push(Event::ClientDisconnected(query));
     }
 
-    /// An attempt has ended. One that is not in flight any more is ignored.
+    /// Handles the end of an attempt. One that is no longer in flight is ignored.
     pub fn attempt_completed(&mut self, now: Micros, id: AttemptId, outcome: Outcome, value: Option<Value>) {
         let Some(attempt) = self.attempts.remove(id) else { return };
         let outcome = self.record_outcome(now, attempt.query, id.part, outcome, value);
@@ -325,7 +330,8 @@
         });
     }
 
-    /// Records what an attempt brought: its outcome, or a backend's error where its value is malformed.
+    /// Records an attempt's outcome and value. Returns the outcome, or a backend error if the value is
+    /// malformed.
     fn record_outcome(
         &mut self,
         now: Micros,
@@ -356,12 +362,12 @@
         }
     }
 
-    /// A health check has ended.
+    /// Handles the result of a health check.
     pub fn health_check_completed(&mut self, backend: BackendId, passed: bool) {
         self.events.push(Event::HealthCheckCompleted { backend, passed });
     }
 
-    /// The endpoint list has changed, or could not be had.
+    /// Handles a change of the endpoint list, or a failure to get it.
     pub fn endpoint_update(&mut self, update: EndpointUpdate) {
         if let Some(two_phase) = &mut self.two_phase {
             two_phase.endpoint_update(&update, &self.layout);
@@ -369,9 +375,9 @@
         self.events.push(Event::EndpointUpdate(update));
     }
 
-    /// When [`Core::run_batch`] is to be called next; `None` while nothing is pending.
+    /// Returns when [`Core::run_batch`] has to be called next; `None` if nothing is pending.
     pub fn poll_timeout(&self) -> Option<Micros> {
-        if !self.ready.is_empty() {
+        if !self.ready_actions.is_empty() {
             return Some(0);
         }
         let timers = [
@@ -386,10 +392,10 @@
         Some(first.max(next_batch))
     }
 
-    /// Handles the time-outs that are due and gives the router what came since the last batch. Without a batch
-    /// that is due, only the actions that came about in between are returned.
+    /// Handles due timeouts and passes the events since the last batch to the router. If no batch is due,
+    /// returns only the actions that were added since the last call.
     pub fn run_batch(&mut self, now: Micros) -> Vec<Action> {
-        let mut actions = std::mem::take(&mut self.ready);
+        let mut actions = std::mem::take(&mut self.ready_actions);
         if self.poll_timeout().is_none_or(|due| due > now) {
             return actions;
         }
@@ -404,8 +410,8 @@
             self.apply(now, action, &mut batch);
         }
         self.fail_expired(now, &mut batch.others);
-        // What plans have decided in this batch goes out with it.
-        actions.append(&mut self.ready);
+        // Actions that plans added in this batch are part of it.
+        actions.append(&mut self.ready_actions);
         batch.append_to(&mut actions);
         actions
     }
@@ -426,20 +432,20 @@
         }
     }
 
-    /// The router ends a query ahead of its deadline; this answers it in time should the router ever not.
+    /// Answers queries at their deadline, as a safeguard: the router normally ends each query before that.
     fn fail_expired(&mut self, now: Micros, actions: &mut Vec<Action>) {
         while let Some(query) = self.open.pop_expired(now) {
             let id = self.open.get(query).map(|open| &*open.request.id);
-            tracing::error!(query = id, "query ran out of time undecided");
+            tracing::error!(query = id, "query reached its deadline without a decision of the router");
             actions.extend(self.finish(query, Failure::DeadlineExceeded.into()));
             self.events.push(Event::ClientDisconnected(query));
         }
     }
 
-    /// Attempts of a part that still wait for a permit, a connection or a place on one must not start.
+    /// Revokes the attempts of a part that still wait for a permit, a connection or capacity on one.
     pub(crate) fn revoke_unsent(&mut self, part: PartId) {
         let attempts = self.attempts.of_part(part);
-        self.ready.extend(attempts.map(|(id, attempt)| Action::RevokeUnsent(attempt.backend, id)));
+        self.ready_actions.extend(attempts.map(|(id, attempt)| Action::RevokeUnsent(attempt.backend, id)));
     }
 
     /// Closes a query with its final response.
@@ -464,7 +470,8 @@
             self.attempts.close_part(part.part);
         }
         if !self.cancellation {
-            // The router cancels nothing then, but attempts that have not started can still be held back.
+            // Without cancellation the router cancels nothing, but attempts that were not sent can still be
+            // revoked.
             open.parts.iter().for_each(|part| self.revoke_unsent(part.part));
         }
         Some(open)
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,17 +1,17 @@
-//! The core: open queries, their parts and attempts, deadlines, and what limits them. It knows no wire and
-//! does no I/O; every time is an argument.
+//! The core: open queries with their parts, attempts, deadlines and limits. It does no I/O and depends on no
+//! wire format; the time is always an argument.
 //!
-//! Frontends hand it typed requests, backend connections hand it typed outcomes, discovery hands it endpoint
-//! updates. [`Core`] collects these, gives them to the [`Router`](mallowgauge_router::Router) in one batch
-//! and turns the router's actions into [`Action`]s:
+//! Frontends pass it typed requests, backend connections typed outcomes, and discovery endpoint updates.
+//! [`Core`] collects these, passes them to the [`Router`](mallowgauge_router::Router) in one batch and turns
+//! the router's actions into [`Action`]s:
 //!
-//! 1. [`Core::submit`] checks a request ([`ValidationError`]) and opens its query.
-//! 2. [`Core::poll_timeout`] says when the next batch is due, and [`Core::run_batch`] runs it.
-//! 3. [`Core::attempt_completed`] takes the outcome of each attempt that a batch sent.
-//! 4. A later batch ends the query with [`Action::Respond`], or with [`Action::ReplicateOutcome`] if its class
-//!    is non-idempotent and permits are required ([`Core::require_permits`]).
+//! 1. [`Core::submit`] validates a request ([`ValidationError`]) and opens its query.
+//! 2. [`Core::poll_timeout`] returns when the next batch is due, and [`Core::run_batch`] runs it.
+//! 3. [`Core::attempt_completed`] handles the outcome of each attempt that a batch sent.
+//! 4. A later batch ends the query with [`Action::Respond`], or with [`Action::ReplicateOutcome`] if its
+//!    class is non-idempotent and permits are required ([`Core::require_permits`]).
 //!
-//! The other modules are decisions of their own, which the frontends and backend connections use.
+//! The other modules make separate decisions for the frontends and backend connections.
 
 pub mod connection_limits;
 pub mod polled_queries;
--- a/crates/core/src/open_queries.rs
+++ b/crates/core/src/open_queries.rs
@@ -1,8 +1,8 @@
 //! The table of open queries and their parts.
 //!
-//! A query is found by its number, by its client's id, by whoever waits for its response and by its parts.
-//! Several clients may wait for one query that requires permits, because it must not be executed again: they
-//! are the query's coalesced waiters.
+//! A query is found by its id, by its client's id, by the clients that wait for its response and by its
+//! parts. Several clients may wait for one query that requires permits, because it must not be executed
+//! again. The clients after the first are the query's coalesced waiters.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -13,26 +13,26 @@
 use crate::two_phase::Plan;
 use crate::value::Value;
 
-/// What a part is sent for.
+/// The purpose of a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PartKind {
-    /// The query's own body.
+    /// Executes the query's body.
     Query,
-    /// The scout of a two-phase query, which has no effect.
+    /// Scouts a block of a two-phase query, without an effect.
     Scout,
 }
 
-/// A part that the router was given.
+/// A part that was passed to the router.
 #[derive(Debug)]
 pub(crate) struct PartState {
     pub(crate) part: PartId,
-    /// Which of the request's parts it is for.
+    /// Position of its part in the request.
     pub(crate) request_index: usize,
     pub(crate) kind: PartKind,
     pub(crate) value: Option<Value>,
-    /// It is no longer waited for; only two-phase queries close parts before they end.
+    /// Whether its value is no longer needed. Only two-phase queries close parts before they end.
     pub(crate) closed: bool,
-    /// Attempts that may have been executed.
+    /// Number of attempts that may have been executed.
     pub(crate) possibly_executed_attempts: u32,
 }
 
@@ -46,19 +46,19 @@
 #[derive(Debug)]
 pub(crate) struct OpenQuery {
     pub(crate) response_handle: ResponseHandle,
-    /// Who sent the query again under the same id; only where the query requires permits.
+    /// Clients that sent the query again under the same id; only if the query requires permits.
     pub(crate) coalesced_waiters: Vec<ResponseHandle>,
     pub(crate) request: QueryRequest,
-    /// When its time is up.
+    /// When the client's time is up.
     pub(crate) deadline: Micros,
     pub(crate) parts: Vec<PartState>,
-    /// Attempts that may have been executed, of all parts.
+    /// Number of attempts of all parts that may have been executed.
     pub(crate) possibly_executed_attempts: u32,
     pub(crate) plan: Option<Box<Plan>>,
 }
 
 impl OpenQuery {
-    /// A query of which nothing was sent.
+    /// Creates a query of which nothing was sent.
     pub(crate) fn new(response_handle: ResponseHandle, request: QueryRequest, deadline: Micros) -> Self {
         Self {
             response_handle,
@@ -71,35 +71,35 @@
         }
     }
 
-    /// The values that were received.
+    /// Returns the received values.
     pub(crate) fn values(&self) -> impl Iterator<Item = &Value> {
         self.parts.iter().filter_map(|part| part.value.as_ref())
     }
 
-    /// Takes the values that were received, each with its shard.
+    /// Takes the received values, each with its shard.
     pub(crate) fn take_values(&mut self) -> Vec<(ShardId, Value)> {
         let requested = &self.request.parts;
         let received = |part: &mut PartState| Some((requested[part.request_index].shard, part.value.take()?));
         self.parts.iter_mut().filter_map(received).collect()
     }
 
-    /// Whether no part can have been executed.
+    /// Returns whether it is proved that no part was executed.
     pub(crate) fn not_executed(&self) -> bool {
         self.possibly_executed_attempts == 0
     }
 
-    /// Everyone who waits for the response.
+    /// Returns all clients that wait for the response.
     pub(crate) fn into_response_handles(self) -> Vec<ResponseHandle> {
         all_handles(self.response_handle, self.coalesced_waiters)
     }
 
-    /// An attempt was sent; `index` is its part's position in `parts`.
+    /// Counts an attempt that was sent; `index` is the position of its part in `parts`.
     pub(crate) fn attempt_sent(&mut self, index: usize) {
         self.possibly_executed_attempts += 1;
         self.parts[index].possibly_executed_attempts += 1;
     }
 
-    /// An attempt is proved not to have been executed; its part may have been closed meanwhile.
+    /// Discounts an attempt that is proved not executed. Its part may have been closed in the meantime.
     pub(crate) fn attempt_not_executed(&mut self, index: Option<usize>) {
         self.possibly_executed_attempts -= 1;
         if let Some(part) = index.and_then(|index| self.parts.get_mut(index)) {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// A value was received; the first one of a part counts.
+    /// Stores the value of a part unless it already has one.
     pub(crate) fn store_value(&mut self, index: Option<usize>, value: Option<Value>) {
         if let Some(part) = index.and_then(|index| self.parts.get_mut(index)) {
             if part.value.is_none() {
@@ -117,14 +117,14 @@
     }
 }
 
-/// The query's own client first, then the coalesced waiters in the order in which they came.
+/// Returns the query's first client, then the coalesced waiters in the order in which they joined.
 pub(crate) fn all_handles(first: ResponseHandle, others: Vec<ResponseHandle>) -> Vec<ResponseHandle> {
     let mut handles = others;
     handles.insert(0, first);
     handles
 }
 
-/// Where a part stands in the table.
+/// The location of a part in the table.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PartLocation {
     pub(crate) query: QueryId,
@@ -138,22 +138,22 @@
     query: QueryId,
 }
 
-/// The open queries and the ways to find them.
+/// The open queries and their indices.
 #[derive(Debug, Default)]
 pub(crate) struct OpenQueries {
     queries: BTreeMap<QueryId, OpenQuery>,
     by_request_id: BTreeMap<Rc<str>, QueryId>,
-    /// Without clients that have disconnected.
+    /// Excludes clients that have disconnected.
     by_response_handle: BTreeMap<ResponseHandle, QueryId>,
     by_part: BTreeMap<PartId, PartLocation>,
-    /// Parts that are not closed.
+    /// Number of parts that are not closed.
     open_parts: usize,
     /// The two-phase queries.
     planned: BTreeSet<QueryId>,
     deadlines: BTreeSet<QueryDeadline>,
 }
 
-/// How many entries [`OpenQueries`] holds of each kind.
+/// Number of entries of each kind in [`OpenQueries`].
 pub(crate) struct OpenQueryCounts {
     pub(crate) queries: usize,
     pub(crate) request_ids: usize,
@@ -165,52 +165,52 @@
 }
 
 impl OpenQueries {
-    /// How many queries are open.
+    /// Returns the number of open queries.
     pub(crate) fn len(&self) -> usize {
         self.queries.len()
     }
 
-    /// Queries and parts that are open, which the limit on open work counts.
+    /// Returns the number of open queries and parts, to which the limit on open work applies.
     pub(crate) fn open_work(&self) -> usize {
         self.queries.len() + self.open_parts
     }
 
-    /// The query with this number.
+    /// Returns the query with this id.
     pub(crate) fn get(&self, query: QueryId) -> Option<&OpenQuery> {
         self.queries.get(&query)
     }
 
-    /// The query with this number, to be changed.
+    /// Returns the query with this id, mutably.
     pub(crate) fn get_mut(&mut self, query: QueryId) -> Option<&mut OpenQuery> {
         self.queries.get_mut(&query)
     }
 
-    /// The number of the open query with this client's id.
+    /// Returns the id of the open query with this client's id.
     pub(crate) fn find(&self, request_id: &str) -> Option<QueryId> {
         self.by_request_id.get(request_id).copied()
     }
 
-    /// The query that a connected client waits for.
+    /// Returns the query that a connected client waits for.
     pub(crate) fn waited_for_by(&self, handle: ResponseHandle) -> Option<&OpenQuery> {
         self.queries.get(self.by_response_handle.get(&handle)?)
     }
 
-    /// Whether this client is connected and waits.
+    /// Returns whether this client is connected and waits.
     pub(crate) fn is_waiting(&self, handle: ResponseHandle) -> bool {
         self.by_response_handle.contains_key(&handle)
     }
 
-    /// A client has disconnected: the query that it waited for.
+    /// Removes a client that has disconnected. Returns the query that it waited for.
     pub(crate) fn remove_waiter(&mut self, handle: ResponseHandle) -> Option<QueryId> {
         self.by_response_handle.remove(&handle)
     }
 
-    /// Where an open part stands.
+    /// Returns the location of a part.
     pub(crate) fn locate(&self, part: PartId) -> Option<PartLocation> {
         self.by_part.get(&part).copied()
     }
 
-    /// Opens a query.
+    /// Adds a query.
     pub(crate) fn insert(&mut self, query: QueryId, open: OpenQuery) {
         self.deadlines.insert(QueryDeadline { at: open.deadline, query });
         self.by_request_id.insert(Rc::clone(&open.request.id), query);
@@ -218,7 +218,7 @@
         self.queries.insert(query, open);
     }
 
-    /// One more client waits for an open query.
+    /// Adds a coalesced waiter to an open query.
     pub(crate) fn add_waiter(&mut self, query: QueryId, handle: ResponseHandle) {
         if let Some(open) = self.queries.get_mut(&query) {
             open.coalesced_waiters.push(handle);
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Adds a part for each of these parts of the request; `part_id` gives each its number.
+    /// Adds a part for each of these parts of the request; `part_id` assigns their ids.
     pub(crate) fn insert_parts(
         &mut self,
         query: QueryId,
@@ -243,13 +243,13 @@
         }
     }
 
-    /// A part has its value or has failed for good: it counts against the limit on open work no longer, but
-    /// is found until its query ends.
+    /// Counts a part as closed because it has its value or has finally failed. It no longer counts against
+    /// the limit on open work, but can be located until its query ends.
     pub(crate) fn part_closed(&mut self) {
         self.open_parts -= 1;
     }
 
-    /// Closes the parts of these kinds for these blocks, and says which they were.
+    /// Closes the open parts of this kind for these blocks, and returns them.
     pub(crate) fn cancel_parts(&mut self, query: QueryId, blocks: &[usize], kind: PartKind) -> Vec<PartId> {
         let Some(open) = self.queries.get_mut(&query) else { return Vec::new() };
         let mut cancelled = Vec::new();
@@ -265,17 +265,17 @@
         cancelled
     }
 
-    /// Marks a query as one that has a plan.
+    /// Marks a query as having a plan.
     pub(crate) fn set_planned(&mut self, query: QueryId) {
         self.planned.insert(query);
     }
 
-    /// Whether a query has a plan.
+    /// Returns whether a query has a plan.
     pub(crate) fn is_planned(&self, query: QueryId) -> bool {
         self.planned.contains(&query)
     }
 
-    /// The open plans, each with its query.
+    /// Returns the open plans, each with its query.
     pub(crate) fn plans(&self) -> impl Iterator<Item = (QueryId, &Plan)> {
         self.planned.iter().filter_map(|&query| Some((query, self.queries.get(&query)?.plan.as_deref()?)))
     }
@@ -297,12 +297,12 @@
         Some(open)
     }
 
-    /// When the first query's time is up.
+    /// Returns the earliest deadline of a query.
     pub(crate) fn poll_timeout(&self) -> Option<Micros> {
         self.deadlines.first().map(|deadline| deadline.at)
     }
 
-    /// The next query whose time is up by `now`. It stays open, and is not returned again.
+    /// Returns the next query whose deadline has passed by `now`. It stays open, but is not returned again.
     pub(crate) fn pop_expired(&mut self, now: Micros) -> Option<QueryId> {
         if self.poll_timeout()? > now {
             return None;
@@ -310,7 +310,7 @@
         self.deadlines.pop_first().map(|deadline| deadline.query)
     }
 
-    /// How many entries are kept.
+    /// Returns the number of entries of each kind.
     pub(crate) fn counts(&self) -> OpenQueryCounts {
         OpenQueryCounts {
             queries: self.queries.len(),
--- a/crates/core/src/planned_queries.rs
+++ b/crates/core/src/planned_queries.rs
@@ -1,7 +1,7 @@
-//! Two-phase queries inside the core: turns what their plans want into parts for the router, and values and
-//! failures of these parts into events of the plans.
+//! Two-phase queries in the core: turns the actions of their plans into parts for the router, and the values
+//! and failures of these parts into events for the plans.
 //!
-//! What such queries share is kept here: how long their phases take, and what scouts reported of blocks.
+//! Also keeps the state that such queries share: how long their phases take, and the sketches of blocks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
@@ -20,16 +20,16 @@
 };
 use crate::value::Value;
 
-/// How two-phase queries are treated.
+/// Settings of two-phase queries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TwoPhaseSettings {
-    /// How the time is divided between the phases.
+    /// How time is divided between the phases.
     pub rule: ScoutBudgetRule,
-    /// Limits of what is kept of scouts' reports.
+    /// Limits of the sketch cache.
     pub sketches: SketchCacheLimits,
 }
 
-/// Where a backend stands in the endpoint list, as far as it matters to the sketches of its blocks.
+/// The attributes of a listed backend on which the validity of its blocks' sketches depends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Placement {
     ring_position: u32,
@@ -43,17 +43,17 @@
     }
 }
 
-/// What two-phase queries share.
+/// The state shared by two-phase queries.
 #[derive(Debug)]
 pub(crate) struct TwoPhase {
-    /// How long phases take, by class.
+    /// Estimated phase times, by class.
     phase_times: Vec<PhaseTimeEstimator>,
     sketches: SketchCache,
     placements: BTreeMap<BackendId, Placement>,
 }
 
 impl TwoPhase {
-    /// Nothing known yet, of this many classes.
+    /// Creates the initial state for this number of classes.
     pub(crate) fn new(settings: TwoPhaseSettings, classes: usize) -> Self {
         Self {
             phase_times: (0..classes).map(|_| PhaseTimeEstimator::new(settings.rule)).collect(),
@@ -62,13 +62,13 @@
         }
     }
 
-    /// How many backends are known.
+    /// Returns the number of known backends.
     pub(crate) fn known_backends(&self) -> usize {
         self.placements.len()
     }
 
-    /// Discards the sketches of each block of which a replica was added, removed or restarted, or changed its
-    /// state.
+    /// Discards the sketches of each block with a replica that was added, removed or restarted, or that
+    /// changed its state.
     pub(crate) fn endpoint_update(&mut self, update: &EndpointUpdate, layout: &ShardLayout) {
         let mut changed = BTreeSet::new();
         match update {
@@ -89,7 +89,7 @@
         self.sketches.invalidate(replica_changed);
     }
 
-    /// Of the backends that a snapshot does not list, one a ring position is removed; another one of the same
+    /// Removes backends that a snapshot does not list, at most one per ring position; another one of the same
     /// position is removed by the next snapshot.
     fn remove_unlisted(&mut self, endpoints: &[Endpoint], changed: &mut BTreeSet<u32>) {
         let listed: BTreeSet<BackendId> = endpoints.iter().map(|endpoint| endpoint.backend).collect();
@@ -112,7 +112,7 @@
         }
     }
 
-    /// A plan for an open query, and what it wants first.
+    /// Starts the plan of an open query. Returns the plan and its first actions.
     fn start_plan(
         &self,
         now: Micros,
@@ -128,7 +128,7 @@
         let block = |part: &PartRequest| BlockSetup {
             shard: part.shard,
             weight: part.weight,
-            known: self.sketches.get(now, predicate, part.shard),
+            cached_sketch: self.sketches.get(now, predicate, part.shard),
         };
         let setup = PlanSetup {
             blocks: query.parts.iter().map(block).collect(),
@@ -144,7 +144,7 @@
     }
 }
 
-/// What a plan has to know of its query's class.
+/// The settings of a query's class that its plan uses.
 pub(crate) struct PlanClass {
     /// In microseconds from the query's arrival.
     pub(crate) latency_objective: Micros,
@@ -152,9 +152,9 @@
     pub(crate) idempotent: bool,
 }
 
-/// How many waves the second phase is expected to take.
+/// Returns the expected number of waves of the second phase.
 fn expected_waves(request: &PlanRequest, blocks: usize) -> usize {
-    /// Where the bounds decide how many blocks are queried.
+    /// Assumed if the number of fetched blocks depends on their bounds.
     const UNKNOWN_BLOCKS_WAVES: usize = 2;
     match request.spec.selection {
         BlockSelection::Best(chosen) => chosen.div_ceil(request.spec.wave_size),
@@ -163,16 +163,16 @@
     }
 }
 
-/// A hash of what a query asks, under which sketches are kept.
+/// Returns the hash of a query's body that is the predicate key of its sketches.
 fn predicate_hash(body: &[u8]) -> u64 {
     BuildHasherDefault::<DefaultHasher>::default().hash_one(body)
 }
 
-/// What a part brought its plan.
+/// The result of a part, as an event for its plan.
 enum PlanEvent {
     Scout(Result<Sketch, PartLoss>),
     Rows(Result<Vec<Row>, PartLoss>),
-    /// The value of the part with which a non-idempotent query had its effect.
+    /// The value of the part that executed a non-idempotent query.
     Effect(Rc<str>),
 }
 
@@ -203,13 +203,13 @@
     }
 }
 
-/// The value of a planned query's part is neither a sketch nor a list of rows.
+/// The value of a two-phase query's part is not the expected sketch or list of rows.
 #[derive(Debug, thiserror::Error)]
 #[error("malformed value of a two-phase query's part")]
 pub(crate) struct MalformedValue;
 
 impl Core {
-    /// Starts the plan of a query that was opened.
+    /// Starts the plan of an open query.
     pub(crate) fn start_plan(&mut self, now: Micros, query: QueryId) {
         let Some(open) = self.open.get_mut(query) else { return };
         let (Some(request), Some(two_phase)) = (&open.request.plan, &self.two_phase) else { return };
@@ -220,7 +220,7 @@
         self.apply_plan(now, query, actions);
     }
 
-    /// Does what a plan wants.
+    /// Executes the actions of a plan.
     fn apply_plan(&mut self, now: Micros, query: QueryId, actions: Vec<PlanAction>) {
         self.record_phase_times(query);
         for action in actions {
@@ -249,7 +249,7 @@
         times.waves.into_iter().for_each(|took| estimator.record_wave(took));
     }
 
-    /// The response to a query whose plan found none.
+    /// Returns the response to a query whose plan gave up.
     fn plan_failure(&mut self, now: Micros, query: QueryId, effect_possible: bool) -> Option<QueryResponse> {
         let open = self.open.get(query)?;
         if !effect_possible {
@@ -264,11 +264,11 @@
 
     fn complete_planned(&mut self, query: QueryId, response: QueryResponse, answered: bool) {
         let action = self.finish(query, response);
-        self.ready.extend(action);
+        self.ready_actions.extend(action);
         self.events.push(Event::QueryCompleted { query, answered });
     }
 
-    /// Nobody waits for these parts of a plan any more.
+    /// Cancels parts of a plan.
     fn cancel_parts(&mut self, query: QueryId, blocks: &[usize], kind: PartKind) {
         let cancelled = self.open.cancel_parts(query, blocks, kind);
         for &part in &cancelled {
@@ -280,10 +280,11 @@
         }
     }
 
-    /// A part has its value, or `None` if it failed for good. Does nothing unless the query has a plan.
+    /// Passes the value of a part to its plan, or `None` if the part finally failed. Does nothing unless the
+    /// query has a plan.
     ///
     /// # Errors
-    /// The value makes no sense; the part is open as before.
+    /// The value is malformed; the part stays open.
     pub(crate) fn plan_part_completed(
         &mut self,
         now: Micros,
@@ -319,12 +320,12 @@
         Ok(())
     }
 
-    /// When the first plan's time-out is due.
+    /// Returns the earliest timeout of a plan.
     pub(crate) fn plan_timeout(&self) -> Option<Micros> {
         self.open.plans().filter_map(|(_, plan)| plan.poll_timeout()).min()
     }
 
-    /// Handles the time-outs of plans that are due.
+    /// Handles the due timeouts of plans.
     pub(crate) fn handle_plan_timeouts(&mut self, now: Micros) {
         let due = |(query, plan): (QueryId, &Plan)| (plan.poll_timeout()? <= now).then_some(query);
         let due: Vec<QueryId> = self.open.plans().filter_map(due).collect();
--- a/crates/core/src/polled_queries/mod.rs
+++ b/crates/core/src/polled_queries/mod.rs
@@ -1,28 +1,28 @@
-//! Polled queries: queries that more than one call may submit, and that have one outcome all the same.
+//! Polled queries: queries that several calls may submit, and that have one outcome.
 //!
 //! A ticket can be redeemed twice, a polled query is submitted by many calls, and a client that lost the
-//! response to a non-idempotent query submits it again under the same id. All of them meet here, under one
+//! response to a non-idempotent query submits it again under the same id. All these calls are matched by
 //! [`PolledQueryKey`]:
 //!
 //! ```text
-//!            submit               complete                  retention over
+//!            submit               complete                  retention ends
 //!  (unknown) ------> Running ------------------> Done ----------------------> (forgotten)
 //!                    |    |  rejected, not executed                               ^
 //!                    |    +-----------> (unknown: it may be submitted again)      |
-//!                    |  cancel, or nobody polls                                   |
+//!                    |  cancel, or poll timeout                                   |
 //!                    +------------------> Cancelled ------------------------------+
 //! ```
 //!
-//! Invariant: a non-idempotent query is executed once. Whoever submits it while it runs waits for its outcome
-//! with the others; whoever submits it later is given the first outcome. Another body under the same id is
-//! rejected.
+//! Invariant: a non-idempotent query is executed once. A call that submits it while it runs waits for its
+//! outcome with the others; a call that submits it later gets the first outcome. A different body under the
+//! same id is rejected.
 //!
-//! Memory is bounded, in queries and in bytes of outcomes. An outcome that is evicted leaves behind that there
-//! was one; a query that is evicted leaves behind a tombstone of a few bytes, for as long as its outcome was
-//! to be retained; one that runs is never evicted. Whatever was forgotten in these ways is rejected and not
-//! executed ([`RejectReason::Forgotten`]). When there is no capacity for tombstones either, new queries are
-//! rejected before they run. A ticket says when it was created: one as old as anything that was forgotten
-//! entirely is rejected as well.
+//! Memory is bounded, in queries and in bytes of outcomes. When an outcome is evicted, its query remains
+//! known; an evicted non-idempotent query leaves a tombstone of a few bytes for the rest of its outcome's
+//! retention; a running query is never evicted. A query forgotten in either way is rejected instead of
+//! executed ([`RejectReason::Forgotten`]). If there is no capacity for tombstones either, new queries are
+//! rejected before they run. A ticket contains its creation time: one that is not newer than the newest query
+//! that was forgotten entirely is rejected as well.
 
 mod tombstones;
 
@@ -33,68 +33,68 @@
 
 use tombstones::Tombstones;
 
-/// What a polled query is known by: who submits it, and the id of the query.
+/// The key of a polled query: its user and the client's id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PolledQueryKey {
-    /// The user; empty where clients do not authenticate.
+    /// The user; empty if clients do not authenticate.
     pub user: Rc<str>,
     /// The client's id for the query.
     pub id: Rc<str>,
 }
 
-/// One execution of a query, by a number that is never given out twice.
+/// The unique number of one execution of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunId(pub u64);
 
-/// A call that waits for an outcome, by a number of the frontend's.
+/// A call that waits for an outcome, by a number that the frontend assigns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WaiterId(pub u64);
 
-/// How a polled query is to be treated.
+/// The properties of a polled query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PolledQuerySpec {
-    /// A hash of the whole request: the same id with another hash is another request.
+    /// A hash of the whole request, to detect a different request under the same id.
     pub request_hash: u64,
-    /// It is non-idempotent: it must not be executed twice.
+    /// Whether it is non-idempotent, and so must not be executed twice.
     pub non_idempotent: bool,
-    /// It is polled: it goes on between calls, and its outcome is retained for the next.
+    /// Whether it is polled: it continues between calls, and its outcome is retained for the next call.
     pub polled: bool,
-    /// When its ticket was created; `None` where it was submitted without one.
+    /// When its ticket was created; `None` if it was submitted without one.
     pub ticket_created_at: Option<Micros>,
 }
 
-/// Why a polled query is not executed.
+/// Why a polled query was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The id stands for another request.
+    /// The id belongs to a different request.
     DifferentBody,
-    /// It may have been executed, and its outcome is no longer known.
+    /// The query may have been executed, and its outcome is no longer known.
     Forgotten,
-    /// It was cancelled.
+    /// The query was cancelled.
     Cancelled,
-    /// There is no capacity for another: none of those that are known can be evicted.
+    /// There is no capacity: none of the known queries can be evicted.
     Full,
 }
 
-/// What is to be done for a call.
+/// What the caller has to do for a submitted query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Submission<O> {
     /// Execute the query; its outcome goes to [`PolledQueries::complete`].
     Run(RunId),
-    /// Wait: it runs already.
+    /// Wait for the outcome of this run.
     Join(RunId),
-    /// It has run, with this outcome.
+    /// Return this outcome of an earlier run.
     Replay(O),
-    /// It is not executed.
+    /// Reject the query.
     Reject(RejectReason),
 }
 
-/// The state of a polled query, as a client sees it.
+/// The state of a polled query, as visible to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PolledState<O> {
-    /// It runs.
+    /// It is running.
     Running(RunId),
-    /// It has run; its outcome is retained until then.
+    /// It has completed with this outcome, which is retained until the given time.
     Done(O, Micros),
     /// It was cancelled.
     Cancelled,
@@ -103,26 +103,26 @@
 /// The result of a cancellation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CancelResult {
-    /// It is cancelled: the caller has to cancel this run and to notify these waiters.
+    /// The query is cancelled. The caller has to cancel this run and notify these waiters.
     Cancelled(RunId, Vec<WaiterId>),
-    /// It was cancelled before.
+    /// The query was cancelled before.
     AlreadyCancelled,
-    /// It is non-idempotent and possibly executed, or has an outcome.
+    /// The query is non-idempotent and possibly executed, or has an outcome.
     TooLate,
-    /// It is not known.
+    /// The query is not known.
     Unknown,
 }
 
-/// Limits on what is known at a time.
+/// Limits on the polled queries that are kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PolledQueryLimits {
-    /// Most polled queries.
+    /// Maximum number of polled queries.
     pub queries: usize,
-    /// Most bytes of retained outcomes.
+    /// Maximum bytes of retained outcomes.
     pub outcome_bytes: usize,
     /// How long an outcome is retained, in microseconds.
     pub retention: Micros,
-    /// A polled query that nobody has polled for so long is cancelled, in microseconds.
+    /// Time without a poll after which a polled query is cancelled, in microseconds.
     pub poll_timeout: Micros,
 }
 
@@ -130,12 +130,12 @@
 struct Running {
     run: RunId,
     waiters: BTreeSet<WaiterId>,
-    /// When it is cancelled unless somebody polls; `None` where it is not polled.
+    /// When it is cancelled unless a client polls; `None` if it is not polled.
     idle_at: Option<Micros>,
 }
 
 impl Running {
-    /// When it is cancelled, if nobody waits for it.
+    /// Returns when it is cancelled; `None` while calls wait for it.
     fn idle_timeout(&self) -> Option<Micros> {
         self.idle_at.filter(|_| self.waiters.is_empty())
     }
@@ -149,7 +149,7 @@
         bytes: usize,
         retained_until: Micros,
     },
-    /// It has run, and its outcome was evicted.
+    /// It has completed, and its outcome was evicted.
     OutcomeEvicted,
     Cancelled,
 }
@@ -162,8 +162,8 @@
 }
 
 impl<O> PolledQuery<O> {
-    /// When its ticket was created. One without a ticket counts from when it was submitted: a ticket of that
-    /// age may be for the same id.
+    /// Returns when its ticket was created, or else when it was submitted: a ticket of that age may be for
+    /// the same id.
     fn created_at(&self) -> Micros {
         self.spec.ticket_created_at.unwrap_or(self.submitted_at)
     }
@@ -175,14 +175,14 @@
     key: PolledQueryKey,
 }
 
-/// The polled queries that are known.
+/// The table of polled queries.
 #[derive(Debug)]
 pub struct PolledQueries<O> {
     limits: PolledQueryLimits,
     queries: BTreeMap<PolledQueryKey, PolledQuery<O>>,
     runs: BTreeMap<RunId, PolledQueryKey>,
     waiters: BTreeMap<WaiterId, RunId>,
-    /// When those that do not run any more are forgotten.
+    /// When queries that no longer run are forgotten.
     expiries: BTreeSet<Expiry>,
     /// Bytes of retained outcomes.
     outcome_bytes: usize,
@@ -190,27 +190,27 @@
 }
 
 impl<O: Clone> PolledQueries<O> {
-    /// None known.
+    /// Creates an empty table.
     #[must_use]
-    pub fn new(bounds: PolledQueryLimits) -> Self {
+    pub fn new(limits: PolledQueryLimits) -> Self {
         Self {
-            limits: bounds,
+            limits,
             queries: BTreeMap::new(),
             runs: BTreeMap::new(),
             waiters: BTreeMap::new(),
             expiries: BTreeSet::new(),
             outcome_bytes: 0,
-            tombstones: Tombstones::new(bounds.queries),
+            tombstones: Tombstones::new(limits.queries),
         }
     }
 
-    /// How many are known, and the bytes of their outcomes.
+    /// Returns the number of known queries and the bytes of their outcomes.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
         (self.queries.len(), self.outcome_bytes)
     }
 
-    /// A call submits a query; if it is to be executed, the run has the number given.
+    /// Submits a query for a call. If it is to be executed, its run gets the id `run`.
     pub fn submit(
         &mut self,
         now: Micros,
@@ -226,7 +226,7 @@
         if spec.non_idempotent && self.tombstones.cover(key, &spec) {
             return Submission::Reject(RejectReason::Forgotten);
         }
-        if !self.make_room(now) {
+        if !self.ensure_capacity(now) {
             return Submission::Reject(RejectReason::Full);
         }
         let idle_at = spec.polled.then_some(now + self.limits.poll_timeout);
@@ -238,7 +238,7 @@
         Submission::Run(run)
     }
 
-    /// A call submits a query: what is to be done if it is known.
+    /// Submits a query that is already known; `None` if it is not.
     fn submit_known(
         &mut self,
         now: Micros,
@@ -264,8 +264,8 @@
         })
     }
 
-    /// A run has its final response, of so many bytes: the calls that are to be given it. `not_executed` says
-    /// that it was rejected with nothing executed, so that it may be submitted again.
+    /// Completes a run with its outcome of `bytes` bytes. Returns the calls that wait for it. With
+    /// `not_executed`, the query was rejected without having been executed, and may be submitted again.
     pub fn complete(
         &mut self,
         now: Micros,
@@ -293,8 +293,8 @@
         waiters.into_iter().collect()
     }
 
-    /// A call no longer waits. The run that the caller has to cancel, if nobody needs it any more: one that is
-    /// non-idempotent or polled goes on without waiters.
+    /// Removes a call that no longer waits. Returns the run that the caller has to cancel, if it is no longer
+    /// needed; a query that is non-idempotent or polled continues without waiters.
     pub fn remove_waiter(&mut self, caller: WaiterId) -> Option<RunId> {
         let run = self.waiters.remove(&caller)?;
         let key = self.runs.get(&run)?.clone();
@@ -309,7 +309,7 @@
         Some(run)
     }
 
-    /// The state of a polled query; asking for it counts as a poll.
+    /// Returns the state of a polled query. This counts as a poll.
     pub fn state(&mut self, now: Micros, key: &PolledQueryKey) -> Option<PolledState<O>> {
         self.remove_expired(now);
         match &mut self.queries.get_mut(key)?.state {
@@ -325,7 +325,7 @@
         }
     }
 
-    /// A client cancels a query; `possibly_executed` says of a run whether a part of it may have been
+    /// Cancels a query for a client. `possibly_executed` returns whether a part of a run may have been
     /// executed.
     pub fn cancel(
         &mut self,
@@ -353,10 +353,10 @@
         CancelResult::Cancelled(run, waiters.into_iter().collect())
     }
 
-    /// A client cancels a query that is not known, or no longer: it will not be executed.
+    /// Cancels a query that is not known, so that it will not be executed if it is submitted later.
     ///
     /// # Errors
-    /// There is no capacity to remember that.
+    /// There is no capacity to record the cancellation.
     pub fn revoke(
         &mut self,
         now: Micros,
@@ -366,7 +366,7 @@
         if self.queries.contains_key(key) {
             return Ok(());
         }
-        if !self.make_room(now) {
+        if !self.ensure_capacity(now) {
             return Err(RejectReason::Full);
         }
         let query = PolledQuery { spec, submitted_at: now, state: State::Cancelled };
@@ -375,7 +375,7 @@
         Ok(())
     }
 
-    /// The polled queries of a user, each with the name that clients are sent for its state.
+    /// Returns the polled queries of a user, each with the client-visible name of its state.
     pub fn list<'a>(
         &'a self,
         user: &'a str,
@@ -389,7 +389,7 @@
         })
     }
 
-    /// A client wants an outcome retained for longer: until when it is.
+    /// Extends the retention of an outcome. Returns its new end.
     pub fn renew(&mut self, now: Micros, key: &PolledQueryKey) -> Option<Micros> {
         self.remove_expired(now);
         let query = self.queries.get_mut(key)?;
@@ -400,7 +400,7 @@
         Some(*retained_until)
     }
 
-    /// When something is to be forgotten or cancelled.
+    /// Returns when [`PolledQueries::handle_timeout`] has to be called.
     #[must_use]
     pub fn poll_timeout(&self) -> Option<Micros> {
         let idle = self.running().filter_map(|(_, running)| running.idle_timeout());
@@ -408,8 +408,8 @@
         expiries.into_iter().flatten().chain(idle).min()
     }
 
-    /// Forgets what was retained for long enough, and cancels polled queries that nobody polls: the runs that
-    /// the caller has to cancel.
+    /// Forgets queries whose retention has ended, and cancels polled queries after their poll timeout.
+    /// Returns the runs that the caller has to cancel.
     pub fn handle_timeout(&mut self, now: Micros) -> Vec<RunId> {
         self.remove_expired(now);
         let is_idle = |running: &Running| running.idle_timeout().is_some_and(|at| at <= now);
@@ -425,7 +425,7 @@
         idle.into_iter().map(|(run, _)| run).collect()
     }
 
-    /// The queries that run, in the order of their runs.
+    /// Returns the running queries, in the order of their runs.
     fn running(&self) -> impl Iterator<Item = (&PolledQueryKey, &Running)> {
         self.runs.values().filter_map(|key| match &self.queries.get(key)?.state {
             State::Running(running) => Some((key, running)),
@@ -433,7 +433,7 @@
         })
     }
 
-    /// Forgets what was retained for long enough.
+    /// Forgets queries and tombstones whose retention has ended.
     fn remove_expired(&mut self, now: Micros) {
         while self.expiries.first().is_some_and(|expiry| expiry.at <= now) {
             self.forget_first(now);
@@ -441,7 +441,7 @@
         self.tombstones.handle_timeout(now);
     }
 
-    /// Evicts the outcome that expires first, and remembers that there was one; `false` if there is none.
+    /// Evicts the outcome that expires first, but keeps its query. Returns `false` if there is none.
     fn evict_first_outcome(&mut self) -> bool {
         for Expiry { key, .. } in &self.expiries {
             let Some(PolledQuery { state, .. }) = self.queries.get_mut(key) else { continue };
@@ -454,12 +454,13 @@
         false
     }
 
-    /// Makes sure that one more query can be known; `false` if none can be evicted.
-    fn make_room(&mut self, now: Micros) -> bool {
+    /// Ensures capacity for one more query. Returns `false` if none can be evicted.
+    fn ensure_capacity(&mut self, now: Micros) -> bool {
         self.queries.len() < self.limits.queries || self.forget_first(now)
     }
 
-    /// Forgets the query that expires first; `false` if none does, or there is no capacity for its tombstone.
+    /// Forgets the query that expires first. Returns `false` if none expires, or without capacity for its
+    /// tombstone.
     fn forget_first(&mut self, now: Micros) -> bool {
         let Some(Expiry { at, key }) = self.expiries.first().cloned() else { return false };
         let Some(query) = self.queries.get(&key) else { return false };
--- a/crates/core/src/query.rs
+++ b/crates/core/src/query.rs
@@ -1,4 +1,4 @@
-//! What a client asks of the core and what it is answered: requests, responses and the ids between them.
+//! Requests, responses and actions of the core, and the ids that connect them.
 
 use std::rc::Rc;
 
@@ -9,53 +9,53 @@
 use crate::validation::ValidationError;
 use crate::value::Value;
 
-/// One part of a query, as a client requests it.
+/// One part of a query, as requested by a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartRequest {
-    /// The shard that is queried.
+    /// The shard to query.
     pub shard: ShardId,
     /// The part's fraction of the complete response; the weights of a query add up to 1.
     pub weight: f64,
 }
 
-/// A query as a frontend decoded it.
+/// A query as decoded by a frontend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryRequest {
-    /// The client's id of the query, which backends are shown.
+    /// The client's id of the query, which is also sent to backends.
     pub id: Rc<str>,
     /// The query's class.
     pub class: ClassId,
-    /// How long the client still waits, in microseconds.
+    /// The client's remaining time, in microseconds.
     pub expires_in: Micros,
     /// Whether the client marked the query as a retry.
     pub retry: bool,
     /// The expected work of all parts in microseconds, if every part stated it.
     pub work_hint: Option<Micros>,
-    /// What each part carries to its backend, unchanged.
+    /// The body that is sent to the backend of each part, unchanged.
     pub body: Rc<[u8]>,
     /// The parts; of a two-phase query, its blocks.
     pub parts: Vec<PartRequest>,
-    /// How the query is executed in two phases, if it is.
+    /// The plan of a two-phase query.
     pub plan: Option<PlanRequest>,
 }
 
-/// The two-phase plan of a query, as a frontend decoded it.
+/// The two-phase plan of a query, as decoded by a frontend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanRequest {
     /// Which blocks are queried and how many rows are returned.
     pub spec: PlanSpec,
-    /// What each scout carries to its backend, unchanged.
+    /// The body that is sent to the backend of each scout, unchanged.
     pub scout: Rc<[u8]>,
 }
 
-/// Where a final response goes: a number that the frontend behind it gave out.
+/// The destination of a final response, by a number that its frontend assigned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ResponseHandle {
     /// An exchange of the HTTP frontend.
     Http(u64),
     /// A stream of the Flight frontend.
     Flight(u64),
-    /// No client of this instance: the query was taken over from another instance.
+    /// A query taken over from another instance; it has no client here.
     TakenOver(u64),
 }
 
@@ -66,7 +66,7 @@
     Invalid(ValidationError),
     /// Required parts failed, and some may have been executed.
     PartsFailed,
-    /// The query's time ran out.
+    /// The query's deadline was exceeded.
     DeadlineExceeded,
     /// The memory for tables is exhausted, and parts of the query may have been executed.
     MemoryExhausted,
@@ -75,7 +75,7 @@
 /// The final response to a query.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QueryResponse {
-    /// The values that were received.
+    /// The received values.
     Completed {
         /// Whether the response counts as complete.
         complete: bool,
@@ -86,12 +86,12 @@
     Ranked(Rc<Ranked>),
     /// Rejected: a retry is safe.
     Rejected {
-        /// When the client may retry, in microseconds; 0 for no advice.
+        /// When the client may retry, in microseconds; 0 if unspecified.
         retry_after: Micros,
-        /// No part of the query can have been executed.
+        /// Whether it is proved that no part of the query was executed.
         not_executed: bool,
     },
-    /// Failed, with nothing promised about what was executed.
+    /// Failed; parts may or may not have been executed.
     Failed(Failure),
 }
 
@@ -107,7 +107,7 @@
     }
 }
 
-/// One attempt of a part.
+/// The id of one attempt of a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
     /// The part.
@@ -116,7 +116,7 @@
     pub number: u32,
 }
 
-/// An attempt on its way to a backend. All instants are on the caller's clock, in microseconds.
+/// An attempt to be sent to a backend. All instants are on the caller's clock, in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptRequest {
     /// The attempt.
@@ -125,60 +125,60 @@
     pub request_id: Rc<str>,
     /// The core's number of the query: the lower, the older.
     pub call: TableQueryId,
-    /// The shard that is queried.
+    /// The shard to query.
     pub shard: ShardId,
-    /// When the response is no longer waited for. The request may be written long after the batch that sent
-    /// it, so the backend is told what is left by then.
+    /// When the attempt times out. The request may be written long after the batch that sent it, so the
+    /// backend is sent the time remaining at the time of writing.
     pub deadline: Micros,
-    /// From when on the attempt may not start any more, though its response might still come in time.
+    /// The latest time at which the attempt may start. It can be earlier than `deadline`.
     pub start_by: Micros,
-    /// What the part carries.
+    /// The request body.
     pub body: Rc<[u8]>,
 }
 
 impl AttemptRequest {
-    /// How long the response is still waited for, in microseconds.
+    /// Returns the time remaining until the deadline, in microseconds.
     #[must_use]
     pub fn remaining(&self, now: Micros) -> Micros {
         self.deadline.saturating_sub(now)
     }
 
-    /// Whether the attempt may still start.
+    /// Returns whether the attempt may still start.
     #[must_use]
     pub fn may_start(&self, now: Micros) -> bool {
         now < self.start_by
     }
 }
 
-/// How a query that requires permits ended, as far as this instance knows.
+/// The final state of a query that requires permits, as known to this instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompletedQuery {
     /// The request.
     pub request: QueryRequest,
-    /// When its client's time is up.
+    /// The deadline of the client.
     pub deadline: Micros,
-    /// Who sent it, and who sent it again meanwhile.
+    /// The client that sent the query, and its coalesced waiters.
     pub response_handles: Vec<ResponseHandle>,
     /// The final response.
     pub response: QueryResponse,
-    /// A part of the query may have been executed.
+    /// Whether a part of the query may have been executed.
     pub possibly_executed: bool,
 }
 
-/// What the caller of the core has to do.
+/// An action that the caller of the core has to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send these attempts to one backend, in as few calls as they fit in.
+    /// Send these attempts to one backend, in as few calls as possible.
     SendBatch(BackendId, Vec<AttemptRequest>),
-    /// Nobody waits for this attempt any more.
+    /// Cancel this attempt: its result is no longer needed.
     CancelAttempt(BackendId, AttemptId),
-    /// If this attempt has not started, it must not; its backend is not notified.
+    /// Drop this attempt if it was not sent yet. The backend is not notified.
     RevokeUnsent(BackendId, AttemptId),
     /// Send this final response.
     Respond(ResponseHandle, QueryResponse),
-    /// A non-idempotent attempt: it may be sent once a permit is given, and not before.
+    /// Request a permit for this non-idempotent attempt, which must not be sent without one.
     RequestPermit(BackendId, AttemptRequest),
-    /// A query that requires permits has ended: its clients are answered once that is recorded.
+    /// Replicate the outcome of a query that requires permits, and then answer its clients.
     ReplicateOutcome(Box<CompletedQuery>),
     /// Watch the endpoint list.
     WatchEndpoints,
--- a/crates/core/src/query_stream.rs
+++ b/crates/core/src/query_stream.rs
@@ -1,11 +1,11 @@
-//! A stream that carries many queries: admission of queries, matching of responses to tags, and the end of the
-//! stream.
+//! A stream that carries many queries: admission of queries, matching of responses to tags, and the end of
+//! the stream.
 //!
-//! A client sends queries at any rate, each with a tag; responses are sent as they arrive. The stream is not read
-//! while its window of open queries is full, or while the client does not read its responses, so that no backlog
-//! of either side is buffered here. A tag is in use until its response has been written to the stream. A client
-//! that half-closes the stream still gets all responses; one that aborts it gets none, and the caller has to
-//! cancel the open queries. The stream ends with its status, after every tag was answered.
+//! A client sends queries at any rate, each with a tag; responses are sent as they arrive. The stream is not
+//! read while its window of open queries is full, or while the client does not read its responses, so that no
+//! backlog of either side is buffered here. A tag is in use until its response has been written to the
+//! stream. A client that half-closes the stream still gets all responses; one that aborts it gets none, and
+//! the caller has to cancel the open queries. The stream ends with its status, after every tag was answered.
 
 use std::collections::BTreeMap;
 
@@ -148,7 +148,8 @@
         (self.open.len(), self.answered)
     }
 
-    /// Ends a stream that accepts no more queries once none is open. A client sends the rest to another instance.
+    /// Ends a stream that accepts no more queries once none is open. A client sends the rest to another
+    /// instance.
     fn end_if_answered(&mut self) {
         if self.open.is_empty()
             && matches!(self.phase, QueryStreamPhase::HalfClosed | QueryStreamPhase::Draining)
--- a/crates/core/src/router_actions.rs
+++ b/crates/core/src/router_actions.rs
@@ -1,4 +1,4 @@
-//! What the core does for each action of the router.
+//! Execution of the router's actions by the core.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -11,16 +11,16 @@
 use crate::query::{Action, AttemptId, AttemptRequest, Failure, QueryResponse};
 use crate::table_memory::TableQueryId;
 
-/// How long an attempt has, in microseconds from when it is sent.
+/// The time limits of an attempt, in microseconds from when it is sent.
 #[derive(Clone, Copy, Debug)]
 struct AttemptWindow {
-    /// Until it times out.
+    /// Time until it times out.
     timeout: Micros,
-    /// Until it has to have started.
-    begin_within: Micros,
+    /// Time within which it has to start.
+    start_within: Micros,
 }
 
-/// What one batch sends out.
+/// The actions of one batch.
 #[derive(Default)]
 pub(crate) struct BatchActions {
     calls: BTreeMap<BackendId, Vec<AttemptRequest>>,
@@ -28,7 +28,7 @@
 }
 
 impl BatchActions {
-    /// Appends the calls, by backend, and then everything else in the order in which it came about.
+    /// Appends the calls, by backend, and then all other actions in the order in which they were added.
     pub(crate) fn append_to(self, actions: &mut Vec<Action>) {
         actions.extend(self.calls.into_iter().map(|(backend, sends)| Action::SendBatch(backend, sends)));
         actions.extend(self.others);
@@ -36,11 +36,11 @@
 }
 
 impl Core {
-    /// Does what the router decided.
+    /// Executes an action of the router.
     pub(crate) fn apply(&mut self, now: Micros, action: router::Action, batch: &mut BatchActions) {
         match action {
             router::Action::Send { part, backend, timeout, begin_within } => {
-                let window = AttemptWindow { timeout, begin_within };
+                let window = AttemptWindow { timeout, start_within: begin_within };
                 self.apply_send(now, part, backend, window, batch);
             }
             router::Action::Cancel { part, attempt } => {
@@ -51,7 +51,7 @@
                 }
             }
             router::Action::PartFailed { part } => {
-                // Without a value there is nothing that could be malformed.
+                // A part without a value cannot have a malformed one.
                 let _ = self.plan_part_completed(now, part, None);
             }
             router::Action::Respond { query, complete } => {
@@ -69,8 +69,8 @@
             router::Action::SetTimer(after) => self.set_router_timer(now.saturating_add(after)),
             router::Action::WatchEndpoints => batch.others.push(Action::WatchEndpoints),
             router::Action::HealthCheck(backend) => batch.others.push(Action::HealthCheck(backend)),
-            router::Action::BackendEjected(id) => tracing::info!("router: server {} suspect", id.0),
-            router::Action::BackendRecovered(id) => tracing::info!("router: server {} sound again", id.0),
+            router::Action::BackendEjected(id) => tracing::info!("router: backend {} ejected", id.0),
+            router::Action::BackendRecovered(id) => tracing::info!("router: backend {} recovered", id.0),
         }
     }
 
@@ -84,7 +84,8 @@
     ) {
         let has_effect = self.has_effect(part);
         if has_effect {
-            // Of two attempts neither may start long after the other: one that still waits must not start.
+            // One attempt must not start long after another: an earlier one that still waits must not start
+            // any more.
             self.revoke_unsent(part);
         }
         let Some(request) = self.start_attempt(now, part, backend, window) else { return };
@@ -99,14 +100,14 @@
         self.router_timer = Some(self.router_timer.map_or(at, |timer| timer.min(at)));
     }
 
-    /// Whether executing a part has an effect: the scout of a non-idempotent query has none.
+    /// Returns whether executing a part has an effect: the scout of a non-idempotent query has none.
     fn has_effect(&self, part: PartId) -> bool {
         let Some(location) = self.open.locate(part) else { return false };
         let Some(open) = self.open.get(location.query) else { return false };
         !self.is_idempotent(open.request.class) && open.parts[location.index].kind == PartKind::Query
     }
 
-    /// Puts an attempt in flight; `None` if its part was closed meanwhile.
+    /// Puts an attempt in flight. Returns `None` if its part was closed in the meantime.
     fn start_attempt(
         &mut self,
         now: Micros,
@@ -133,7 +134,7 @@
             call: TableQueryId(query.0),
             shard: open.request.parts[part.request_index].shard,
             deadline,
-            start_by: deadline.min(now.saturating_add(window.begin_within)),
+            start_by: deadline.min(now.saturating_add(window.start_within)),
             body: match &open.request.plan {
                 Some(plan) if part.kind == PartKind::Scout => Rc::clone(&plan.scout),
                 _ => Rc::clone(&open.request.body),
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Answers a query with the values that were received.
+    /// Answers a query with the received values.
     fn respond(&mut self, query: QueryId, complete: bool) -> Option<Action> {
         let values = self.open.get_mut(query)?.take_values();
         self.finish(query, QueryResponse::Completed { complete, values })
--- a/crates/core/src/sessions.rs
+++ b/crates/core/src/sessions.rs
@@ -1,9 +1,9 @@
 //! Sessions of the Flight frontend: options that a client sets once for all its calls, kept until an idle
 //! timeout.
 //!
-//! A session is known by a number that its client sends (a cookie or a field of its token). Memory is bounded:
-//! beyond the limit the session that was idle longest is evicted. As after a restart, its client is notified that
-//! the options are gone, and sets them again.
+//! A session is known by a number that its client sends (a cookie or a field of its token). Memory is
+//! bounded: beyond the limit the session that was idle longest is evicted. As after a restart, its client is
+//! notified that the options are gone, and sets them again.
 
 use std::collections::BTreeMap;
 
@@ -125,13 +125,15 @@
 }
 
 impl Sessions {
-    /// Creates a table of at most `limit` sessions, each closed after `idle_timeout` microseconds without a call.
+    /// Creates a table of at most `limit` sessions, each closed after `idle_timeout` microseconds without a
+    /// call.
     #[must_use]
     pub fn new(limit: usize, idle_timeout: Micros) -> Self {
         Self { sessions: BTreeMap::new(), limit: limit.max(1), idle_timeout }
     }
 
-    /// Returns the options for a call of this session and restarts its idle timeout; `None` if it is not open.
+    /// Returns the options for a call of this session and restarts its idle timeout; `None` if it is not
+    /// open.
     pub fn touch(&mut self, now: Micros, id: SessionId) -> Option<Options> {
         let session = self.sessions.get_mut(&id).filter(|session| session.expires_at > now)?;
         session.expires_at = now + self.idle_timeout;
--- a/crates/core/src/stream_admission/limits.rs
+++ b/crates/core/src/stream_admission/limits.rs
@@ -1,13 +1,13 @@
-//! The limits of Flight's connections, calls and memory, sized from the memory and descriptors available, so that
-//! their sum can be checked against these.
+//! The limits of Flight's connections, calls and memory, sized from the memory and descriptors available, so
+//! that their sum can be checked against these.
 
 use std::ops::RangeInclusive;
 
 /// Flow-control window of a client's connection in bytes: what it may send ahead of what was read, on all its
 /// streams together.
 pub const CONNECTION_WINDOW: u32 = 512 * 1024;
-/// Longest message of a client, in bytes: one of the platform's requests has up to 64 KiB, and a batch of queries
-/// in columns may be larger.
+/// Longest message of a client, in bytes: one of the platform's requests has up to 64 KiB, and a batch of
+/// queries in columns may be larger.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 /// Send buffer of one call in bytes, for the smallest and the largest memory.
 const SEND_BUFFER_BYTES: RangeInclusive<usize> = 16 * 1024..=128 * 1024;
@@ -51,7 +51,8 @@
     pub header_bytes: u32,
     /// Bytes of a call's response that may be buffered in the connection, beyond those reserved as a table.
     pub send_buffer: usize,
-    /// Bytes that one client connection may buffer: headers, a message for each stream, outgoing data, and TLS.
+    /// Bytes that one client connection may buffer: headers, a message for each stream, outgoing data, and
+    /// TLS.
     pub connection_bytes: usize,
     /// Bytes of tables of all queries.
     pub table_bytes: usize,
@@ -72,11 +73,11 @@
 }
 
 impl StreamLimits {
-    /// Derives the limits from `memory` bytes and a number of descriptors, with up to `streams` parts in flight to
-    /// backends.
+    /// Derives the limits from `memory` bytes and a number of descriptors, with up to `streams` parts in
+    /// flight to backends.
     ///
-    /// Half of the memory goes to tables, a quarter to connections, an eighth to the initial windows of backends'
-    /// streams, and an eighth to retained outcomes and sessions.
+    /// Half of the memory goes to tables, a quarter to connections, an eighth to the initial windows of
+    /// backends' streams, and an eighth to retained outcomes and sessions.
     #[must_use]
     pub fn of(memory: usize, descriptors: usize, streams: usize) -> Self {
         let send_buffer = clamp(memory / SEND_BUFFERS_IN_MEMORY, SEND_BUFFER_BYTES);
--- a/crates/core/src/stream_admission/mod.rs
+++ b/crates/core/src/stream_admission/mod.rs
@@ -1,8 +1,8 @@
 //! Admission at the Flight frontend: connections, calls, and password checks.
 //!
-//! [`StreamLimits`] holds every limit, sized from memory and descriptors. [`StreamAdmission`] enforces them; each
-//! rejection carries its reason and when to retry. [`SlowReaderDetector`] determines when a client that does not
-//! read its response is disconnected.
+//! [`StreamLimits`] holds every limit, sized from memory and descriptors. [`StreamAdmission`] enforces them;
+//! each rejection carries its reason and when to retry. [`SlowReaderDetector`] determines when a client that
+//! does not read its response is disconnected.
 
 mod limits;
 mod reader;
--- a/crates/core/src/stream_admission/reader.rs
+++ b/crates/core/src/stream_admission/reader.rs
@@ -1,5 +1,5 @@
-//! Detection of slow readers: a client is disconnected if it reads nothing for too long, or so little that its
-//! response would occupy memory indefinitely.
+//! Detection of slow readers: a client is disconnected if it reads nothing for too long, or so little that
+//! its response would occupy memory indefinitely.
 
 use mallowgauge_router::Micros;
 
--- a/crates/core/src/stream_outcome.rs
+++ b/crates/core/src/stream_outcome.rs
@@ -1,10 +1,10 @@
 //! Classification of the end of an HTTP/2 stream as the outcome of the attempt that was sent on it.
 //!
-//! The main question is whether a non-idempotent part can have been executed. Three ends prove that it was not:
-//! the request was never handed to a connection, the backend refused the stream before processing it, or the
-//! backend's GOAWAY names a lower stream as its last. In a fourth case the backend states it: a status with the
-//! reason `LATER`. Everything else leaves the part possibly executed: a reset for any other reason, a connection
-//! that broke while the request may have been in the socket, an incomplete table.
+//! The main question is whether a non-idempotent part can have been executed. Three ends prove that it was
+//! not: the request was never handed to a connection, the backend refused the stream before processing it, or
+//! the backend's GOAWAY names a lower stream as its last. In a fourth case the backend states it: a status
+//! with the reason `LATER`. Everything else leaves the part possibly executed: a reset for any other reason,
+//! a connection that broke while the request may have been in the socket, an incomplete table.
 
 use mallowgauge_router::Outcome;
 
--- a/crates/core/src/submission.rs
+++ b/crates/core/src/submission.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request: its query is opened, joins the open query with the same id, or is rejected.
+//! Submission of requests: a query is opened, coalesced with the open query of the same id, or rejected.
 
 use mallowgauge_router::{Event, Micros, PartArrival, PartId, QueryArrival, QueryId};
 
@@ -7,22 +7,21 @@
 use crate::query::{Action, CompletedQuery, Failure, QueryRequest, QueryResponse, ResponseHandle};
 use crate::validation::{validate_parts, validate_plan, ValidationError};
 
-/// Most coalesced waiters of one query.
+/// Maximum number of coalesced waiters of one query.
 const MAX_COALESCED_WAITERS: usize = 16;
 
 impl Core {
-    /// Opens a query. Its final response comes as [`Action::Respond`] or [`Action::ReplicateOutcome`], unless
-    /// it is returned here.
+    /// Opens a query. Its final response follows as [`Action::Respond`] or [`Action::ReplicateOutcome`].
     ///
     /// # Errors
-    /// The final response to a query that does not reach the router.
+    /// Returns the final response at once if the query does not reach the router.
     pub fn submit(
         &mut self,
         now: Micros,
         handle: ResponseHandle,
         mut request: QueryRequest,
     ) -> Result<(), QueryResponse> {
-        // A query must not hold its place for longer than its class allows, whatever the client says.
+        // A query must not stay open for longer than its class allows, whatever time the client sets.
         request.expires_in = request.expires_in.min(self.deadline(request.class));
         validate_parts(&request.parts, self.limits.shards)?;
         if request.expires_in == 0 {
@@ -31,9 +30,9 @@
         if let Some(query) = self.open.find(&request.id) {
             return self.coalesce(query, handle, &request);
         }
-        let time_to_answer = self.answer_deadline.map_or(Micros::MAX, |by| by.saturating_sub(now));
-        request.expires_in = request.expires_in.min(time_to_answer);
-        if time_to_answer == 0 || self.is_full(&request) {
+        let time_to_respond = self.answer_deadline.map_or(Micros::MAX, |by| by.saturating_sub(now));
+        request.expires_in = request.expires_in.min(time_to_respond);
+        if time_to_respond == 0 || self.is_full(&request) {
             return self.reject_unopened(now, handle, request);
         }
         if let Some(plan) = &request.plan {
@@ -46,8 +45,8 @@
         Ok(())
     }
 
-    /// A client sends an open query again, perhaps because it lost its connection: it waits for the same
-    /// outcome where a second execution would do harm.
+    /// Handles a client that sends an open query again, perhaps because it lost its connection. If the query
+    /// requires permits, the client waits for the same outcome, because it must not be executed twice.
     fn coalesce(
         &mut self,
         query: QueryId,
@@ -69,12 +68,12 @@
         Ok(())
     }
 
-    /// Whether the limit on open queries and parts leaves no capacity for this one.
+    /// Returns whether this request would exceed the limit on open queries and parts.
     fn is_full(&self, request: &QueryRequest) -> bool {
         self.open.open_work() + 1 + request.parts.len() > self.limits.max_open
     }
 
-    /// Rejects a query before anything of it was sent from here.
+    /// Rejects a query of which this instance has sent nothing.
     fn reject_unopened(
         &mut self,
         now: Micros,
@@ -85,8 +84,8 @@
         if !(request.retry && self.requires_permits(request.class)) {
             return Err(response);
         }
-        // An earlier try, perhaps at another instance, may have been executed; the records say whether.
-        self.ready.push(Action::ReplicateOutcome(Box::new(CompletedQuery {
+        // An earlier attempt, perhaps at another instance, may have been executed; the records tell.
+        self.ready_actions.push(Action::ReplicateOutcome(Box::new(CompletedQuery {
             deadline: now.saturating_add(request.expires_in),
             request,
             response_handles: vec![handle],
@@ -97,7 +96,7 @@
     }
 
     fn open_query(&mut self, now: Micros, handle: ResponseHandle, request: QueryRequest) {
-        let query = QueryId(self.take_id());
+        let query = QueryId(self.next_query_id());
         let planned = request.plan.is_some();
         self.events.push(Event::QueryArrived(QueryArrival {
             query,
@@ -117,13 +116,13 @@
         }
     }
 
-    fn take_id(&mut self) -> u128 {
+    fn next_query_id(&mut self) -> u128 {
         let id = self.next_id;
         self.next_id += 1;
         id
     }
 
-    /// Gives the router a part for each of these parts of a request.
+    /// Passes a part to the router for each of these parts of a request.
     pub(crate) fn add_parts(
         &mut self,
         query: QueryId,
--- a/crates/core/src/table_memory.rs
+++ b/crates/core/src/table_memory.rs
@@ -1,11 +1,11 @@
-//! The memory budget for tables: how much more each backend may send, and which query is evicted when the whole
-//! budget is reserved.
+//! The memory budget for tables: how much more each backend may send, and which query is evicted when the
+//! whole budget is reserved.
 //!
 //! Every byte that a backend may still send or has sent is reserved from one budget. A stream opens with an
-//! initial window that is always available (it is set aside for the maximum number of open streams); everything
-//! beyond it has to be granted by [`TableMemory::request_window`]. A backend without a grant is not notified: its
-//! window is not enlarged, and HTTP/2 flow control makes it wait. Bytes that clients have not read yet stay
-//! reserved ([`TableLease`]), so a slow client stops the backends.
+//! initial window that is always available (it is set aside for the maximum number of open streams);
+//! everything beyond it has to be granted by [`TableMemory::request_window`]. A backend without a grant is
+//! not notified: its window is not enlarged, and HTTP/2 flow control makes it wait. Bytes that clients have
+//! not read yet stay reserved ([`TableLease`]), so a slow client stops the backends.
 //!
 //! Two rules prevent a deadlock. First, each query has a limit. Second, when the whole budget is reserved by
 //! queries that all wait for more, and no table is being sent to a client, the youngest of them is evicted
@@ -154,8 +154,8 @@
         grant
     }
 
-    /// Grants waiting streams what they requested, as far as the budget allows. Returns these streams, each with
-    /// the bytes granted. The oldest query's streams come first, and younger ones do not overtake them.
+    /// Grants waiting streams what they requested, as far as the budget allows. Returns these streams, each
+    /// with the bytes granted. The oldest query's streams come first, and younger ones do not overtake them.
     pub fn take_grants(&self) -> Vec<(StreamId, usize)> {
         let mut reservations = self.reservations.borrow_mut();
         let queued = reservations.streams.iter().filter(|(_, open)| open.queued > 0);
@@ -177,8 +177,9 @@
         granted
     }
 
-    /// Returns the query to evict if the others cannot proceed otherwise: the whole reservation belongs to waiting
-    /// streams, and no complete table is being sent to a client. It is the youngest query with a reservation.
+    /// Returns the query to evict if the others cannot proceed otherwise: the whole reservation belongs to
+    /// waiting streams, and no complete table is being sent to a client. It is the youngest query with a
+    /// reservation.
     #[must_use]
     pub fn query_to_evict(&self) -> Option<TableQueryId> {
         let reservations = self.reservations.borrow();
@@ -203,8 +204,8 @@
     }
 
     /// Ends a stream with a complete table of `bytes` bytes, which stay reserved until the returned lease is
-    /// dropped. Returns `None` if there is no capacity: a small table arrives through the initial window alone and
-    /// needs a reservation only now.
+    /// dropped. Returns `None` if there is no capacity: a small table arrives through the initial window
+    /// alone and needs a reservation only now.
     #[must_use]
     pub fn retain(&self, stream: StreamId, bytes: usize) -> Option<TableLease> {
         let mut reservations = self.reservations.borrow_mut();
--- a/crates/core/src/two_phase/actions.rs
+++ b/crates/core/src/two_phase/actions.rs
@@ -1,4 +1,4 @@
-//! What goes into a [`Plan`](super::Plan) and what comes out.
+//! Input and output types of a [`Plan`](super::Plan).
 
 use std::rc::Rc;
 
@@ -14,97 +14,98 @@
 pub struct BlockSetup {
     /// The block's shard.
     pub shard: ShardId,
-    /// Its fraction of the complete response.
+    /// The block's fraction of the complete response.
     pub weight: f64,
-    /// What a scout of an earlier query reported, if that is still cached.
-    pub known: Option<Sketch>,
+    /// The cached sketch that a scout of an earlier query reported, if any.
+    pub cached_sketch: Option<Sketch>,
 }
 
-/// What is known of a query when its plan starts. Instants are on the caller's clock, in microseconds.
+/// The parameters of a plan. Instants are on the caller's clock, in microseconds.
 #[derive(Clone, Debug)]
 pub struct PlanSetup {
-    /// The blocks. Actions name a block by its position here.
+    /// The blocks. Actions identify a block by its position here.
     pub blocks: Vec<BlockSetup>,
-    /// What the client wants.
+    /// The plan that the client requested.
     pub spec: PlanSpec,
-    /// The second phase has an effect: one block is fetched, once.
+    /// Whether the second phase has an effect. If so, blocks are fetched one at a time, until one has
+    /// executed the query or may have.
     pub has_effect: bool,
-    /// The least completeness of a response.
+    /// The minimum completeness of a response.
     pub minimum_completeness: f64,
-    /// When the response should be there.
+    /// When the response should have arrived.
     pub objective: Micros,
-    /// When the response has to be there.
+    /// When the response has to have arrived.
     pub deadline: Micros,
-    /// The time that scouts have.
+    /// The time budget of the scouts.
     pub budget: ScoutBudget,
-    /// How long a wave is expected to take, in microseconds.
+    /// Expected time of a wave, in microseconds.
     pub wave_time: Micros,
 }
 
 /// Why a part of the plan has no value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartLoss {
-    /// Every attempt is proved not to have been executed.
+    /// Every attempt is proved not executed.
     NotExecuted,
     /// An attempt may have been executed.
     PossiblyExecuted,
 }
 
-/// What the plan wants done.
+/// An action that the caller of a plan has to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanAction {
     /// Send the scouts of these blocks.
     SendScouts(Vec<usize>),
     /// Fetch these blocks.
     Fetch(Vec<usize>),
-    /// Nobody waits for the scouts of these blocks any more.
+    /// Cancel the scouts of these blocks.
     CancelScouts(Vec<usize>),
-    /// Nobody waits for these blocks any more.
+    /// Cancel the fetches of these blocks.
     CancelFetches(Vec<usize>),
-    /// This is the response.
+    /// Send this response. Final.
     Respond(Ranked),
-    /// There is no response.
+    /// End the query without a response. Final.
     GiveUp {
-        /// The query may have had its effect.
+        /// Whether the query may have had its effect.
         effect_possible: bool,
     },
 }
 
-/// The value of the block at which a non-idempotent query had its effect.
+/// The value of the block that executed a non-idempotent query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BlockEffect {
     /// The block's shard.
     pub shard: ShardId,
-    /// Its value.
+    /// The block's value.
     pub value: Rc<str>,
 }
 
 /// The response of a plan.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ranked {
-    /// Every block was fetched and its rows received.
+    /// Whether every block was fetched and its rows received.
     pub complete: bool,
-    /// No block without rows could have changed the response.
+    /// Whether it is proved that no block without rows could have changed the response.
     pub exact: bool,
     /// The best rows.
     pub rows: Vec<Row>,
-    /// The effect, of a non-idempotent query.
+    /// The effect of a non-idempotent query.
     pub effect: Option<BlockEffect>,
     /// Blocks whose values were received.
     pub fetched: Vec<ShardId>,
-    /// Blocks that were not fetched, for their bounds.
+    /// Blocks that were not fetched because of their bounds or the client's selection.
     pub pruned: Vec<ShardId>,
-    /// Blocks that were not fetched, for want of time or because their scouts did not report.
+    /// Blocks that were not fetched for lack of time or because their scouts did not report.
     pub skipped: Vec<ShardId>,
     /// Blocks that were fetched and failed.
     pub failed: Vec<ShardId>,
 }
 
-/// How long the phases took that have ended, in microseconds.
+/// Durations of phases that have ended, in microseconds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PhaseTimes {
-    /// Until the last scout reported that did.
+    /// Time until the last report of a scout, if any reported.
     pub scouts: Option<Micros>,
-    /// Of each wave.
+    /// Time of each wave.
     pub waves: Vec<Micros>,
 }
--- a/crates/core/src/two_phase/blocks.rs
+++ b/crates/core/src/two_phase/blocks.rs
@@ -1,43 +1,43 @@
-//! The blocks of one plan: what is known of each, and what follows for the response.
+//! The blocks of one plan, their states, and the properties of the response that follow from them.
 
 use mallowgauge_router::ShardId;
 
 use super::actions::BlockSetup;
 use super::sketch::Sketch;
 
-/// What is known of a block from scouts.
+/// The state of a block's scout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ScoutState {
-    /// Nothing, and no scout was sent.
+    /// No scout was sent, and no sketch is cached.
     NotSent,
-    /// Its scout is in flight.
+    /// The scout is in flight.
     InFlight,
-    /// What the scout of an earlier query reported. It only says where to look first: it proves nothing.
+    /// Sketch from an earlier query's scout. It only decides the order of fetches and proves nothing.
     Cached(Sketch),
-    /// What its scout reported in this query.
+    /// Sketch from this query's scout.
     Reported(Sketch),
-    /// Its scout failed, or did not report in time.
-    Silent,
+    /// The scout failed or did not report in time.
+    Missing,
 }
 
 impl ScoutState {
-    /// The sketch, wherever it is from.
+    /// Returns the sketch, cached or reported.
     pub(super) fn sketch(self) -> Option<Sketch> {
         match self {
             Self::Cached(sketch) | Self::Reported(sketch) => Some(sketch),
-            Self::NotSent | Self::InFlight | Self::Silent => None,
+            Self::NotSent | Self::InFlight | Self::Missing => None,
         }
     }
 }
 
-/// How far the second phase has come with a block.
+/// The state of a block's fetch in the second phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FetchState {
     NotSent,
     InFlight,
     Received,
     Failed,
-    /// Given up for want of time before it was sent.
+    /// Skipped for lack of time before it was sent.
     OutOfTime,
 }
 
@@ -51,12 +51,12 @@
 
 impl Block {
     fn new(setup: BlockSetup) -> Self {
-        let scout = setup.known.map_or(ScoutState::NotSent, ScoutState::Cached);
+        let scout = setup.cached_sketch.map_or(ScoutState::NotSent, ScoutState::Cached);
         Self { shard: setup.shard, weight: setup.weight, scout, fetch: FetchState::NotSent }
     }
 
-    /// Whether no row can have a place among the best: its scout, in this query, reported that it is empty or
-    /// that its bound lies below the threshold.
+    /// Returns whether no row can be among the best: the block's scout in this query reported that it is
+    /// empty, or a bound below the threshold.
     fn is_proved_irrelevant(&self, threshold: Option<f64>) -> bool {
         let ScoutState::Reported(sketch) = self.scout else { return false };
         sketch.is_empty() || threshold.is_some_and(|threshold| sketch.bound < threshold)
@@ -67,13 +67,13 @@
 #[derive(Debug)]
 pub(super) struct Blocks {
     blocks: Vec<Block>,
-    /// Blocks whose scouts are silent are left out.
-    skip_silent: bool,
+    /// Whether blocks without a sketch are skipped because their scouts did not report.
+    skip_missing: bool,
 }
 
 impl Blocks {
-    pub(super) fn new(setup: Vec<BlockSetup>, skip_silent: bool) -> Self {
-        Self { blocks: setup.into_iter().map(Block::new).collect(), skip_silent }
+    pub(super) fn new(setup: Vec<BlockSetup>, skip_missing: bool) -> Self {
+        Self { blocks: setup.into_iter().map(Block::new).collect(), skip_missing }
     }
 
     pub(super) fn get(&self, block: usize) -> &Block {
@@ -84,32 +84,32 @@
         &mut self.blocks[block]
     }
 
-    /// The positions of all blocks.
+    /// Returns the positions of all blocks.
     pub(super) fn positions(&self) -> std::ops::Range<usize> {
         0..self.blocks.len()
     }
 
-    /// The blocks whose scouts are in this state.
+    /// Returns the blocks whose scouts are in this state.
     pub(super) fn with_scout(&self, state: ScoutState) -> Vec<usize> {
         self.positions().filter(|&block| self.blocks[block].scout == state).collect()
     }
 
-    /// The blocks whose fetches are in this state.
+    /// Returns the blocks whose fetches are in this state.
     pub(super) fn with_fetch(&self, state: FetchState) -> Vec<usize> {
         self.positions().filter(|&block| self.blocks[block].fetch == state).collect()
     }
 
-    /// Whether any block's scout is in this state.
+    /// Returns whether any block's scout is in this state.
     pub(super) fn any_scout(&self, state: ScoutState) -> bool {
         self.blocks.iter().any(|block| block.scout == state)
     }
 
-    /// Whether any block's fetch is in this state.
+    /// Returns whether any block's fetch is in this state.
     pub(super) fn any_fetch(&self, state: FetchState) -> bool {
         self.blocks.iter().any(|block| block.fetch == state)
     }
 
-    /// Whether the fetches of all blocks are in this state.
+    /// Returns whether the fetches of all blocks are in this state.
     pub(super) fn all_fetches(&self, state: FetchState) -> bool {
         self.blocks.iter().all(|block| block.fetch == state)
     }
@@ -122,23 +122,23 @@
         blocks.iter().for_each(|&block| self.blocks[block].fetch = state);
     }
 
-    /// The bound of the scores of a block's rows: infinite where no scout reported, and `None` where the block
-    /// is empty or left out.
+    /// Returns the bound of the scores of a block's rows: infinite without a sketch, and `None` if the block
+    /// is empty or skipped.
     pub(super) fn bound(&self, block: usize) -> Option<f64> {
         match self.blocks[block].scout.sketch() {
             Some(sketch) if sketch.is_empty() => None,
             Some(sketch) => Some(sketch.bound),
-            None if self.is_left_out(block) => None,
+            None if self.is_skipped(block) => None,
             None => Some(f64::INFINITY),
         }
     }
 
-    /// Whether a block is left out because its scout is silent.
-    pub(super) fn is_left_out(&self, block: usize) -> bool {
-        self.skip_silent && self.blocks[block].scout == ScoutState::Silent
+    /// Returns whether a block is skipped because its scout did not report.
+    pub(super) fn is_skipped(&self, block: usize) -> bool {
+        self.skip_missing && self.blocks[block].scout == ScoutState::Missing
     }
 
-    /// The weight of the blocks that were received, as a fraction of what the second phase wanted.
+    /// Returns the weight of the received blocks as a fraction of those that the second phase had to fetch.
     pub(super) fn completeness(&self) -> f64 {
         let weight = |counts: fn(FetchState) -> bool| -> f64 {
             self.blocks.iter().filter(|block| counts(block.fetch)).map(|block| block.weight).sum()
@@ -150,14 +150,14 @@
         weight(|fetch| fetch == FetchState::Received) / wanted
     }
 
-    /// Whether every block was received or is proved not to matter.
+    /// Returns whether every block was received or is proved irrelevant.
     pub(super) fn all_received_or_irrelevant(&self, threshold: Option<f64>) -> bool {
         self.blocks
             .iter()
             .all(|block| block.fetch == FetchState::Received || block.is_proved_irrelevant(threshold))
     }
 
-    /// The shards of these blocks.
+    /// Returns the shards of the blocks that match.
     pub(super) fn shards(&self, include: impl Fn(usize, &Block) -> bool) -> Vec<ShardId> {
         let included = self.blocks.iter().enumerate().filter(|&(position, block)| include(position, block));
         included.map(|(_, block)| block.shard).collect()
--- a/crates/core/src/two_phase/mod.rs
+++ b/crates/core/src/two_phase/mod.rs
@@ -1,24 +1,24 @@
-//! Two-phase queries: scouts find the promising blocks, a second phase queries only those.
+//! Two-phase queries: scouts find the promising blocks, and a second phase fetches only those.
 //!
 //! ```text
-//!   start --> Scouting --(all reported, or the budget is spent)--> Waves --(none left can matter)--> Over
-//!      \________ no time for scouts, or all known _____________^  ^___next wave___/
+//!   start --> Scouting --(all reported, or budget spent)--> Waves --(no remaining block matters)--> Over
+//!      \____ no time for scouts, or all sketches cached ____^   ^___ next wave ___/
 //! ```
 //!
-//! - A **block** is one part of the query's data: one shard.
-//! - A **scout** is a cheap part whose value bounds the scores of its block's rows: its [`Sketch`].
-//! - The second phase fetches blocks in the order of their bounds, a **wave** at a time. Each wave's rows raise
-//!   the **threshold** that a row has to reach to be among the best `top`, and a block whose bound lies below
+//! - A **block** is one part of the query's data, held by one shard.
+//! - A **scout** is a cheap part whose value, a [`Sketch`], bounds the scores of its block's rows.
+//! - The second phase fetches blocks by descending bound, one **wave** at a time. Each wave's rows raise the
+//!   **threshold**, the score that a row has to reach to be in the response. A block whose bound lies below
 //!   the threshold is pruned: it is never fetched.
 //!
-//! A response is `whole` if every block was fetched and its rows received. It is `exact` if each block without
-//! rows is proved not to matter: its scout reported in this very query, its bound lies below the threshold (or
-//! it reported that the block is empty), and no block that was fetched contradicted its sketch. A block that
-//! failed or was skipped for want of time counts against the class's minimum completeness; one that was
-//! pruned, or left out by the client's own selection, does not.
+//! A response is complete if every block was fetched and its rows received. It is exact if each block without
+//! rows is proved not to matter: its scout reported in this query, its bound lies below the threshold (or the
+//! block was reported as empty), and no fetched block contradicted its sketch. A block that failed or was
+//! skipped for lack of time counts against the class's minimum completeness; one that was pruned, or excluded
+//! by the client's selection, does not.
 //!
-//! [`Plan`] knows no clock, backend or wire: it is told what arrived and what time it is, and says which parts
-//! to send, which to cancel, and what the response is.
+//! [`Plan`] is a pure state machine without a clock or I/O: it is passed results and the time, and returns
+//! which parts to send, which to cancel, and the response.
 
 mod actions;
 mod blocks;
--- a/crates/core/src/two_phase/phase_times.rs
+++ b/crates/core/src/two_phase/phase_times.rs
@@ -1,53 +1,53 @@
-//! How much of a query's time each phase may take.
+//! Division of a query's time between its phases.
 //!
-//! By default the budget of scouts follows from how long phases took recently: scouts may go on for as long as
-//! the waves behind them can still be expected to end in time, and no longer than nearly all scouts have ever
-//! taken. With little time left they get less than they usually need; with next to none, no scouts are sent,
-//! and the most promising blocks are fetched at once.
+//! By default the budget of scouts follows from recent phase times: scouts may run as long as the waves after
+//! them can be expected to end in time, and at most a multiple of the time in which nearly all scouts report.
+//! With little time remaining they get less than they usually need; with hardly any, no scouts are sent and
+//! the most promising blocks are fetched at once.
 
 use hdrhistogram::Histogram;
 use mallowgauge_router::Micros;
 
-/// How the time is divided between the phases.
+/// How time is divided between the phases.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum ScoutBudgetRule {
-    /// By how long phases took recently.
+    /// By recent phase times.
     #[default]
     Learned,
-    /// Half of what is left is the scouts'.
+    /// Scouts get half of the remaining time.
     Half,
-    /// A fixed fraction of what is left is the scouts'.
+    /// Scouts get a fixed fraction of the remaining time.
     Share(f64),
 }
 
-/// Nearly all scouts have reported by this quantile of their times.
+/// Scouts are expected to take this quantile of their recent times; nearly all have reported by then.
 const SCOUT_TIME_QUANTILE: f64 = 0.95;
-/// A wave is expected to take this quantile of the waves' times.
+/// A wave is expected to take this quantile of recent wave times.
 const WAVE_TIME_QUANTILE: f64 = 0.9;
-/// Fewer observations than this say nothing.
+/// Quantiles are used from this number of observations.
 const MIN_OBSERVATIONS: u64 = 20;
-/// Until then scouts are expected to take this fraction of the latency objective.
+/// Before that, scouts are expected to take this fraction of the latency objective.
 const INITIAL_SCOUT_FRACTION: f64 = 0.15;
-/// Until then a wave is expected to take this fraction of the latency objective.
+/// Before that, a wave is expected to take this fraction of the latency objective.
 const INITIAL_WAVE_FRACTION: f64 = 0.25;
-/// With less than this fraction of what scouts usually need none are sent.
+/// No scouts are sent if less than this fraction of their expected time is available.
 const MIN_SCOUT_FRACTION: f64 = 0.5;
-/// The budget is at most this multiple of what nearly all scouts need, for the few that need more.
+/// The budget is at most this multiple of the scouts' expected time, for the few scouts that take longer.
 const SCOUT_BUDGET_MULTIPLE: Micros = 2;
-/// Time is set aside for so many waves at most: one has to fit, those behind it come if there is time.
+/// Time is reserved for at most this number of waves: one has to fit, and later ones run if there is time.
 const MAX_RESERVED_WAVES: usize = 2;
-/// After so many observations those that were made count half, so that a change shows within this many.
+/// After this number of observations, existing counts are halved, so that a change shows within as many.
 const OBSERVATIONS_PER_DECAY: u64 = 1000;
-/// Longest time that is told apart, in microseconds.
+/// Longest time that the histogram records, in microseconds.
 const MAX_TIME_US: Micros = 600_000_000;
-/// Decimal digits to which times are told apart.
+/// Significant decimal digits of recorded times.
 const TIME_DIGITS: u8 = 2;
 
-/// A distribution of times in which old observations fade.
+/// A histogram of times in which old observations decay.
 #[derive(Debug)]
-struct FadingHistogram(Option<Histogram<u64>>);
+struct DecayingHistogram(Option<Histogram<u64>>);
 
-impl FadingHistogram {
+impl DecayingHistogram {
     fn new() -> Self {
         Self(Histogram::new_with_bounds(1, MAX_TIME_US, TIME_DIGITS).ok())
     }
@@ -72,84 +72,85 @@
         recorded.map(|value| (value.value_iterated_to(), value.count_at_value() / 2)).collect();
     histogram.reset();
     for (value, count) in halves {
-        // Each value was in the histogram, and so fits into it.
+        // Each value comes from this histogram, so recording it cannot fail.
         let _ = histogram.record_n(value, count);
     }
 }
 
-/// How long the phases of one class's queries are expected to take.
+/// Estimates the phase times of one class's queries.
 #[derive(Debug)]
 pub struct PhaseTimeEstimator {
     rule: ScoutBudgetRule,
-    scouts: FadingHistogram,
-    waves: FadingHistogram,
+    scouts: DecayingHistogram,
+    waves: DecayingHistogram,
 }
 
-/// The time that a query's scouts have.
+/// The time budget of a query's scouts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ScoutBudget {
-    /// Scouts may report until then.
+    /// Scouts may report until this time.
     Until(Micros),
-    /// There is no time for scouts: the most promising blocks are fetched at once.
+    /// No scouts are sent: the most promising blocks are fetched at once.
     NoScouts,
 }
 
 impl PhaseTimeEstimator {
-    /// One without observations.
+    /// Creates an estimator without observations.
     #[must_use]
     pub fn new(rule: ScoutBudgetRule) -> Self {
-        Self { rule, scouts: FadingHistogram::new(), waves: FadingHistogram::new() }
+        Self { rule, scouts: DecayingHistogram::new(), waves: DecayingHistogram::new() }
     }
 
-    /// Scouts took so long, in microseconds.
+    /// Records how long a query's scouts took, in microseconds.
     pub fn record_scouts(&mut self, took: Micros) {
         self.scouts.record(took);
     }
 
-    /// A wave took so long, in microseconds.
+    /// Records how long a wave took, in microseconds.
     pub fn record_wave(&mut self, took: Micros) {
         self.waves.record(took);
     }
 
-    /// How long a wave is expected to take, in microseconds, of a class with this latency objective.
+    /// Returns the expected time of a wave in microseconds, for this latency objective of the class.
     #[must_use]
     pub fn wave_time(&self, objective: Micros) -> Micros {
         let initial = (objective as f64 * INITIAL_WAVE_FRACTION) as Micros;
         self.waves.quantile(WAVE_TIME_QUANTILE).unwrap_or(initial)
     }
 
-    /// How long scouts are expected to take, in microseconds.
+    /// Returns the expected time of scouts, in microseconds.
     fn scout_time(&self, objective: Micros) -> Micros {
         let initial = (objective as f64 * INITIAL_SCOUT_FRACTION) as Micros;
         self.scouts.quantile(SCOUT_TIME_QUANTILE).unwrap_or(initial)
     }
 
-    /// The budget of a query's scouts, where `objective` is its class's, `left` is what is left of it, and
-    /// `waves` are expected behind them. Lengths of time are in microseconds.
+    /// Returns the budget of a query's scouts. `objective` is its class's latency objective, `remaining` is
+    /// the time until the query's objective, and `waves` is the number of waves expected after the scouts.
+    /// Durations are in microseconds.
     #[must_use]
-    pub fn budget(&self, now: Micros, objective: Micros, left: Micros, waves: usize) -> ScoutBudget {
-        let fraction = |fraction: f64| ScoutBudget::Until(now + (left as f64 * fraction) as Micros);
+    pub fn budget(&self, now: Micros, objective: Micros, remaining: Micros, waves: usize) -> ScoutBudget {
+        let fraction = |fraction: f64| ScoutBudget::Until(now + (remaining as f64 * fraction) as Micros);
         match self.rule {
             ScoutBudgetRule::Half => fraction(0.5),
             ScoutBudgetRule::Share(fixed) => fraction(fixed),
-            ScoutBudgetRule::Learned => self.learned_budget(now, objective, left, waves),
+            ScoutBudgetRule::Learned => self.learned_budget(now, objective, remaining, waves),
         }
     }
 
-    fn learned_budget(&self, now: Micros, objective: Micros, left: Micros, waves: usize) -> ScoutBudget {
+    fn learned_budget(&self, now: Micros, objective: Micros, remaining: Micros, waves: usize) -> ScoutBudget {
         let scout_time = self.scout_time(objective);
         let reserved_waves = waves.clamp(1, MAX_RESERVED_WAVES) as u64;
         let reserved = self.wave_time(objective).saturating_mul(reserved_waves);
-        let available = left.saturating_sub(reserved);
+        let available = remaining.saturating_sub(reserved);
         if (available as f64) < scout_time as f64 * MIN_SCOUT_FRACTION {
             return ScoutBudget::NoScouts;
         }
         ScoutBudget::Until(now + available.min(scout_time.saturating_mul(SCOUT_BUDGET_MULTIPLE)))
     }
 
-    /// Whether another wave can be expected to end within `left`, in microseconds.
+    /// Returns whether another wave is expected to end within `remaining` microseconds.
     #[must_use]
-    pub fn wave_fits(&self, objective: Micros, left: Micros) -> bool {
-        left >= self.wave_time(objective)
+    pub fn wave_fits(&self, objective: Micros, remaining: Micros) -> bool {
+        remaining >= self.wave_time(objective)
     }
 }
--- a/crates/core/src/two_phase/plan.rs
+++ b/crates/core/src/two_phase/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of one two-phase query: a state machine from its scouts to its response.
+//! The state machine of one two-phase query, from its scouts to its response.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -12,9 +12,9 @@
 use super::sketch::Sketch;
 use super::spec::{BlockSelection, MissingSketchPolicy, PlanSpec};
 
-/// A response has to leave so long before the objective or the deadline to count, in microseconds.
+/// Time before the objective or the deadline by which a response has to be sent, in microseconds.
 const RESPONSE_MARGIN_US: Micros = 20_000;
-/// How far a sum of weights may fall short by rounding.
+/// How much a sum of weights may be too low because of rounding.
 const WEIGHT_ROUNDING: f64 = 1e-6;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     Over,
 }
 
-/// A plan that is carried out. Its methods return what has to be done next.
+/// The execution of a plan. Its methods return the next actions.
 #[derive(Debug)]
 pub struct Plan {
     spec: PlanSpec,
@@ -36,39 +36,39 @@
     wave_time: Micros,
     phase: Phase,
     blocks: Blocks,
-    /// Blocks that are still to be fetched, by falling bound.
+    /// Blocks still to be fetched, by descending bound.
     queue: VecDeque<usize>,
     best: TopRows,
-    /// A block held what its sketch had ruled out: sketches prove nothing any more.
+    /// Whether the rows of a block contradicted its sketch. If so, sketches prove nothing any more.
     sketch_contradicted: bool,
-    /// A part with an effect failed and may have been executed.
+    /// Whether a part with an effect failed and may have been executed.
     effect_possible: bool,
     effect: Option<BlockEffect>,
     started_at: Micros,
     last_report_at: Option<Micros>,
     wave_started_at: Micros,
-    /// Of phases that have ended and were not taken yet.
+    /// Times of ended phases that were not taken yet.
     phase_times: PhaseTimes,
 }
 
-/// The latest that a response may leave for an instant by which it has to be there.
+/// Returns the latest time at which a response may be sent to arrive by `at`.
 fn send_by(at: Micros) -> Micros {
     at.saturating_sub(RESPONSE_MARGIN_US)
 }
 
 impl Plan {
-    /// A plan, and what it wants first.
+    /// Starts a plan. Returns it with its first actions.
     #[must_use]
     pub fn start(now: Micros, setup: PlanSetup) -> (Self, Vec<PlanAction>) {
         let budget = setup.budget;
         let mut plan = Self::new(now, setup);
         let mut actions = Vec::new();
-        let unknown = plan.blocks.with_scout(ScoutState::NotSent);
-        if budget == ScoutBudget::NoScouts || unknown.is_empty() {
+        let to_scout = plan.blocks.with_scout(ScoutState::NotSent);
+        if budget == ScoutBudget::NoScouts || to_scout.is_empty() {
             plan.start_waves(now, &mut actions);
         } else {
-            plan.blocks.set_scouts(&unknown, ScoutState::InFlight);
-            actions.push(PlanAction::SendScouts(unknown));
+            plan.blocks.set_scouts(&to_scout, ScoutState::InFlight);
+            actions.push(PlanAction::SendScouts(to_scout));
         }
         (plan, actions)
     }
@@ -100,18 +100,18 @@
         }
     }
 
-    /// Whether the final action was returned.
+    /// Returns whether the final action was returned.
     #[must_use]
     pub fn is_over(&self) -> bool {
         self.phase == Phase::Over
     }
 
-    /// How long the phases took that have ended since the last call.
+    /// Returns the durations of the phases that have ended since the last call.
     pub fn take_phase_times(&mut self) -> PhaseTimes {
         std::mem::take(&mut self.phase_times)
     }
 
-    /// When [`Plan::handle_timeout`] is to be called.
+    /// Returns when [`Plan::handle_timeout`] has to be called.
     #[must_use]
     pub fn poll_timeout(&self) -> Option<Micros> {
         let (objective, deadline) = (send_by(self.objective), send_by(self.deadline));
@@ -123,8 +123,8 @@
         }
     }
 
-    /// A scout has reported, or never will. One whose budget was spent before is ignored: its block was dealt
-    /// with as silent.
+    /// Handles the report or the failure of a scout. A report after the budget is ignored: its block was
+    /// already treated as one without a sketch.
     pub fn scout_completed(
         &mut self,
         now: Micros,
@@ -140,7 +140,7 @@
                 self.last_report_at = Some(now);
                 ScoutState::Reported(sketch)
             }
-            Err(_) => ScoutState::Silent,
+            Err(_) => ScoutState::Missing,
         };
         if !self.blocks.any_scout(ScoutState::InFlight) {
             self.end_scouting(now, &mut actions);
@@ -148,7 +148,7 @@
         actions
     }
 
-    /// The rows of a block were received, or never will be.
+    /// Handles the rows of a block, or the failure of its fetch.
     pub fn fetch_completed(
         &mut self,
         now: Micros,
@@ -175,7 +175,7 @@
         actions
     }
 
-    /// The block of a non-idempotent query has answered: the query has had its effect.
+    /// Handles the value of a block that executed a non-idempotent query.
     pub fn effect_completed(&mut self, now: Micros, block: usize, value: Rc<str>) -> Vec<PlanAction> {
         let mut actions = Vec::new();
         if self.is_fetching(block) {
@@ -191,13 +191,13 @@
         self.phase == Phase::Waves && self.blocks.get(block).fetch == FetchState::InFlight
     }
 
-    /// Ends a phase whose time is up.
+    /// Ends each phase whose time is up.
     pub fn handle_timeout(&mut self, now: Micros) -> Vec<PlanAction> {
         let mut actions = Vec::new();
         let (objective, deadline) = (send_by(self.objective), send_by(self.deadline));
         if self.phase == Phase::Scouting && now >= self.scout_until.min(deadline) {
             let late = self.blocks.with_scout(ScoutState::InFlight);
-            self.blocks.set_scouts(&late, ScoutState::Silent);
+            self.blocks.set_scouts(&late, ScoutState::Missing);
             actions.push(PlanAction::CancelScouts(late));
             self.end_scouting(now, &mut actions);
         }
@@ -208,8 +208,8 @@
         actions
     }
 
-    /// Goes on to the second phase. Only scouts that reported count for how long scouting took: one that was cut
-    /// off at its budget would make the next budget longer, and that one the next.
+    /// Starts the second phase. Only scouts that reported count for the recorded time: a scout cut off at its
+    /// budget would make the next budget longer, and that one the next.
     fn end_scouting(&mut self, now: Micros, actions: &mut Vec<PlanAction>) {
         self.phase_times.scouts = self.last_report_at.map(|at| at.saturating_sub(self.started_at));
         self.start_waves(now, actions);
@@ -221,7 +221,7 @@
         self.advance(now, actions);
     }
 
-    /// The blocks that the client's selection takes, by falling bound and then by shard.
+    /// Returns the blocks in the client's selection, by descending bound and then by shard.
     fn selected_blocks(&self) -> VecDeque<usize> {
         struct Candidate {
             bound: f64,
@@ -236,22 +236,23 @@
             BlockSelection::Share(share) => {
                 let highest =
                     candidates.iter().map(|candidate| candidate.bound).find(|bound| bound.is_finite());
-                // Subtracted, not multiplied: of bounds below zero too the fraction lies below the highest.
-                let least = highest.map_or(f64::NEG_INFINITY, |high| high - (1.0 - share) * high.abs());
-                candidates.retain(|candidate| candidate.bound >= least);
+                // Subtracting instead of multiplying gives a limit below the highest bound for negative
+                // bounds, too.
+                let minimum = highest.map_or(f64::NEG_INFINITY, |high| high - (1.0 - share) * high.abs());
+                candidates.retain(|candidate| candidate.bound >= minimum);
             }
             BlockSelection::Threshold | BlockSelection::All => {}
         }
         candidates.into_iter().map(|candidate| candidate.block).collect()
     }
 
-    /// Once no fetch is in flight: starts the next wave, or finishes.
+    /// Starts the next wave or finishes, if no fetch is in flight.
     fn advance(&mut self, now: Micros, actions: &mut Vec<PlanAction>) {
         if self.phase != Phase::Waves {
             return;
         }
         if self.effect.is_some() || self.effect_possible {
-            // The effect was had, or may have been: no other block is fetched.
+            // The query has had its effect, or may have: no other block is fetched.
             return self.finish(now, actions);
         }
         if self.blocks.any_fetch(FetchState::InFlight) {
@@ -277,14 +278,14 @@
         actions.push(PlanAction::Fetch(wave));
     }
 
-    /// Whether the next wave is expected to end after the objective. With an effect there is always a next
-    /// wave, since nothing has happened yet.
+    /// Returns whether the next wave is expected to end after the objective. Never true for a query with an
+    /// effect, since nothing has been executed yet.
     fn next_wave_is_late(&self, now: Micros) -> bool {
         !self.has_effect && now + self.wave_time > send_by(self.objective)
     }
 
-    /// Whether the class allows a response without the blocks in the queue, and gives these up if so. If not,
-    /// all that is left is to go on past the objective.
+    /// Returns whether the class allows a response without the queued blocks, and marks these as out of time
+    /// if so. If not, the plan has to continue past the objective.
     fn can_respond_without_queue(&mut self) -> bool {
         let rest: Vec<usize> = self.queue.iter().copied().collect();
         self.blocks.set_fetches(&rest, FetchState::OutOfTime);
@@ -295,18 +296,18 @@
         false
     }
 
-    /// Takes blocks out of the queue that cannot bring a row among the best.
+    /// Removes blocks from the queue that cannot have a row among the best.
     fn prune(&mut self) {
         if self.spec.selection == BlockSelection::All || self.sketch_contradicted {
             return;
         }
         let Some(threshold) = self.best.threshold() else { return };
         let blocks = &self.blocks;
-        // At the threshold itself the row's id could still decide.
+        // A bound equal to the threshold is kept: the row's id could still decide the order.
         self.queue.retain(|&block| blocks.bound(block).is_some_and(|bound| bound >= threshold));
     }
 
-    /// Whether what was received suffices for a response, if nothing more comes.
+    /// Returns whether what was received suffices for a response.
     fn can_respond(&self) -> bool {
         !self.has_effect && !self.blocks.all_fetches(FetchState::NotSent) && self.is_complete_enough()
     }
@@ -315,10 +316,10 @@
         self.blocks.completeness() >= self.minimum_completeness - WEIGHT_ROUNDING
     }
 
-    /// Ends the plan: cancels what is in flight, and responds or gives up.
+    /// Ends the plan: cancels the parts in flight, and responds or gives up.
     fn finish(&mut self, now: Micros, actions: &mut Vec<PlanAction>) {
         if now >= send_by(self.objective) {
-            // What was still to be fetched is out of time, unless its bound rules it out.
+            // Queued blocks are out of time, unless their bounds exclude them.
             self.prune();
             let rest: Vec<usize> = std::mem::take(&mut self.queue).into();
             self.blocks.set_fetches(&rest, FetchState::OutOfTime);
@@ -337,28 +338,28 @@
         });
     }
 
-    /// Whether a plan that is over has a response.
+    /// Returns whether a finished plan has a response.
     fn has_response(&self) -> bool {
         if self.has_effect {
             return self.effect.is_some();
         }
         if self.blocks.all_fetches(FetchState::NotSent) {
-            // Nothing was fetched: the response is empty if that is proved to be right.
+            // Nothing was fetched: an empty response is given only if it is proved right.
             return self.blocks.all_received_or_irrelevant(self.best.threshold());
         }
         self.is_complete_enough()
     }
 
     fn ranked(&self) -> Ranked {
-        let whole = self.blocks.all_fetches(FetchState::Received);
+        let complete = self.blocks.all_fetches(FetchState::Received);
         let proved = !self.has_effect
             && !self.sketch_contradicted
             && self.blocks.all_received_or_irrelevant(self.best.threshold());
         let with_fetch = |state| self.blocks.shards(|_, block| block.fetch == state);
-        let skipped = |position| self.blocks.is_left_out(position);
+        let skipped = |position| self.blocks.is_skipped(position);
         Ranked {
-            complete: whole,
-            exact: whole || proved,
+            complete,
+            exact: complete || proved,
             rows: self.best.rows().to_vec(),
             effect: self.effect.clone(),
             fetched: with_fetch(FetchState::Received),
--- a/crates/core/src/two_phase/rows.rs
+++ b/crates/core/src/two_phase/rows.rs
@@ -1,7 +1,7 @@
-//! Rows of the second phase: parsed, ordered, cut to the best.
+//! Rows of the second phase: parsing, ordering and truncation to the best.
 //!
-//! The order is total: the higher score first, then the smaller id (as text), then the smaller shard. The same
-//! rows give the same response, in whatever order they arrive.
+//! The order is total: descending score, then ascending id (as a string), then ascending shard. The same rows
+//! give the same response in whatever order they arrive.
 
 use std::cmp::Ordering;
 use std::rc::Rc;
@@ -9,24 +9,24 @@
 use mallowgauge_router::ShardId;
 use serde_json::Value;
 
-/// Most rows of one block.
+/// Maximum number of rows of one block.
 pub const MAX_ROWS_PER_BLOCK: usize = 10_000;
 
 /// A row of a response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// What it is ranked by; finite.
+    /// The score by which the row is ranked; finite.
     pub score: f64,
-    /// What it is known by within its block.
+    /// The id of the row within its block.
     pub id: Rc<str>,
-    /// The block that it is from.
+    /// The shard of the row's block.
     pub shard: ShardId,
-    /// The row as its backend wrote it.
+    /// The row's JSON text.
     pub text: Rc<str>,
 }
 
 impl Row {
-    /// The order of two rows in a response.
+    /// Compares two rows by their order in a response.
     #[must_use]
     pub fn order(&self, other: &Self) -> Ordering {
         let by_score = other.score.total_cmp(&self.score);
@@ -34,27 +34,27 @@
     }
 }
 
-/// Why the value of a block is no list of rows.
+/// Why the value of a block is not a valid list of rows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RowsError {
     /// The value is not a JSON list.
-    #[error("no list of rows")]
+    #[error("value is not a JSON list")]
     NotAList,
     /// The list has more than [`MAX_ROWS_PER_BLOCK`] rows.
-    #[error("more rows than are taken")]
+    #[error("list has more than {MAX_ROWS_PER_BLOCK} rows")]
     TooManyRows,
     /// A row has no finite number as its `score`.
-    #[error("a row without a score")]
+    #[error("row has no finite number as its `score`")]
     MissingScore,
-    /// A row has no text as its `id`.
-    #[error("a row without an id")]
+    /// A row has no string as its `id`.
+    #[error("row has no string as its `id`")]
     MissingId,
 }
 
 /// Parses the rows of a block: a JSON list of objects with `score` and `id`.
 ///
 /// # Errors
-/// The text is no such list.
+/// The text is not such a list.
 pub fn parse_rows(shard: ShardId, text: &str) -> Result<Vec<Row>, RowsError> {
     let list: Vec<Value> = serde_json::from_str(text).map_err(|_| RowsError::NotAList)?;
     if list.len() > MAX_ROWS_PER_BLOCK {
@@ -78,7 +78,7 @@
 }
 
 impl TopRows {
-    /// None yet, and at most `limit`.
+    /// Creates an empty list for at most `limit` rows.
     #[must_use]
     pub fn new(limit: usize) -> Self {
         Self { rows: Vec::new(), limit }
@@ -91,13 +91,13 @@
         self.rows.truncate(self.limit);
     }
 
-    /// The score that a row has to reach to be among the best; `None` until there are enough.
+    /// Returns the score that a row has to reach to be among the best; `None` until there are `limit` rows.
     #[must_use]
     pub fn threshold(&self) -> Option<f64> {
         self.rows.get(self.limit.checked_sub(1)?).map(|row| row.score)
     }
 
-    /// The rows, best first.
+    /// Returns the rows, best first.
     #[must_use]
     pub fn rows(&self) -> &[Row] {
         &self.rows
--- a/crates/core/src/two_phase/sketch.rs
+++ b/crates/core/src/two_phase/sketch.rs
@@ -1,4 +1,4 @@
-//! Sketches: what a scout reports of its block.
+//! Sketches: the summaries of blocks that scouts report.
 
 use serde_json::Value;
 
@@ -7,23 +7,24 @@
 /// Longest sketch, in bytes of text.
 const MAX_SKETCH_BYTES: usize = 1024;
 
-/// What a scout reports of its block.
+/// A scout's summary of its block.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sketch {
-    /// No row of the block has a higher score; finite.
+    /// Upper bound of the scores of the block's rows; finite.
     pub bound: f64,
-    /// How many rows the block has, if the scout says.
+    /// Number of rows in the block, if reported.
     pub count: Option<u64>,
 }
 
 impl Sketch {
-    /// Whether the block has no rows.
+    /// Returns whether the block has no rows.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.count == Some(0)
     }
 
-    /// Whether these rows cannot be all of the block's, if the sketch is right.
+    /// Returns whether these rows of the block contradict the sketch: a score above the bound, or more rows
+    /// than reported.
     #[must_use]
     pub fn is_contradicted_by(&self, rows: &[Row]) -> bool {
         let above_bound = rows.iter().any(|row| row.score > self.bound);
@@ -31,27 +32,27 @@
     }
 }
 
-/// Why the value of a scout is no sketch.
+/// Why the value of a scout is not a valid sketch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SketchError {
-    /// The text is longer than any sketch.
-    #[error("more than a sketch")]
+    /// The text is longer than a sketch may be.
+    #[error("sketch is longer than {MAX_SKETCH_BYTES} bytes")]
     TooLong,
     /// The text is not JSON.
-    #[error("no sketch")]
+    #[error("sketch is not JSON")]
     NotJson,
-    /// `bound` is missing or no finite number.
-    #[error("a bound that is no number")]
+    /// `bound` is missing or not a finite number.
+    #[error("sketch has no finite `bound`")]
     InvalidBound,
-    /// `count` is no whole number from 0.
-    #[error("a count that is no number")]
+    /// `count` is not a non-negative integer.
+    #[error("`count` of the sketch is not a non-negative integer")]
     InvalidCount,
 }
 
-/// Parses what a scout reported: a JSON object with `bound` and perhaps `count`.
+/// Parses the value of a scout: a JSON object with `bound` and optionally `count`.
 ///
 /// # Errors
-/// The text is no such object.
+/// The text is not such an object.
 pub fn parse_sketch(text: &str) -> Result<Sketch, SketchError> {
     if text.len() > MAX_SKETCH_BYTES {
         return Err(SketchError::TooLong);
--- a/crates/core/src/two_phase/sketch_cache.rs
+++ b/crates/core/src/two_phase/sketch_cache.rs
@@ -1,8 +1,9 @@
-//! What scouts reported, cached for a short while so that a repeated query can skip its first phase.
+//! A cache of sketches, so that a query repeated within a short time can skip its first phase.
 //!
-//! Sketches are known by predicate and block. They are bounded in number and age, and discarded with whatever
-//! makes them doubtful: a backend that held the block restarted, drains or left, or another one holds it now.
-//! A cached sketch only says where to look first: a response that rests on one is never `exact`.
+//! Sketches are keyed by predicate and block. Their number and age are limited, and they are invalidated when
+//! they may be outdated: when a backend with a replica of the block restarted, drains or was removed, or when
+//! another backend has one now. A cached sketch only decides the order of fetches: a response that depends on
+//! one is never exact.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,15 +14,15 @@
 /// The limits of the cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SketchCacheLimits {
-    /// Most sketches; with 0 none are cached.
+    /// Maximum number of sketches; 0 disables the cache.
     pub entries: usize,
-    /// How long a sketch counts, in microseconds.
+    /// Maximum age of a sketch, in microseconds.
     pub age: Micros,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SketchKey {
-    /// A hash of what the query asks.
+    /// Hash of the query's body.
     predicate: u64,
     shard: ShardId,
 }
@@ -38,7 +39,7 @@
     key: SketchKey,
 }
 
-/// The cached sketches.
+/// A cache of sketches, limited in number and age.
 #[derive(Debug)]
 pub struct SketchCache {
     limits: SketchCacheLimits,
@@ -47,13 +48,13 @@
 }
 
 impl SketchCache {
-    /// An empty cache.
+    /// Creates an empty cache.
     #[must_use]
     pub fn new(limits: SketchCacheLimits) -> Self {
         Self { limits, entries: BTreeMap::new(), by_age: BTreeSet::new() }
     }
 
-    /// Caches what a scout reported; the oldest sketch is evicted for it if necessary.
+    /// Caches a reported sketch, and evicts the oldest one if necessary.
     pub fn insert(&mut self, now: Micros, predicate: u64, shard: ShardId, sketch: Sketch) {
         if self.limits.entries == 0 {
             return;
@@ -70,26 +71,26 @@
         }
     }
 
-    /// What is known of a block.
+    /// Returns the sketch of a block, unless it is too old.
     #[must_use]
     pub fn get(&self, now: Micros, predicate: u64, shard: ShardId) -> Option<Sketch> {
         let cached = self.entries.get(&SketchKey { predicate, shard })?;
         (cached.stored_at + self.limits.age > now).then_some(cached.sketch)
     }
 
-    /// Discards the sketches of these blocks.
-    pub fn invalidate(&mut self, is_doubtful: impl Fn(ShardId) -> bool) {
+    /// Discards the sketches of blocks on these shards.
+    pub fn invalidate(&mut self, is_outdated: impl Fn(ShardId) -> bool) {
         let by_age = &mut self.by_age;
         self.entries.retain(|&key, cached| {
-            let doubtful = is_doubtful(key.shard);
-            if doubtful {
+            let outdated = is_outdated(key.shard);
+            if outdated {
                 by_age.remove(&AgeEntry { stored_at: cached.stored_at, key });
             }
-            !doubtful
+            !outdated
         });
     }
 
-    /// How many sketches are cached.
+    /// Returns the number of cached sketches.
     #[must_use]
     pub fn count(&self) -> usize {
         self.entries.len()
--- a/crates/core/src/two_phase/spec.rs
+++ b/crates/core/src/two_phase/spec.rs
@@ -1,42 +1,42 @@
-//! What a client wants of a two-phase query.
+//! The plan that a client requests for a two-phase query.
 
 /// Which blocks the second phase fetches.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BlockSelection {
-    /// So many, with the highest bounds.
+    /// This number of blocks, those with the highest bounds.
     Best(usize),
-    /// Each block whose bound can still bring a row among the best.
+    /// Each block whose bound reaches the current threshold.
     Threshold,
     /// Each block whose bound is at least this fraction of the highest one.
     Share(f64),
-    /// All, whatever their bounds: these only decide the order, and nothing is pruned.
+    /// All blocks. Bounds only decide the order, and nothing is pruned.
     All,
 }
 
-/// What becomes of blocks whose scouts did not report within their budget.
+/// How blocks are treated whose scouts did not report within their budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum MissingSketchPolicy {
-    /// They are fetched before all others, since nothing bounds their rows.
+    /// Fetches them before all others, since nothing bounds their rows.
     #[default]
     Fetch,
-    /// They are left out, and the response says so.
+    /// Excludes them, and lists them as skipped in the response.
     Skip,
 }
 
-/// What a client wants.
+/// The plan that a client requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlanSpec {
     /// Which blocks are fetched.
     pub selection: BlockSelection,
-    /// How many rows are returned.
+    /// Maximum number of rows in the response.
     pub row_limit: usize,
-    /// How many blocks are fetched at a time.
+    /// Number of blocks that are fetched at a time.
     pub wave_size: usize,
-    /// What becomes of blocks whose scouts did not report.
+    /// How blocks are treated whose scouts did not report.
     pub missing_sketches: MissingSketchPolicy,
 }
 
-/// Most rows that a client may want.
+/// Maximum row limit that a client may request.
 pub const MAX_ROW_LIMIT: usize = 1000;
-/// Most blocks of a wave.
+/// Maximum wave size that a client may request.
 pub const MAX_WAVE_SIZE: usize = 1000;
--- a/crates/core/src/validation.rs
+++ b/crates/core/src/validation.rs
@@ -22,8 +22,8 @@
     DuplicateShard,
     /// A weight is not above 0, or the weights do not add up to 1.
     InvalidWeights,
-    /// A query with the same id is open. Backends identify parts by the query's id, so two queries could not be
-    /// distinguished.
+    /// A query with the same id is open. Backends identify parts by the query's id, so two queries could not
+    /// be distinguished.
     IdInUse,
     /// A query with the same id and a different body, class or list of parts is open.
     IdInUseWithDifferentBody,
--- a/crates/core/tests/client_disconnected.rs
+++ b/crates/core/tests/client_disconnected.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect while their query is open.
+//! Clients that disconnect while their queries are open.
 
 mod common;
 
@@ -18,13 +18,13 @@
     };
     let limits = CoreLimits { max_open: 100, shards: 1 };
     let settings = common::settings(vec![class]);
-    let mut core = Core::new(7, settings, vec!["hold".to_owned()], limits).expect("sound settings");
+    let mut core = Core::new(7, settings, vec!["non-idempotent".to_owned()], limits).expect("valid settings");
     core.require_permits();
     core
 }
 
-/// Lists the only backend; how many attempts wait for a permit after some batches.
-fn attempts(core: &mut Core) -> usize {
+/// Lists the only backend and returns how many permits are requested in the batches that follow.
+fn permit_requests(core: &mut Core) -> usize {
     let backend = Endpoint {
         backend: BackendId(0),
         ring_position: 0,
@@ -41,32 +41,32 @@
 }
 
 #[test]
-fn a_query_whose_client_disconnected_before_its_first_attempt_is_not_begun() {
+fn a_query_whose_client_disconnects_before_the_first_attempt_is_not_sent() {
     let mut core = core();
-    core.submit(START, ResponseHandle::Http(1), request("a")).expect("it is opened");
+    core.submit(START, ResponseHandle::Http(1), request("a")).expect("the query is opened");
     core.client_disconnected(ResponseHandle::Http(1));
-    assert_eq!((core.open_queries(), attempts(&mut core)), (0, 0));
+    assert_eq!((core.open_queries(), permit_requests(&mut core)), (0, 0));
 }
 
 #[test]
-fn a_non_idempotent_query_that_was_attempted_outlives_its_client() {
+fn an_attempted_non_idempotent_query_outlives_its_client() {
     let mut core = core();
-    core.submit(START, ResponseHandle::Http(1), request("a")).expect("it is opened");
-    assert_eq!(attempts(&mut core), 1);
+    core.submit(START, ResponseHandle::Http(1), request("a")).expect("the query is opened");
+    assert_eq!(permit_requests(&mut core), 1);
     core.client_disconnected(ResponseHandle::Http(1));
     assert_eq!(core.open_queries(), 1);
 }
 
 #[test]
-fn a_non_idempotent_query_goes_on_for_its_coalesced_waiters() {
-    for leaves in [[1, 2], [2, 1]] {
+fn a_non_idempotent_query_continues_for_its_coalesced_waiters() {
+    for disconnect_order in [[1, 2], [2, 1]] {
         let mut core = core();
-        core.submit(START, ResponseHandle::Http(1), request("a")).expect("it is opened");
+        core.submit(START, ResponseHandle::Http(1), request("a")).expect("the query is opened");
         core.submit(START, ResponseHandle::Http(2), QueryRequest { retry: true, ..request("a") })
-            .expect("it waits for the same outcome");
-        core.client_disconnected(ResponseHandle::Http(leaves[0]));
+            .expect("the query is coalesced");
+        core.client_disconnected(ResponseHandle::Http(disconnect_order[0]));
         assert_eq!(core.open_queries(), 1);
-        core.client_disconnected(ResponseHandle::Http(leaves[1]));
-        assert_eq!((core.open_queries(), attempts(&mut core)), (0, 0));
+        core.client_disconnected(ResponseHandle::Http(disconnect_order[1]));
+        assert_eq!((core.open_queries(), permit_requests(&mut core)), (0, 0));
     }
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Scaffolding that several test files share.
+//! Helpers shared by several test files.
 
 use mallowgauge_core::{PartRequest, QueryRequest};
 use mallowgauge_router::{
@@ -10,10 +10,10 @@
 pub const MS: Micros = 1_000;
 /// Seconds in microseconds.
 pub const SECOND: Micros = 1_000_000;
-/// How often the router is given what came.
+/// Interval between batches of the router.
 pub const BATCH_INTERVAL: Micros = 5 * MS;
 
-/// A class that needs complete responses.
+/// Returns a class that requires complete responses.
 pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: SECOND,
@@ -28,7 +28,7 @@
     }
 }
 
-/// One router over shards that one ring position holds each.
+/// Returns settings of one router, with one replica of each shard.
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings {
         routers: 1,
@@ -55,7 +55,7 @@
     }
 }
 
-/// A request of the first class for one part.
+/// Returns a request of the first class for one part.
 pub fn request(id: &str) -> QueryRequest {
     QueryRequest {
         id: id.into(),
--- a/crates/core/tests/connection_limits.rs
+++ b/crates/core/tests/connection_limits.rs
@@ -19,8 +19,8 @@
     })
 }
 
-// Guards against fewer connections than backends (512 descriptors, 179 backends, 124 connections): calls without
-// a connection fail, and all backends end up ejected.
+// Guards against fewer connections than backends (512 descriptors, 179 backends, 124 connections): calls
+// without a connection fail, and all backends end up ejected.
 #[test]
 fn more_backends_than_a_quarter_of_the_descriptors_get_a_connection_each() {
     assert!(limits(512, 64, 179).backends >= 179 + 179 / 5);
@@ -61,7 +61,8 @@
         prop_assert!(limits.clients >= ((descriptors - 16) / 4).min(megabytes * MB / 2 / 80 / 1024));
     }
 
-    // A model pool that applies the rules: calls to random backends, whose connections become idle or stay busy.
+    // A model pool that applies the rules: calls to random backends, whose connections become idle or stay
+    // busy.
     #[test]
     fn a_pool_never_exceeds_its_limit_and_serves_every_backend(
         limit in 1_usize..40, backends in 1_u32..60, steps in prop::collection::vec((0_u32..60, any::<bool>()), 1..400),
--- a/crates/core/tests/polled_queries.rs
+++ b/crates/core/tests/polled_queries.rs
@@ -1,5 +1,5 @@
-//! Random histories of polled queries, checked against a model: whoever submits it, a non-idempotent query is
-//! executed once, every waiter is given one outcome, and memory stays within its limits.
+//! Random histories of polled queries, checked against a model: a non-idempotent query is executed once
+//! whichever calls submit it, every waiter gets its outcome, and memory stays within its limits.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -41,43 +41,44 @@
     PolledQueryKey { user: "ann".into(), id: id.to_string().into() }
 }
 
-/// What the model knows of an id.
+/// The model's record of an id.
 #[derive(Default)]
-struct Known {
-    /// Runs that were not proved not executed, with when their outcome came.
-    ran: Vec<(u64, Option<u64>)>,
+struct History {
+    /// Runs that are not proved not executed, each with the time of its outcome.
+    runs: Vec<(u64, Option<u64>)>,
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_non_idempotent_query_runs_once_and_every_waiter_is_given_its_outcome(steps in prop::collection::vec(step(), 1..200)) {
+    fn a_non_idempotent_query_runs_once_and_every_waiter_gets_its_outcome(steps in prop::collection::vec(step(), 1..200)) {
         let mut polled: PolledQueries<u64> = PolledQueries::new(LIMITS);
         let (mut now, mut next) = (1_000_u64, 0_u64);
         let mut running: BTreeMap<RunId, u8> = BTreeMap::new();
         let mut waiting: BTreeMap<WaiterId, u8> = BTreeMap::new();
-        let mut known: BTreeMap<u8, Known> = BTreeMap::new();
-        // The one ticket of each id was created at the start.
-        let made = 500_u64;
+        let mut histories: BTreeMap<u8, History> = BTreeMap::new();
+        // Each id has one ticket, created at the start.
+        let created_at = 500_u64;
         for step in steps {
             match step {
                 Step::Submit { id, body, with_ticket } => {
                     next += 2;
                     let (run, caller) = (RunId(next), WaiterId(next + 1));
-                    let made = with_ticket.then_some(made);
-                    let spec = PolledQuerySpec { request_hash: body.into(), non_idempotent: true, polled: false, ticket_created_at: made };
+                    let ticket_created_at = with_ticket.then_some(created_at);
+                    let spec = PolledQuerySpec { request_hash: body.into(), non_idempotent: true, polled: false, ticket_created_at };
                     match polled.submit(now, &key(id), spec, Some(caller), run) {
                         Submission::Run(got) => {
                             prop_assert_eq!(got, run);
-                            let past = known.entry(id).or_default();
-                            // A ticket is never run again. An id alone is not while its outcome is retained.
-                            for (_, completed_at) in &past.ran {
-                                let completed_at = completed_at.expect("it is not run while it runs");
+                            let past = histories.entry(id).or_default();
+                            // A ticket is never run again; an id without a ticket not while its outcome is
+                            // retained.
+                            for (_, completed_at) in &past.runs {
+                                let completed_at = completed_at.expect("a running query is not run again");
                                 prop_assert!(!with_ticket, "a ticket was run twice");
-                                prop_assert!(completed_at + RETENTION <= now, "run again while it is retained");
+                                prop_assert!(completed_at + RETENTION <= now, "run again while its outcome is retained");
                             }
-                            past.ran.push((run.0, None));
+                            past.runs.push((run.0, None));
                             running.insert(run, id);
                             waiting.insert(caller, id);
                         }
@@ -86,8 +87,8 @@
                             waiting.insert(caller, id);
                         }
                         Submission::Replay(outcome) => {
-                            let told = known[&id].ran.iter().any(|(run, at)| *run == outcome && at.is_some());
-                            prop_assert!(told, "an outcome of its own");
+                            let is_known = histories[&id].runs.iter().any(|(run, at)| *run == outcome && at.is_some());
+                            prop_assert!(is_known, "not the outcome of a run of this id");
                         }
                         Submission::Reject(RejectReason::Full) => prop_assert!(polled.counts().0 >= LIMITS.queries),
                         Submission::Reject(_) => {}
@@ -99,27 +100,27 @@
                 Step::Complete { which, bytes, not_executed } => {
                     let Some((&run, &id)) = running.iter().nth(which % running.len().max(1)) else { continue };
                     running.remove(&run);
-                    let told = polled.complete(now, run, run.0, bytes, not_executed);
-                    let past = &mut known.get_mut(&id).expect("it was run").ran;
+                    let notified = polled.complete(now, run, run.0, bytes, not_executed);
+                    let past = &mut histories.get_mut(&id).expect("it was run").runs;
                     if not_executed {
                         past.retain(|(number, _)| *number != run.0);
                     } else if let Some(last) = past.last_mut() {
                         last.1 = Some(now);
                     }
-                    let due: BTreeSet<WaiterId> =
+                    let expected: BTreeSet<WaiterId> =
                         waiting.iter().filter(|(_, at)| **at == id).map(|(&c, _)| c).collect();
-                    prop_assert_eq!(told.into_iter().collect::<BTreeSet<_>>(), due, "all are given it, once");
+                    prop_assert_eq!(notified.into_iter().collect::<BTreeSet<_>>(), expected, "each waiter is notified once");
                     waiting.retain(|_, at| *at != id);
                 }
                 Step::Disconnect { which } => {
                     let Some((&caller, _)) = waiting.iter().nth(which % waiting.len().max(1)) else { continue };
                     waiting.remove(&caller);
-                    prop_assert_eq!(polled.remove_waiter(caller), None, "a non-idempotent one goes on without waiters");
+                    prop_assert_eq!(polled.remove_waiter(caller), None, "a non-idempotent query continues without waiters");
                 }
                 Step::Cancel { id } => {
-                    // Whatever runs may have had its effect.
-                    let done = polled.cancel(now, &key(id), |_| true);
-                    prop_assert!(!matches!(done, CancelResult::Cancelled(..)));
+                    // Every run may have been executed.
+                    let result = polled.cancel(now, &key(id), |_| true);
+                    prop_assert!(!matches!(result, CancelResult::Cancelled(..)));
                 }
                 Step::Wait(time) => {
                     now += time;
@@ -129,7 +130,7 @@
             let (count, bytes) = polled.counts();
             prop_assert!(count <= LIMITS.queries && bytes <= LIMITS.outcome_bytes, "{count} queries, {bytes} bytes");
         }
-        // Whatever still runs can be completed, and nobody is left waiting.
+        // All runs can be completed, and no call is left waiting.
         for (run, id) in running {
             for caller in polled.complete(now, run, run.0, 0, false) {
                 prop_assert_eq!(waiting.remove(&caller), Some(id));
@@ -146,11 +147,11 @@
         prop_assert_eq!(polled.submit(now, &key(1), spec, None, RunId(1)), Submission::Run(RunId(1)));
         let mut cancelled = false;
         for wait in waits {
-            let due = polled.poll_timeout().expect("it is looked at");
+            let due = polled.poll_timeout().expect("a polled query has a timeout");
             now += wait;
-            let over = polled.handle_timeout(now);
-            prop_assert_eq!(!over.is_empty(), !cancelled && due <= now && over == [RunId(1)]);
-            cancelled |= !over.is_empty();
+            let cancelled_runs = polled.handle_timeout(now);
+            prop_assert_eq!(!cancelled_runs.is_empty(), !cancelled && due <= now && cancelled_runs == [RunId(1)]);
+            cancelled |= !cancelled_runs.is_empty();
             prop_assert!(cancelled || wait < LIMITS.poll_timeout);
             let _ = polled.state(now, &key(1));
             if cancelled {
@@ -164,34 +165,34 @@
 }
 
 #[test]
-fn what_was_evicted_is_not_run_again() {
+fn an_evicted_query_is_not_run_again() {
     let mut polled: PolledQueries<u64> = PolledQueries::new(LIMITS);
-    let spec = |made| PolledQuerySpec {
+    let spec = |ticket_created_at| PolledQuerySpec {
         request_hash: 0,
         non_idempotent: true,
         polled: false,
-        ticket_created_at: made,
+        ticket_created_at,
     };
     for id in 0..10_u8 {
         let run = RunId(id.into());
-        let made = Some(1_000 + u64::from(id));
-        assert_eq!(polled.submit(2_000, &key(id), spec(made), None, run), Submission::Run(run));
+        let created_at = Some(1_000 + u64::from(id));
+        assert_eq!(polled.submit(2_000, &key(id), spec(created_at), None, run), Submission::Run(run));
         assert!(polled.complete(2_000, run, 7, 1, false).is_empty());
     }
-    // The first four were evicted; whichever way they are submitted, they are rejected.
-    for made in [None, Some(1_000)] {
+    // The first four were evicted. They are rejected with and without a ticket.
+    for created_at in [None, Some(1_000)] {
         assert_eq!(
-            polled.submit(2_001, &key(0), spec(made), None, RunId(99)),
+            polled.submit(2_001, &key(0), spec(created_at), None, RunId(99)),
             Submission::Reject(RejectReason::Forgotten)
         );
-        assert_eq!(polled.submit(2_001, &key(9), spec(made), None, RunId(99)), Submission::Replay(7));
+        assert_eq!(polled.submit(2_001, &key(9), spec(created_at), None, RunId(99)), Submission::Replay(7));
     }
-    // A ticket as old that has not been used is accepted.
+    // An unused ticket of the same age is accepted.
     assert_eq!(
         polled.submit(2_001, &key(77), spec(Some(1_003)), None, RunId(99)),
         Submission::Run(RunId(99))
     );
-    // Once the retention is over, no ticket as old as those is.
+    // After the retention, tickets that old are rejected.
     assert_eq!(
         polled.submit(9_000, &key(0), spec(Some(1_000)), None, RunId(98)),
         Submission::Reject(RejectReason::Forgotten)
@@ -207,12 +208,12 @@
 }
 
 #[test]
-fn a_renewed_outcome_is_retained_for_longer_and_a_revoked_id_does_not_run() {
+fn a_renewed_outcome_is_retained_longer_and_a_revoked_id_does_not_run() {
     let mut polled: PolledQueries<u64> = PolledQueries::new(LIMITS);
     let spec =
         PolledQuerySpec { request_hash: 0, non_idempotent: true, polled: false, ticket_created_at: Some(1) };
     assert_eq!(polled.submit(100, &key(1), spec, None, RunId(1)), Submission::Run(RunId(1)));
-    assert_eq!(polled.renew(100, &key(1)), None, "it still runs");
+    assert_eq!(polled.renew(100, &key(1)), None, "the query still runs");
     polled.complete(100, RunId(1), 7, 1, false);
     assert_eq!(polled.renew(900, &key(1)), Some(900 + RETENTION));
     assert_eq!(polled.submit(1_500, &key(1), spec, None, RunId(2)), Submission::Replay(7));
@@ -220,7 +221,7 @@
         polled.submit(2_000, &key(1), spec, None, RunId(2)),
         Submission::Reject(RejectReason::Forgotten)
     );
-    polled.revoke(2_000, &key(2), spec).expect("room");
+    polled.revoke(2_000, &key(2), spec).expect("there is capacity");
     assert_eq!(
         polled.submit(2_000, &key(2), spec, None, RunId(3)),
         Submission::Reject(RejectReason::Cancelled)
--- a/crates/core/tests/resource_counts.rs
+++ b/crates/core/tests/resource_counts.rs
@@ -1,6 +1,6 @@
-//! What is kept for queries, parts and backends comes back to its base once a flood of queries is over, on
-//! whatever path each entry ended: the real core with its router, random histories from seeds, time as an
-//! argument. `CENSUS_SEEDS` sets how many histories of each kind are played (thirty here).
+//! Leak test: after a flood of queries, all tables of the core and its router return to their baseline, on
+//! whatever path each entry ended. Random histories from seeds, with the time as an argument. `CENSUS_SEEDS`
+//! sets the number of histories of each kind (30 by default).
 
 mod common;
 
@@ -24,25 +24,24 @@
 const RING_POSITIONS: u32 = 6;
 const DEADLINE: Micros = 4 * SECOND;
 
-/// What is different between the histories.
+/// The configuration of a history.
 #[derive(Clone, Copy, Debug)]
-struct Kind {
+struct Variant {
     cancellation: bool,
     hedging: bool,
-    /// Non-idempotent attempts wait for permits, and their responses for a record.
+    /// Whether non-idempotent attempts wait for permits, and their responses for a replicated outcome.
     permits: bool,
     retry_budget: bool,
     discovery: Discovery,
 }
 
-fn settings(kind: Kind) -> Settings {
+fn settings(variant: Variant) -> Settings {
     let class = common::class;
-    let may_be_partial =
-        Class { late_value: 0.0, minimum_completeness: 0.5, ..class(Idempotency::Idempotent) };
+    let partial = Class { late_value: 0.0, minimum_completeness: 0.5, ..class(Idempotency::Idempotent) };
     let budget = RetryBudgetSettings { min_retries: 5.0, retry_ratio: 0.3, window: 5 * SECOND };
     let common = common::settings(vec![
         class(Idempotency::Idempotent),
-        may_be_partial,
+        partial,
         class(Idempotency::NonIdempotent),
         class(Idempotency::Keyed { dedup_window: SECOND }),
     ]);
@@ -54,24 +53,28 @@
             parts_per_call: 4,
             call_work: 6 * MS,
         },
-        limits: DeploymentLimits { cancellation: kind.cancellation, hedging: kind.hedging, ..common.limits },
+        limits: DeploymentLimits {
+            cancellation: variant.cancellation,
+            hedging: variant.hedging,
+            ..common.limits
+        },
         rules: RuleSettings {
             warm_up_time: 3 * SECOND,
             overload_window: SECOND,
-            retry_budget: kind.retry_budget.then_some(budget),
+            retry_budget: variant.retry_budget.then_some(budget),
             ..common.rules
         },
-        discovery: kind.discovery,
+        discovery: variant.discovery,
         ..common
     }
 }
 
-/// What comes back to the core, and when.
+/// An event that is due for the core.
 enum Due {
     AttemptCompleted(AttemptId, Outcome, Option<Value>),
     HealthChecked(BackendId),
     Endpoints,
-    /// The decision on a permit.
+    /// The decision on a permit request.
     Permit(AttemptRequest),
     Disconnect(ResponseHandle),
 }
@@ -81,45 +84,47 @@
     rng: fastrand::Rng,
     now: Micros,
     due: BTreeMap<(Micros, u64), Due>,
-    number: u64,
-    /// What discovery lists: each backend with its state and start.
+    /// Number of events scheduled so far, which keeps those of the same time in order.
+    scheduled: u64,
+    /// The endpoint list: each backend with its state and start time.
     backends: BTreeMap<u32, (EndpointState, Option<Micros>)>,
-    /// Clients that wait for a response, and clients that disconnected.
+    /// Clients that wait for a response.
     waiting: BTreeSet<ResponseHandle>,
+    /// Clients that disconnected.
     disconnected: BTreeSet<ResponseHandle>,
     submitted: u64,
     answered: u64,
-    /// Backends do as they should.
-    calm: bool,
+    /// Whether all backends are healthy, and no faults are injected.
+    healthy: bool,
 }
 
 impl World {
-    fn new(kind: Kind, seed: u64) -> Self {
-        let names = ["search", "report", "hold", "keyed"].map(str::to_owned).to_vec();
-        let bounds = CoreLimits { max_open: 400, shards: RING_POSITIONS * 2 };
-        let mut core = Core::new(seed, settings(kind), names, bounds).expect("sound settings");
+    fn new(variant: Variant, seed: u64) -> Self {
+        let names = ["complete", "partial", "non-idempotent", "keyed"].map(str::to_owned).to_vec();
+        let limits = CoreLimits { max_open: 400, shards: RING_POSITIONS * 2 };
+        let mut core = Core::new(seed, settings(variant), names, limits).expect("valid settings");
         core.enable_two_phase(TwoPhaseSettings {
             rule: ScoutBudgetRule::Learned,
             sketches: SketchCacheLimits { entries: 50, age: SECOND },
         });
-        if kind.permits {
+        if variant.permits {
             core.require_permits();
         }
         let (due, backends, waiting, disconnected) = Default::default();
         let rng = fastrand::Rng::with_seed(seed);
-        let (number, submitted, answered, calm) = (0, 0, 0, true);
+        let (scheduled, submitted, answered, healthy) = (0, 0, 0, true);
         let mut world = Self {
             core,
             rng,
             now: 100 * SECOND,
             due,
-            number,
+            scheduled,
             backends,
             waiting,
             disconnected,
             submitted,
             answered,
-            calm,
+            healthy,
         };
         (0..RING_POSITIONS).for_each(|id| _ = world.backends.insert(id, (EndpointState::Ready, None)));
         world.update_endpoints(true);
@@ -127,33 +132,33 @@
         world
     }
 
-    fn put(&mut self, after: Micros, due: Due) {
-        self.number += 1;
-        self.due.insert((self.now + after, self.number), due);
+    fn schedule(&mut self, after: Micros, due: Due) {
+        self.scheduled += 1;
+        self.due.insert((self.now + after, self.scheduled), due);
     }
 
-    /// Discovery sends a snapshot or a delta; what was removed it names once.
+    /// Sends a snapshot or a delta of the endpoint list. A removed backend is listed once.
     fn update_endpoints(&mut self, snapshot: bool) {
-        let entry = |(&id, &(phase, started)): (&u32, &(EndpointState, Option<Micros>))| Endpoint {
+        let entry = |(&id, &(state, started_at)): (&u32, &(EndpointState, Option<Micros>))| Endpoint {
             backend: BackendId(id),
             ring_position: id % RING_POSITIONS,
-            state: phase,
-            started_at: started,
+            state,
+            started_at,
             zone: None,
         };
         let entries: Vec<Endpoint> = self.backends.iter().map(entry).collect();
-        self.backends.retain(|_, (phase, _)| *phase != EndpointState::Removed);
-        let gone = |entry: &Endpoint| entry.state == EndpointState::Removed;
+        self.backends.retain(|_, (state, _)| *state != EndpointState::Removed);
+        let is_removed = |entry: &Endpoint| entry.state == EndpointState::Removed;
         self.core.endpoint_update(if snapshot {
-            EndpointUpdate::Snapshot(entries.into_iter().filter(|entry| !gone(entry)).collect())
+            EndpointUpdate::Snapshot(entries.into_iter().filter(|entry| !is_removed(entry)).collect())
         } else {
             EndpointUpdate::Delta(entries)
         });
     }
 
-    /// Something happens to the backends.
-    fn change(&mut self) {
-        let fresh = self.backends.keys().max().map_or(0, |id| id + 1);
+    /// Changes the endpoint list at random.
+    fn change_endpoints(&mut self) {
+        let next_id = self.backends.keys().max().map_or(0, |id| id + 1);
         let ids: Vec<u32> = self.backends.keys().copied().collect();
         let Some(&id) = ids.get(self.rng.usize(0..ids.len().max(1))) else { return };
         let now = self.now;
@@ -162,10 +167,11 @@
             1 => _ = self.backends.insert(id, (EndpointState::Removed, None)),
             2 => _ = self.backends.insert(id, (EndpointState::Ready, Some(now))),
             3 => {
-                // One is replaced by another of its ring position.
+                // The backend is replaced by another one at its ring position.
                 self.backends.insert(id, (EndpointState::Removed, None));
                 self.backends.insert(
-                    fresh + (RING_POSITIONS + id % RING_POSITIONS - fresh % RING_POSITIONS) % RING_POSITIONS,
+                    next_id
+                        + (RING_POSITIONS + id % RING_POSITIONS - next_id % RING_POSITIONS) % RING_POSITIONS,
                     (EndpointState::Ready, Some(now)),
                 );
             }
@@ -203,7 +209,7 @@
             },
         };
         let planned = self.rng.u32(0..3) == 0;
-        // Some ids come again: sent again, or by chance.
+        // Some ids are used again.
         let id = if self.rng.u32(0..10) == 0 { self.submitted / 2 } else { self.submitted };
         let request = QueryRequest {
             class: ClassId(class),
@@ -217,67 +223,68 @@
             assert!(self.waiting.insert(handle));
             if self.rng.u32(0..3) == 0 {
                 let after = self.rng.u64(0..2 * SECOND);
-                self.put(after, Due::Disconnect(handle));
+                self.schedule(after, Due::Disconnect(handle));
             }
         } else {
             self.answered += 1;
         }
     }
 
-    /// What becomes of an attempt that was sent.
-    fn sent(&mut self, send: &AttemptRequest) {
-        let scout = &*send.body == b"scout";
+    /// Draws the outcome of an attempt that was sent.
+    fn send(&mut self, attempt: &AttemptRequest) {
+        let scout = &*attempt.body == b"scout";
         let value = match (scout, self.rng.u32(0..10)) {
-            (_, 0) if !self.calm => "odd",
+            (_, 0) if !self.healthy => "malformed",
             (true, _) => r#"{"bound":3.0,"count":2}"#,
             (false, _) => r#"[{"score":2.0,"id":"a"},{"score":1.0,"id":"b"}]"#,
         };
         let value = Some(value.into());
         let soon = self.rng.u64(MS..60 * MS);
-        let (outcome, after) = match if self.calm { 99 } else { self.rng.u32(0..30) } {
+        let (outcome, after) = match if self.healthy { 99 } else { self.rng.u32(0..30) } {
             0 | 1 => (Outcome::BackendError, soon),
             2 | 3 => (Outcome::Rejected, soon),
             4 => (Outcome::ConnectionLost, soon),
             5 => (Outcome::ConnectFailed, soon),
             6 => (Outcome::NotSent, 0),
-            // It never ends, and its time is up one day; or its answer comes late.
+            // The backend never responds, and the attempt times out.
             7 => return,
+            // The response is late.
             8 | 9 => (Outcome::Succeeded, soon * 60),
             _ => (Outcome::Succeeded, soon),
         };
         let value = value.filter(|_| outcome == Outcome::Succeeded);
-        self.put(after, Due::AttemptCompleted(send.attempt, outcome, value));
+        self.schedule(after, Due::AttemptCompleted(attempt.attempt, outcome, value));
     }
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::SendBatch(_, sends) => sends.iter().for_each(|send| self.sent(send)),
-            // What is cancelled may still be answered, late.
+            Action::SendBatch(_, attempts) => attempts.iter().for_each(|attempt| self.send(attempt)),
+            // A cancelled attempt may still be answered late.
             Action::CancelAttempt(..) => {}
-            // Half of them had not started.
+            // Half of the attempts were not sent yet.
             Action::RevokeUnsent(_, id) => {
                 if self.rng.bool() {
-                    self.put(0, Due::AttemptCompleted(id, Outcome::NotSent, None));
+                    self.schedule(0, Due::AttemptCompleted(id, Outcome::NotSent, None));
                 }
             }
             Action::Respond(handle, _) => self.reply(handle),
-            Action::RequestPermit(_, send) => {
+            Action::RequestPermit(_, attempt) => {
                 let after = self.rng.u64(0..30 * MS);
-                self.put(after, Due::Permit(send));
+                self.schedule(after, Due::Permit(attempt));
             }
-            Action::ReplicateOutcome(recorded) => {
-                recorded.response_handles.into_iter().for_each(|handle| self.reply(handle))
+            Action::ReplicateOutcome(completed) => {
+                completed.response_handles.into_iter().for_each(|handle| self.reply(handle))
             }
             Action::WatchEndpoints => {
                 let after = self.rng.u64(MS..300 * MS);
-                self.put(after, Due::Endpoints);
+                self.schedule(after, Due::Endpoints);
             }
-            Action::HealthCheck(backend) => self.put(10 * MS, Due::HealthChecked(backend)),
+            Action::HealthCheck(backend) => self.schedule(10 * MS, Due::HealthChecked(backend)),
         }
     }
 
     fn reply(&mut self, handle: ResponseHandle) {
-        // Of a non-idempotent query also clients that disconnected are answered; none is answered twice.
+        // For a non-idempotent query, disconnected clients are answered, too. No client is answered twice.
         assert!(
             self.waiting.remove(&handle) || self.disconnected.remove(&handle),
             "{handle:?} is answered twice"
@@ -285,9 +292,9 @@
         self.answered += 1;
     }
 
-    /// Plays so long, with so many queries a batch.
-    fn run(&mut self, time: Micros, rate: f64) {
-        let until = self.now + time;
+    /// Runs for `duration`, with `rate` queries per batch on average.
+    fn run(&mut self, duration: Micros, rate: f64) {
+        let until = self.now + duration;
         while self.now < until {
             self.now += BATCH_INTERVAL;
             while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= self.now) {
@@ -296,15 +303,15 @@
                         self.core.attempt_completed(self.now, id, outcome, value)
                     }
                     Due::HealthChecked(backend) => {
-                        let passed = self.calm || self.rng.bool();
+                        let passed = self.healthy || self.rng.bool();
                         self.core.health_check_completed(backend, passed);
                     }
                     Due::Endpoints => self.update_endpoints(true),
-                    Due::Permit(send) if !self.core.is_in_flight(send.attempt) => {}
-                    Due::Permit(send) if !self.calm && self.rng.u32(0..5) == 0 => {
-                        self.core.attempt_completed(self.now, send.attempt, Outcome::NotSent, None);
+                    Due::Permit(attempt) if !self.core.is_in_flight(attempt.attempt) => {}
+                    Due::Permit(attempt) if !self.healthy && self.rng.u32(0..5) == 0 => {
+                        self.core.attempt_completed(self.now, attempt.attempt, Outcome::NotSent, None);
                     }
-                    Due::Permit(send) => self.sent(&send),
+                    Due::Permit(attempt) => self.send(&attempt),
                     Due::Disconnect(handle) => {
                         if self.waiting.remove(&handle) {
                             self.disconnected.insert(handle);
@@ -313,13 +320,13 @@
                     }
                 }
             }
-            let mut left = rate;
-            while self.rng.f64() < left {
+            let mut remaining = rate;
+            while self.rng.f64() < remaining {
                 self.submit();
-                left -= 1.0;
+                remaining -= 1.0;
             }
-            if !self.calm && self.rng.u32(0..60) == 0 {
-                self.change();
+            if !self.healthy && self.rng.u32(0..60) == 0 {
+                self.change_endpoints();
             }
             for action in self.core.run_batch(self.now) {
                 self.act(action);
@@ -327,58 +334,59 @@
         }
     }
 
-    /// All backends are healthy and listed, and all that the flood left has had its time.
+    /// Lists all backends as healthy and runs until everything from the flood has ended.
     fn settle(&mut self) {
-        self.calm = true;
+        self.healthy = true;
         self.backends = (0..RING_POSITIONS).map(|id| (id, (EndpointState::Ready, None))).collect();
         self.update_endpoints(true);
         self.run(DEADLINE + 6 * SECOND, 0.0);
-        // As the watch does each ten seconds at the latest.
+        // An empty delta, as the endpoint watch sends at least every 10 seconds.
         self.core.endpoint_update(EndpointUpdate::Delta(Vec::new()));
         self.run(SECOND, 0.0);
     }
 }
 
-fn kinds() -> Vec<Kind> {
-    let mut kinds = Vec::new();
+fn variants() -> Vec<Variant> {
+    let mut variants = Vec::new();
     for bits in 0..8_u32 {
         let [cancellation, hedging, permits] = [1, 2, 4].map(|bit| bits & bit > 0);
         let discovery = if bits % 3 == 0 { Discovery::Push } else { Discovery::Poll };
-        kinds.push(Kind { cancellation, hedging, permits, retry_budget: bits % 2 == 0, discovery });
+        variants.push(Variant { cancellation, hedging, permits, retry_budget: bits % 2 == 0, discovery });
     }
-    kinds
+    variants
 }
 
 #[test]
-fn all_resource_counts_come_back_to_their_base_after_a_flood() {
+fn all_resource_counts_return_to_their_baseline_after_a_flood() {
     let seeds = std::env::var("CENSUS_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(30);
-    let mut most: BTreeMap<&str, usize> = BTreeMap::new();
-    for kind in kinds() {
+    let mut maxima: BTreeMap<&str, usize> = BTreeMap::new();
+    for variant in variants() {
         for seed in 0..seeds {
-            let mut world = World::new(kind, seed);
-            // The latency samples by which overdue attempts are recognised are bounded, and kept.
-            let kept = |mut counts: BTreeMap<&'static str, usize>| {
-                assert!(counts.remove("router latency samples").is_some_and(|kept| kept <= 33));
+            let mut world = World::new(variant, seed);
+            // Latency samples, from which overdue attempts are detected, are kept, but their number is
+            // limited.
+            let without_samples = |mut counts: BTreeMap<&'static str, usize>| {
+                assert!(counts.remove("router latency samples").is_some_and(|samples| samples <= 33));
                 counts
             };
-            let base = kept(world.core.resource_counts());
-            world.calm = false;
+            let baseline = without_samples(world.core.resource_counts());
+            world.healthy = false;
             for _ in 0..4 {
                 world.run(700 * MS, 0.8);
                 for (name, count) in world.core.resource_counts() {
-                    let seen = most.entry(name).or_default();
+                    let seen = maxima.entry(name).or_default();
                     *seen = (*seen).max(count);
                 }
             }
             world.settle();
-            assert_eq!(kept(world.core.resource_counts()), base, "{kind:?} seed {seed}");
-            assert!(world.waiting.is_empty(), "{kind:?} seed {seed}: never answered {:?}", world.waiting);
+            assert_eq!(without_samples(world.core.resource_counts()), baseline, "{variant:?} seed {seed}");
+            assert!(world.waiting.is_empty(), "{variant:?} seed {seed}: never answered {:?}", world.waiting);
         }
     }
-    // The flood filled each of them, or the count of it says nothing; what is ready goes out at once.
-    let empty: Vec<_> = most.iter().filter(|(_, most)| **most == 0).map(|(name, _)| *name).collect();
+    // The flood has to use each table, or its count proves nothing. Pending entries do not outlast a batch.
+    let unused: Vec<_> = maxima.iter().filter(|(_, max)| **max == 0).map(|(name, _)| *name).collect();
     assert!(
-        empty.iter().all(|name| ["events", "ready"].contains(name)),
-        "never filled: {empty:?} of {most:?}"
+        unused.iter().all(|name| ["pending events", "pending actions"].contains(name)),
+        "never used: {unused:?} of {maxima:?}"
     );
 }
--- a/crates/core/tests/stream_admission.rs
+++ b/crates/core/tests/stream_admission.rs
@@ -1,4 +1,5 @@
-//! Admission at the Flight frontend: limits, handshakes and calls, and clients that do not read their responses.
+//! Admission at the Flight frontend: limits, handshakes and calls, and clients that do not read their
+//! responses.
 
 use mallowgauge_core::stream_admission::{SlowReaderDetector, StreamAdmission, StreamLimits, MAX_READ_STALL};
 use proptest::prelude::*;
--- a/crates/core/tests/table_memory.rs
+++ b/crates/core/tests/table_memory.rs
@@ -1,5 +1,5 @@
-//! Random streams that reserve from the budget: it is never exceeded, no reservation is lost, and some stream can
-//! always proceed.
+//! Random streams that reserve from the budget: it is never exceeded, no reservation is lost, and some stream
+//! can always proceed.
 
 use std::collections::BTreeMap;
 
@@ -111,7 +111,8 @@
                 && waiting.clone().count() > 0;
             match memory.query_to_evict() {
                 None if deadlocked => {
-                    // Only the oldest has a reservation: it may lack capacity, and the limit per query ends it.
+                    // Only the oldest has a reservation: it may lack capacity, and the limit per query ends
+                    // it.
                     let oldest = waiting.map(|s| s.query).min();
                     let others = streams.values().any(|s| s.granted > 0 && Some(s.query) != oldest);
                     prop_assert!(!others, "none is evicted");
