--- a/crates/core/tests/two_phase.rs
+++ b/crates/core/tests/two_phase.rs
@@ -1,6 +1,6 @@
-//! Plans against a brute-force model: random blocks, bounds, failures, orders of arrival and times. `exact` is
-//! never claimed wrongly, there is one final action and nothing behind it, and it comes before the deadline.
-//! `PHASES_CASES` sets how many cases are played (a few thousand here, 100,000 by `make test-phases`).
+//! Plans checked against a brute-force model with random blocks, bounds, failures, arrival orders and times.
+//! A response is never wrongly marked `exact`, and there is exactly one final action, the last one, before
+//! the deadline. `PHASES_CASES` sets the number of cases (4,000 by default, 100,000 in `make test-phases`).
 
 use std::collections::BTreeSet;
 
@@ -13,28 +13,38 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
+/// Values of [`BlockModel::fetch`]: how the fetch of a block ends. With any smaller value its rows are
+/// received.
+const FETCH_NOT_EXECUTED: u8 = 8;
+const FETCH_POSSIBLY_EXECUTED: u8 = 9;
+const FETCH_NEVER_ENDS: u8 = 10;
+
 #[derive(Clone, Debug)]
 struct BlockModel {
     scores: Vec<u8>,
+    /// How far the reported bound is above the highest score.
     slack: u8,
-    counts: bool,
+    /// Whether the scout reports the number of rows.
+    reports_count: bool,
     scout_fails: bool,
-    fetch: u8, // 0 to 7: in; 8: not executed; 9: possibly executed; 10: never ends
-    stale: Option<u8>,
+    fetch: u8,
+    /// The bound of an outdated cached sketch.
+    stale_bound: Option<u8>,
 }
 
 #[derive(Clone, Debug)]
 struct Case {
     blocks: Vec<BlockModel>,
-    choose: u8,
-    k: usize,
-    top: usize,
-    wave: usize,
+    selection: u8,
+    best: usize,
+    row_limit: usize,
+    wave_size: usize,
     skip: bool,
-    effect: bool,
-    floor: f64,
+    has_effect: bool,
+    minimum_completeness: f64,
     budget: u64,
-    blind: bool,
+    no_scouts: bool,
+    /// For each step, which part in flight ends and after how many milliseconds.
     order: Vec<(u16, u16)>,
 }
 
@@ -44,16 +54,21 @@
         0..6_u8,
         any::<bool>(),
         prop::bool::weighted(0.15),
-        prop_oneof![6 => 0..8_u8, 1 => Just(8_u8), 1 => Just(9), 1 => Just(10)],
+        prop_oneof![
+            6 => 0..FETCH_NOT_EXECUTED,
+            1 => Just(FETCH_NOT_EXECUTED),
+            1 => Just(FETCH_POSSIBLY_EXECUTED),
+            1 => Just(FETCH_NEVER_ENDS)
+        ],
         prop::option::weighted(0.1, 0..40_u8),
     )
-        .prop_map(|(scores, slack, counts, scout_fails, fetch, stale)| BlockModel {
+        .prop_map(|(scores, slack, reports_count, scout_fails, fetch, stale_bound)| BlockModel {
             scores,
             slack,
-            counts,
+            reports_count,
             scout_fails,
             fetch,
-            stale,
+            stale_bound,
         })
 }
 
@@ -64,9 +79,26 @@
         (50..400_u64, prop::bool::weighted(0.1)),
         prop::collection::vec((any::<u16>(), 0..120_u16), 80),
     )
-        .prop_map(|((blocks, choose, k, top, wave), (skip, effect, floor), (budget, blind), order)| {
-            Case { blocks, choose, k, top, wave, skip, effect, floor, budget: budget * 1000, blind, order }
-        })
+        .prop_map(
+            |(
+                (blocks, selection, best, row_limit, wave_size),
+                (skip, has_effect, minimum_completeness),
+                (budget_ms, no_scouts),
+                order,
+            )| Case {
+                blocks,
+                selection,
+                best,
+                row_limit,
+                wave_size,
+                skip,
+                has_effect,
+                minimum_completeness,
+                budget: budget_ms * 1000,
+                no_scouts,
+                order,
+            },
+        )
 }
 
 fn rows_of(case: &Case, block: usize) -> Vec<Row> {
@@ -82,32 +114,33 @@
 const DEADLINE: Micros = 2_000_000;
 
 fn spec_of(case: &Case) -> PlanSpec {
-    let selection = match case.choose {
-        0 => BlockSelection::Best(case.k),
+    let selection = match case.selection {
+        0 => BlockSelection::Best(case.best),
         1 => BlockSelection::Threshold,
         2 => BlockSelection::Share(0.6),
         _ => BlockSelection::All,
     };
     let missing_sketches = if case.skip { MissingSketchPolicy::Skip } else { MissingSketchPolicy::Fetch };
-    PlanSpec { selection, row_limit: case.top, wave_size: case.wave, missing_sketches }
+    PlanSpec { selection, row_limit: case.row_limit, wave_size: case.wave_size, missing_sketches }
 }
 
 fn setup_of(case: &Case) -> PlanSetup {
     let count = case.blocks.len();
-    let stale = |b: &BlockModel| b.stale.map(|bound| Sketch { bound: f64::from(bound), count: Some(0) });
+    let stale =
+        |b: &BlockModel| b.stale_bound.map(|bound| Sketch { bound: f64::from(bound), count: Some(0) });
     let block = |i: usize| BlockSetup {
         shard: ShardId(i as u32),
         weight: 1.0 / count as f64,
-        known: stale(&case.blocks[i]),
+        cached_sketch: stale(&case.blocks[i]),
     };
     PlanSetup {
         blocks: (0..count).map(block).collect(),
         spec: spec_of(case),
-        has_effect: case.effect,
-        minimum_completeness: case.floor,
+        has_effect: case.has_effect,
+        minimum_completeness: case.minimum_completeness,
         objective: OBJECTIVE,
         deadline: DEADLINE,
-        budget: if case.blind { ScoutBudget::NoScouts } else { ScoutBudget::Until(case.budget) },
+        budget: if case.no_scouts { ScoutBudget::NoScouts } else { ScoutBudget::Until(case.budget) },
         wave_time: 100_000,
     }
 }
@@ -119,21 +152,21 @@
     Fetch(usize),
 }
 
-/// What carries out a plan's actions, and remembers them.
+/// Executes a plan's actions and records them.
 #[derive(Default)]
 struct Model {
     scouts: BTreeSet<usize>,
     fetches: BTreeSet<usize>,
     ever_scouted: BTreeSet<usize>,
     ever_fetched: BTreeSet<usize>,
-    /// Effects that were had or may have been.
-    effects: u32,
+    /// Number of effects that were or may have been executed.
+    possible_effects: u32,
     final_actions: Vec<PlanAction>,
 }
 
 impl Model {
     fn act(&mut self, case: &Case, action: PlanAction) -> Result<(), TestCaseError> {
-        prop_assert!(self.final_actions.is_empty(), "something behind the final action: {:?}", action);
+        prop_assert!(self.final_actions.is_empty(), "an action after the final one: {:?}", action);
         match action {
             PlanAction::SendScouts(blocks) => {
                 for block in blocks {
@@ -142,9 +175,9 @@
                 }
             }
             PlanAction::Fetch(blocks) => {
-                prop_assert!(!blocks.is_empty() && (!case.effect || blocks.len() == 1));
-                let goes_on = case.effect && self.effects > 0;
-                prop_assert!(!goes_on, "fetched on though an effect may have been had");
+                prop_assert!(!blocks.is_empty() && (!case.has_effect || blocks.len() == 1));
+                let may_repeat_effect = case.has_effect && self.possible_effects > 0;
+                prop_assert!(!may_repeat_effect, "another fetch after a possible effect");
                 for block in blocks {
                     prop_assert!(self.ever_fetched.insert(block), "a block fetched twice");
                     self.fetches.insert(block);
@@ -154,7 +187,7 @@
             PlanAction::CancelFetches(blocks) => {
                 for block in blocks {
                     prop_assert!(self.fetches.remove(&block));
-                    self.effects += 1;
+                    self.possible_effects += 1;
                 }
             }
             PlanAction::Respond(_) | PlanAction::GiveUp { .. } => self.final_actions.push(action),
@@ -162,15 +195,15 @@
         Ok(())
     }
 
-    /// One of the parts in flight that end one day.
+    /// Picks one of the parts in flight that will end.
     fn pick(&self, case: &Case, pick: u16) -> Option<Sent> {
         let scouts = self.scouts.iter().map(|&block| Sent::Scout(block));
-        let ending = self.fetches.iter().filter(|&&block| case.blocks[block].fetch < 10);
+        let ending = self.fetches.iter().filter(|&&block| case.blocks[block].fetch < FETCH_NEVER_ENDS);
         let sent: Vec<Sent> = scouts.chain(ending.map(|&block| Sent::Fetch(block))).collect();
         sent.get(usize::from(pick) % sent.len().max(1)).copied()
     }
 
-    /// Ends a part as the case says.
+    /// Ends a part as the case specifies.
     fn complete(&mut self, case: &Case, plan: &mut Plan, now: Micros, sent: Sent) -> Vec<PlanAction> {
         let block = match sent {
             Sent::Scout(block) => {
@@ -181,13 +214,13 @@
         };
         self.fetches.remove(&block);
         match case.blocks[block].fetch {
-            8 => plan.fetch_completed(now, block, Err(PartLoss::NotExecuted)),
-            9 => {
-                self.effects += 1;
+            FETCH_NOT_EXECUTED => plan.fetch_completed(now, block, Err(PartLoss::NotExecuted)),
+            FETCH_POSSIBLY_EXECUTED => {
+                self.possible_effects += 1;
                 plan.fetch_completed(now, block, Err(PartLoss::PossiblyExecuted))
             }
-            _ if case.effect => {
-                self.effects += 1;
+            _ if case.has_effect => {
+                self.possible_effects += 1;
                 plan.effect_completed(now, block, "held".into())
             }
             _ => plan.fetch_completed(now, block, Ok(rows_of(case, block))),
@@ -199,10 +232,10 @@
     if model.scout_fails {
         return Err(PartLoss::PossiblyExecuted);
     }
-    let top = model.scores.iter().max().copied().unwrap_or(0);
+    let highest = model.scores.iter().max().copied().unwrap_or(0);
     Ok(Sketch {
-        bound: f64::from(top + model.slack),
-        count: model.counts.then_some(model.scores.len() as u64),
+        bound: f64::from(highest + model.slack),
+        count: model.reports_count.then_some(model.scores.len() as u64),
     })
 }
 
@@ -218,8 +251,8 @@
         if plan.is_over() {
             break;
         }
-        let due = plan.poll_timeout().expect("an open plan has a time-out");
-        // The caller handles each time-out when it is due. Once nothing more comes, only the clock goes on.
+        let due = plan.poll_timeout().expect("an open plan has a timeout");
+        // The caller handles each timeout when it is due. After the last step, only the clock advances.
         let next = order.next().map(|&(pick, wait)| (pick, now + u64::from(wait) * 1000));
         let Some((pick, next)) = next.filter(|&(_, next)| next < due) else {
             now = now.max(due);
@@ -233,7 +266,7 @@
     }
     prop_assert_eq!(model.final_actions.len(), 1, "one final action");
     prop_assert!(now <= DEADLINE, "before its deadline");
-    // Whatever comes behind it changes nothing.
+    // Later events have no effect.
     for block in 0..case.blocks.len() {
         prop_assert!(plan.scout_completed(now, block, Err(PartLoss::NotExecuted)).is_empty());
         prop_assert!(plan.fetch_completed(now, block, Ok(rows_of(case, block))).is_empty());
@@ -242,7 +275,7 @@
     match model.final_actions.pop() {
         Some(PlanAction::Respond(response)) => check_response(case, &model, &response),
         Some(PlanAction::GiveUp { effect_possible }) => {
-            prop_assert_eq!(effect_possible, case.effect && model.effects > 0);
+            prop_assert_eq!(effect_possible, case.has_effect && model.possible_effects > 0);
             Ok(())
         }
         other => Err(TestCaseError::fail(format!("{other:?}"))),
@@ -251,7 +284,7 @@
 
 fn check_response(case: &Case, model: &Model, response: &Ranked) -> Result<(), TestCaseError> {
     let count = case.blocks.len();
-    // Each block is in one list, and the lists tell the truth.
+    // Each block is in exactly one list, and the lists are correct.
     let lists = [&response.fetched, &response.pruned, &response.skipped, &response.failed];
     let mut all: Vec<u32> = lists.into_iter().flatten().map(|shard| shard.0).collect();
     all.sort_unstable();
@@ -259,28 +292,32 @@
     let received: BTreeSet<usize> = response.fetched.iter().map(|shard| shard.0 as usize).collect();
     prop_assert!(received.is_subset(&model.ever_fetched));
     prop_assert_eq!(response.complete, received.len() == count);
-    if case.effect {
+    if case.has_effect {
         prop_assert!(!response.exact || response.complete);
         prop_assert!(response.effect.is_some() && received.len() == 1);
         return Ok(());
     }
-    // The rows are the best of what was received.
-    let best = |of: &mut dyn Iterator<Item = usize>| {
-        let mut rows: Vec<Row> = of.flat_map(|block| rows_of(case, block)).collect();
+    // The rows are the best of those received.
+    let best = |blocks: &mut dyn Iterator<Item = usize>| {
+        let mut rows: Vec<Row> = blocks.flat_map(|block| rows_of(case, block)).collect();
         rows.sort_by(Row::order);
-        rows.truncate(case.top);
+        rows.truncate(case.row_limit);
         rows
     };
     prop_assert_eq!(&response.rows, &best(&mut received.iter().copied()));
     if response.exact {
-        prop_assert_eq!(&response.rows, &best(&mut (0..count)), "exact, and it is not");
+        prop_assert_eq!(&response.rows, &best(&mut (0..count)), "wrongly marked exact");
     }
-    // What failed or had no time counts against the class's minimum completeness.
+    // Blocks that failed or were skipped for lack of time count against the class's minimum completeness.
     let counts = |shard: &&ShardId| !case.skip || model.ever_fetched.contains(&(shard.0 as usize));
     let wanted =
         response.fetched.len() + response.failed.len() + response.skipped.iter().filter(counts).count();
-    let share = if wanted == 0 { 1.0 } else { response.fetched.len() as f64 / wanted as f64 };
-    prop_assert!(case.skip || share >= case.floor - 1e-6, "{share} under {}", case.floor);
+    let completeness = if wanted == 0 { 1.0 } else { response.fetched.len() as f64 / wanted as f64 };
+    prop_assert!(
+        case.skip || completeness >= case.minimum_completeness - 1e-6,
+        "{completeness} is below {}",
+        case.minimum_completeness
+    );
     Ok(())
 }
 
@@ -300,7 +337,7 @@
     let weight = 1.0 / bounds.len() as f64;
     PlanSetup {
         blocks: (0..bounds.len())
-            .map(|i| BlockSetup { shard: ShardId(i as u32), weight, known: None })
+            .map(|i| BlockSetup { shard: ShardId(i as u32), weight, cached_sketch: None })
             .collect(),
         spec,
         has_effect: false,
@@ -312,12 +349,12 @@
     }
 }
 
-fn one(score: f64, block: usize) -> Vec<Row> {
+fn one_row(score: f64, block: usize) -> Vec<Row> {
     vec![Row { score, id: "x".into(), shard: ShardId(block as u32), text: "{}".into() }]
 }
 
-/// Has all scouts say these bounds at once.
-fn scouted(plan: &mut Plan, bounds: &[f64]) -> Vec<PlanAction> {
+/// Completes all scouts at once, with these bounds.
+fn complete_scouts(plan: &mut Plan, bounds: &[f64]) -> Vec<PlanAction> {
     let mut actions = Vec::new();
     for (i, &bound) in bounds.iter().enumerate() {
         actions.extend(plan.scout_completed(1_000, i, Ok(Sketch { bound, count: None })));
@@ -326,7 +363,7 @@
 }
 
 #[test]
-fn of_a_thousand_blocks_a_few_are_fetched() {
+fn only_the_best_of_a_thousand_blocks_are_fetched() {
     let bounds: Vec<f64> = (0..1000).map(|i| f64::from((i * 7919) % 1000)).collect();
     let spec = PlanSpec {
         selection: BlockSelection::Best(3),
@@ -336,17 +373,17 @@
     };
     let (mut plan, actions) = Plan::start(0, setup(&bounds, spec));
     assert!(matches!(&actions[..], [PlanAction::SendScouts(all)] if all.len() == 1000));
-    let actions = scouted(&mut plan, &bounds);
+    let actions = complete_scouts(&mut plan, &bounds);
     let [PlanAction::Fetch(wave)] = &actions[..] else { panic!("{actions:?}") };
     assert_eq!(wave.iter().map(|&i| bounds[i]).collect::<Vec<_>>(), [999.0, 998.0, 997.0]);
     let wave = wave.clone();
-    let mut last = Vec::new();
+    let mut final_actions = Vec::new();
     for block in wave {
-        last = plan.fetch_completed(2_000, block, Ok(one(bounds[block], block)));
+        final_actions = plan.fetch_completed(2_000, block, Ok(one_row(bounds[block], block)));
     }
-    let [PlanAction::Respond(answer)] = &last[..] else { panic!("{last:?}") };
+    let [PlanAction::Respond(response)] = &final_actions[..] else { panic!("{final_actions:?}") };
     assert_eq!(
-        (answer.fetched.len(), answer.pruned.len(), answer.complete, answer.exact),
+        (response.fetched.len(), response.pruned.len(), response.complete, response.exact),
         (3, 997, false, false)
     );
 }
@@ -361,20 +398,20 @@
         missing_sketches: MissingSketchPolicy::Fetch,
     };
     let (mut plan, _) = Plan::start(0, setup(&bounds, spec));
-    assert_eq!(scouted(&mut plan, &bounds), [PlanAction::Fetch(vec![0, 1])]);
-    assert!(plan.fetch_completed(2_000, 0, Ok(one(5.0, 0))).is_empty());
-    assert_eq!(plan.fetch_completed(2_000, 1, Ok(one(4.0, 1))), [PlanAction::Fetch(vec![2, 3])]);
-    assert!(plan.fetch_completed(3_000, 2, Ok(one(6.0, 2))).is_empty());
-    let actions = plan.fetch_completed(3_000, 3, Ok(one(1.0, 3)));
-    let [PlanAction::Respond(answer)] = &actions[..] else { panic!("{actions:?}") };
-    // The two that are left are bounded by 3 and 2, under the second best row of 5.
-    assert!(answer.exact && !answer.complete);
-    assert_eq!(answer.rows.iter().map(|r| r.score).collect::<Vec<_>>(), [6.0, 5.0]);
-    assert_eq!(answer.pruned, [ShardId(4), ShardId(5)]);
+    assert_eq!(complete_scouts(&mut plan, &bounds), [PlanAction::Fetch(vec![0, 1])]);
+    assert!(plan.fetch_completed(2_000, 0, Ok(one_row(5.0, 0))).is_empty());
+    assert_eq!(plan.fetch_completed(2_000, 1, Ok(one_row(4.0, 1))), [PlanAction::Fetch(vec![2, 3])]);
+    assert!(plan.fetch_completed(3_000, 2, Ok(one_row(6.0, 2))).is_empty());
+    let actions = plan.fetch_completed(3_000, 3, Ok(one_row(1.0, 3)));
+    let [PlanAction::Respond(response)] = &actions[..] else { panic!("{actions:?}") };
+    // The two remaining blocks have the bounds 3 and 2, below the second best row's score of 5.
+    assert!(response.exact && !response.complete);
+    assert_eq!(response.rows.iter().map(|r| r.score).collect::<Vec<_>>(), [6.0, 5.0]);
+    assert_eq!(response.pruned, [ShardId(4), ShardId(5)]);
 }
 
 #[test]
-fn a_contradicted_sketch_takes_the_proof_away() {
+fn a_contradicted_sketch_disables_pruning() {
     let bounds = [10.0, 2.0];
     let spec = PlanSpec {
         selection: BlockSelection::Threshold,
@@ -383,13 +420,13 @@
         missing_sketches: MissingSketchPolicy::Fetch,
     };
     let (mut plan, _) = Plan::start(0, setup(&bounds, spec));
-    scouted(&mut plan, &bounds);
-    // A score above its own bound: none of the bounds is believed any more, and the rest is asked.
-    assert_eq!(plan.fetch_completed(2_000, 0, Ok(one(11.0, 0))), [PlanAction::Fetch(vec![1])]);
+    complete_scouts(&mut plan, &bounds);
+    // A score above the block's bound: no bound is trusted any more, and the remaining block is fetched.
+    assert_eq!(plan.fetch_completed(2_000, 0, Ok(one_row(11.0, 0))), [PlanAction::Fetch(vec![1])]);
 }
 
 #[test]
-fn a_non_idempotent_query_goes_to_the_next_block_only_if_not_executed() {
+fn a_non_idempotent_query_is_sent_to_the_next_block_only_if_not_executed() {
     let bounds = [3.0, 2.0, 1.0];
     let spec = PlanSpec {
         selection: BlockSelection::Best(2),
@@ -397,16 +434,16 @@
         wave_size: 4,
         missing_sketches: MissingSketchPolicy::Fetch,
     };
-    let hold = PlanSetup { has_effect: true, ..setup(&bounds, spec) };
-    let (mut plan, _) = Plan::start(0, hold.clone());
-    assert_eq!(scouted(&mut plan, &bounds), [PlanAction::Fetch(vec![0])]);
+    let setup = PlanSetup { has_effect: true, ..setup(&bounds, spec) };
+    let (mut plan, _) = Plan::start(0, setup.clone());
+    assert_eq!(complete_scouts(&mut plan, &bounds), [PlanAction::Fetch(vec![0])]);
     assert_eq!(plan.fetch_completed(2_000, 0, Err(PartLoss::NotExecuted)), [PlanAction::Fetch(vec![1])]);
     assert_eq!(
         plan.fetch_completed(3_000, 1, Err(PartLoss::NotExecuted)),
         [PlanAction::GiveUp { effect_possible: false }]
     );
-    let (mut plan, _) = Plan::start(0, hold);
-    scouted(&mut plan, &bounds);
+    let (mut plan, _) = Plan::start(0, setup);
+    complete_scouts(&mut plan, &bounds);
     assert_eq!(
         plan.fetch_completed(2_000, 0, Err(PartLoss::PossiblyExecuted)),
         [PlanAction::GiveUp { effect_possible: true }]
@@ -425,12 +462,12 @@
         assert!(plan.scout_completed(1_000, 0, Ok(Sketch { bound: 5.0, count: None })).is_empty());
         assert_eq!(plan.poll_timeout(), Some(300_000));
         let actions = plan.handle_timeout(300_000);
-        // Guards the estimate against its own budgets: how long scouts took that reported is recorded, not the
-        // wait for those that did not.
+        // Guards against budgets that raise the estimate: only the time of scouts that reported is recorded,
+        // not the wait for those that did not.
         assert_eq!(plan.take_phase_times().scouts, Some(1_000));
         assert_eq!(actions, [PlanAction::CancelScouts(vec![1, 2]), PlanAction::Fetch(fetch)]);
     }
-    // The deadline comes in the same call as the end of the scouts' budget.
+    // The deadline and the end of the scouts' budget are handled in the same call.
     let spec = PlanSpec {
         selection: BlockSelection::Threshold,
         row_limit: 1,
@@ -471,9 +508,9 @@
 }
 
 #[test]
-fn malformed_values_are_no_sketch_and_no_row() {
+fn malformed_values_are_rejected_as_sketches_and_rows() {
     assert_eq!(parse_sketch(r#"{"bound": 2.5, "count": 3}"#), Ok(Sketch { bound: 2.5, count: Some(3) }));
-    for bad in [
+    for malformed in [
         "",
         "{}",
         r#"{"bound": "high"}"#,
@@ -481,19 +518,19 @@
         r#"{"bound": 1e999}"#,
         r#"{"bound": 1, "count": -1}"#,
     ] {
-        assert!(parse_sketch(bad).is_err(), "{bad}");
+        assert!(parse_sketch(malformed).is_err(), "{malformed}");
     }
     assert!(parse_sketch(&format!(r#"{{"bound": 1, "x": "{}"}}"#, "y".repeat(2000))).is_err());
     assert_eq!(parse_rows(ShardId(3), r#"[{"score": 1, "id": "a"}]"#).map(|r| r.len()), Ok(1));
-    for bad in ["{}", "[1]", r#"[{"score": "x", "id": "a"}]"#, r#"[{"score": 1}]"#] {
-        assert!(parse_rows(ShardId(3), bad).is_err(), "{bad}");
+    for malformed in ["{}", "[1]", r#"[{"score": "x", "id": "a"}]"#, r#"[{"score": 1}]"#] {
+        assert!(parse_rows(ShardId(3), malformed).is_err(), "{malformed}");
     }
     let many = vec![r#"{"score": 1, "id": "a"}"#; MAX_ROWS_PER_BLOCK + 1].join(",");
     assert!(parse_rows(ShardId(3), &format!("[{many}]")).is_err());
 }
 
 #[test]
-fn scouts_get_what_they_need_and_no_more_than_waves_leave() {
+fn scouts_get_their_expected_time_within_what_waves_leave() {
     let mut times = PhaseTimeEstimator::new(ScoutBudgetRule::Learned);
     // Without observations: fractions of the objective.
     assert_eq!(times.budget(0, 1_000_000, 1_000_000, 1), ScoutBudget::Until(300_000));
@@ -509,7 +546,7 @@
     assert!(near(times.budget(0, 1_000_000, 130_000, 1), 30_000));
     assert_eq!(times.budget(0, 1_000_000, 105_000, 1), ScoutBudget::NoScouts);
     assert!(times.wave_fits(1_000_000, 110_000) && !times.wave_fits(1_000_000, 90_000));
-    // A change shows.
+    // The estimate follows a change.
     for _ in 0..3_000 {
         times.record_scouts(200_000);
     }
@@ -517,7 +554,7 @@
 }
 
 #[test]
-fn simpler_rules_split_what_is_left() {
+fn fixed_rules_divide_the_remaining_time() {
     assert_eq!(
         PhaseTimeEstimator::new(ScoutBudgetRule::Half).budget(10, 1_000, 400, 3),
         ScoutBudget::Until(210)
