--- a/crates/core/src/connection_limits.rs
+++ b/crates/core/src/connection_limits.rs
@@ -11,7 +11,7 @@
 
 /// Descriptors reserved for the event loop, discovery, listeners and the log.
 const RESERVED_DESCRIPTORS: usize = 16;
-/// Most connections to one backend.
+/// Maximum number of connections to one backend.
 const MAX_CONNECTIONS_PER_BACKEND: usize = 8;
 /// Connections to one backend that are opened while all existing ones are busy, so that one that breaks takes
 /// few parts with it.
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -29,7 +29,7 @@
     "router timers",
     "router window samples",
 ];
-/// A query that fails within this time before its deadline is reported as past its deadline.
+/// A query that fails within this time before its deadline counts as failed for lack of time.
 pub(crate) const DEADLINE_MARGIN_US: Micros = 20_000;
 
 /// Limits on open queries and parts.
@@ -409,7 +409,7 @@
         for action in router_actions {
             self.apply(now, action, &mut batch);
         }
-        self.fail_expired(now, &mut batch.others);
+        self.fail_expired(now, &mut batch.other_actions);
         // Actions that plans added in this batch are part of it.
         actions.append(&mut self.ready_actions);
         batch.append_to(&mut actions);
--- a/crates/core/src/query.rs
+++ b/crates/core/src/query.rs
@@ -130,7 +130,8 @@
     /// When the attempt times out. The request may be written long after the batch that sent it, so the
     /// backend is sent the time remaining at the time of writing.
     pub deadline: Micros,
-    /// The latest time at which the attempt may start. It can be earlier than `deadline`.
+    /// Time from which the attempt must not start any more. It can be earlier than `deadline`, while a
+    /// response could still arrive in time.
     pub start_by: Micros,
     /// The request body.
     pub body: Rc<[u8]>,
--- a/crates/core/src/router_actions.rs
+++ b/crates/core/src/router_actions.rs
@@ -24,14 +24,14 @@
 #[derive(Default)]
 pub(crate) struct BatchActions {
     calls: BTreeMap<BackendId, Vec<AttemptRequest>>,
-    pub(crate) others: Vec<Action>,
+    pub(crate) other_actions: Vec<Action>,
 }
 
 impl BatchActions {
     /// Appends the calls, by backend, and then all other actions in the order in which they were added.
     pub(crate) fn append_to(self, actions: &mut Vec<Action>) {
         actions.extend(self.calls.into_iter().map(|(backend, sends)| Action::SendBatch(backend, sends)));
-        actions.extend(self.others);
+        actions.extend(self.other_actions);
     }
 }
 
@@ -46,7 +46,7 @@
             router::Action::Cancel { part, attempt } => {
                 let id = AttemptId { part, number: attempt };
                 if let Some(attempt) = self.attempts.get(id) {
-                    batch.others.push(Action::CancelAttempt(attempt.backend, id));
+                    batch.other_actions.push(Action::CancelAttempt(attempt.backend, id));
                     self.attempt_completed(now, id, Outcome::Cancelled, None);
                 }
             }
@@ -55,20 +55,20 @@
                 let _ = self.plan_part_completed(now, part, None);
             }
             router::Action::Respond { query, complete } => {
-                batch.others.extend(self.respond(query, complete));
+                batch.other_actions.extend(self.respond(query, complete));
             }
             router::Action::Reject { query, retry_after } => {
                 let not_executed = self.open.get(query).is_some_and(OpenQuery::not_executed);
                 let response = QueryResponse::Rejected { retry_after, not_executed };
-                batch.others.extend(self.finish(query, response));
+                batch.other_actions.extend(self.finish(query, response));
             }
             router::Action::Fail { query } => {
                 let failure = self.failure_of(now, query);
-                batch.others.extend(self.finish(query, failure.into()));
+                batch.other_actions.extend(self.finish(query, failure.into()));
             }
             router::Action::SetTimer(after) => self.set_router_timer(now.saturating_add(after)),
-            router::Action::WatchEndpoints => batch.others.push(Action::WatchEndpoints),
-            router::Action::HealthCheck(backend) => batch.others.push(Action::HealthCheck(backend)),
+            router::Action::WatchEndpoints => batch.other_actions.push(Action::WatchEndpoints),
+            router::Action::HealthCheck(backend) => batch.other_actions.push(Action::HealthCheck(backend)),
             router::Action::BackendEjected(id) => tracing::info!("router: backend {} ejected", id.0),
             router::Action::BackendRecovered(id) => tracing::info!("router: backend {} recovered", id.0),
         }
@@ -90,7 +90,7 @@
         }
         let Some(request) = self.start_attempt(now, part, backend, window) else { return };
         if has_effect && self.permits_required {
-            batch.others.push(Action::RequestPermit(backend, request));
+            batch.other_actions.push(Action::RequestPermit(backend, request));
         } else {
             batch.calls.entry(backend).or_default().push(request);
         }
--- a/crates/core/src/sessions.rs
+++ b/crates/core/src/sessions.rs
@@ -1,7 +1,7 @@
 //! Sessions of the Flight frontend: options that a client sets once for all its calls, kept until an idle
 //! timeout.
 //!
-//! A session is known by a number that its client sends (a cookie or a field of its token). Memory is
+//! A session is identified by a number that its client sends (a cookie or a field of its token). Memory is
 //! bounded: beyond the limit the session that was idle longest is evicted. As after a restart, its client is
 //! notified that the options are gone, and sets them again.
 
--- a/crates/core/src/stream_admission/limits.rs
+++ b/crates/core/src/stream_admission/limits.rs
@@ -64,7 +64,7 @@
     pub polled_queries: usize,
     /// Bytes of their retained outcomes.
     pub outcome_bytes: usize,
-    /// Sessions.
+    /// Sessions that are kept.
     pub sessions: usize,
     /// Open queries per stream of queries.
     pub queries_per_stream: usize,
--- a/crates/core/tests/connection_limits.rs
+++ b/crates/core/tests/connection_limits.rs
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_silent_connection_is_used_only_if_no_other_can_be_opened() {
+fn an_unresponsive_connection_is_used_only_if_no_other_can_be_opened() {
     let silent = |id| ConnectionView { silent: true, ..view(id, 1, 0) };
     assert_eq!(
         choose_connection(&[silent(1)], 100, 90, ConnectionCapacity::Exhausted),
--- a/crates/core/tests/sessions.rs
+++ b/crates/core/tests/sessions.rs
@@ -15,8 +15,8 @@
             sessions.open(now, SessionId(id));
             order.retain(|&known| known != id);
             order.push(id);
-            let kept = order.len().saturating_sub(5);
-            order.drain(..kept);
+            let evicted = order.len().saturating_sub(5);
+            order.drain(..evicted);
             prop_assert_eq!(sessions.count(), order.len());
         }
         for id in 0..20 {
--- a/crates/core/tests/two_phase.rs
+++ b/crates/core/tests/two_phase.rs
@@ -221,7 +221,7 @@
             }
             _ if case.has_effect => {
                 self.possible_effects += 1;
-                plan.effect_completed(now, block, "held".into())
+                plan.effect_completed(now, block, "effect".into())
             }
             _ => plan.fetch_completed(now, block, Ok(rows_of(case, block))),
         }
