--- a/crates/edge/src/upstream/connection.rs
+++ b/crates/edge/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! What the pool asks of a connection to a backend, in either protocol.
+//! The interface between the connection pool and a backend connection, which both protocols implement.
 
 use mallowgauge_core::{AttemptId, AttemptRequest};
 use mallowgauge_router::Micros;
@@ -7,54 +7,54 @@
 use super::frame_connection::FrameConnection;
 use super::UpstreamEvent;
 
-/// One connection to a backend, from the moment it is being opened.
+/// One connection to a backend, from the start of the connect onwards.
 ///
-/// Each attempt that is handed to [`send`](Self::send) ends in exactly one event, unless it is cancelled:
+/// Each attempt that is passed to [`send`](Self::send) ends in exactly one event, unless it is cancelled:
 ///
-/// * not a byte of it was written and it is revoked, or its time to begin has passed: `NotSent`;
-/// * the connection is lost or evicted before it was handed over completely: `ConnectFailed`. It was not executed
-///   and may be sent again;
-/// * the connection is lost or evicted after that: `ConnectionLost`. It may have been executed, so only an
-///   idempotent attempt is sent again, which the router decides;
-/// * the backend says that it has not executed it: `Rejected`, which may be sent again;
-/// * the backend has answered: `Succeeded` or `BackendError`.
+/// * `NotSent`: it was revoked, or its latest start time passed, before its first byte was written;
+/// * `ConnectFailed`: the connection was lost or evicted before the attempt was written completely. It was not
+///   executed and may be sent again;
+/// * `ConnectionLost`: the connection was lost or evicted after that. The attempt was possibly executed, so the
+///   router sends it again only if it is idempotent;
+/// * `Rejected`: the backend reports that it did not execute the attempt, which may be sent again;
+/// * `Succeeded` or `BackendError`: the backend has responded.
 ///
-/// A connection itself never sends anything twice. Methods that return a `bool` say whether the connection stays
-/// open; after `false` the caller has to [`close`](Self::close) it.
+/// A connection never retries by itself. Methods that return a `bool` return whether the connection stays open;
+/// after `false` the caller has to [`close`](Self::close) it.
 pub(super) trait BackendConnection {
-    /// Attempts that the backend works on or will be sent, which count against its limit.
+    /// Number of attempts that are queued for the backend or that it works on; they count against its limit.
     fn in_flight(&self, now: Micros) -> usize;
 
-    /// Whether these attempts may go out on this connection.
+    /// Whether these attempts may be sent on this connection.
     fn accepts(&self, attempts: &[AttemptRequest]) -> bool;
 
-    /// Nothing is in flight, queued or being read.
+    /// Whether nothing is in flight, queued or being read.
     fn is_idle(&self) -> bool;
 
-    /// It is still being opened, and nothing waits for it any more.
-    fn opens_for_nothing(&self) -> bool;
+    /// Whether it is still being opened while nothing waits for it any more.
+    fn is_connecting_unused(&self) -> bool;
 
-    /// Since when the backend has sent nothing though an answer is due.
+    /// Start of the time in which the backend has sent nothing although a response is due; `None` if none is due.
     fn silent_since(&self) -> Option<Micros>;
 
-    /// When something last went either way.
+    /// Time of the last traffic in either direction.
     fn last_used(&self) -> Micros;
 
-    /// Bytes that its buffers hold; none where they are counted as memory for tables.
+    /// Bytes in its buffers; 0 if they are accounted as table memory.
     fn buffered_bytes(&self) -> usize;
 
-    /// When [`handle_timeout`](Self::handle_timeout) has something to do; `idle_timeout` is in microseconds.
+    /// When [`handle_timeout`](Self::handle_timeout) has to be called next; `idle_timeout` is in microseconds.
     fn poll_timeout(&self, idle_timeout: Micros) -> Option<Micros>;
 
-    /// Sends these attempts in one call, as soon as the socket takes it.
+    /// Sends these attempts in one call, as soon as the socket is writable.
     fn send(&mut self, now: Micros, attempts: Vec<AttemptRequest>, events: &mut Vec<UpstreamEvent>) -> bool;
 
-    /// Drops those chosen by `which` of the attempts of which not a byte is written.
-    fn revoke_unsent(&mut self, which: impl Fn(&AttemptRequest) -> bool, events: &mut Vec<UpstreamEvent>);
+    /// Removes the attempts that match `predicate` and of which no byte is written.
+    fn revoke_unsent(&mut self, predicate: impl Fn(&AttemptRequest) -> bool, events: &mut Vec<UpstreamEvent>);
 
-    /// Nobody waits for this attempt any more: it is not sent, or the backend is told. It ends in no event, unless
-    /// it was not sent. A connection that has been silent for `silent_timeout` microseconds and has nothing else in
-    /// flight may be dead, and closes.
+    /// Cancels an attempt: removes it if it is unsent, otherwise sends a cancellation to the backend. Only an unsent
+    /// attempt ends in an event. Closes a connection that has been silent for `silent_timeout` microseconds and has
+    /// nothing else in flight, since it may be dead.
     fn cancel(
         &mut self,
         now: Micros,
@@ -63,21 +63,21 @@
         events: &mut Vec<UpstreamEvent>,
     ) -> bool;
 
-    /// Checks the backend's health, which has failed at `deadline`.
+    /// Starts a health check, which fails if there is no response by `deadline`.
     fn health_check(&mut self, now: Micros, deadline: Micros, events: &mut Vec<UpstreamEvent>) -> bool;
 
-    /// Reads and writes as far as the socket lets it.
+    /// Reads and writes until the socket would block.
     fn handle_ready(&mut self, now: Micros, events: &mut Vec<UpstreamEvent>) -> bool;
 
-    /// Gives up what takes too long, and the connection if it has been idle for `idle_timeout` microseconds.
+    /// Ends whatever has timed out, and the connection if it has been idle for `idle_timeout` microseconds.
     fn handle_timeout(&mut self, now: Micros, idle_timeout: Micros, events: &mut Vec<UpstreamEvent>) -> bool;
 
-    /// Ends everything that is in flight; the connection is dropped after that.
+    /// Ends everything that is queued or in flight; the caller drops the connection after that.
     fn close(&mut self, events: &mut Vec<UpstreamEvent>);
 }
 
 /// A connection in the protocol that its backend speaks.
-#[allow(clippy::large_enum_variant)] // There are dozens of these, not thousands
+#[allow(clippy::large_enum_variant)] // There are dozens of connections, not thousands
 pub(super) enum ProtocolConnection {
     /// The platform's frames.
     Frames(FrameConnection),
@@ -85,7 +85,7 @@
     Flight(FlightConnection),
 }
 
-macro_rules! in_either {
+macro_rules! dispatch {
     ($self:expr, $connection:ident => $call:expr) => {
         match $self {
             ProtocolConnection::Frames($connection) => $call,
@@ -96,43 +96,47 @@
 
 impl BackendConnection for ProtocolConnection {
     fn in_flight(&self, now: Micros) -> usize {
-        in_either!(self, connection => connection.in_flight(now))
+        dispatch!(self, connection => connection.in_flight(now))
     }
 
     fn accepts(&self, attempts: &[AttemptRequest]) -> bool {
-        in_either!(self, connection => connection.accepts(attempts))
+        dispatch!(self, connection => connection.accepts(attempts))
     }
 
     fn is_idle(&self) -> bool {
-        in_either!(self, connection => connection.is_idle())
+        dispatch!(self, connection => connection.is_idle())
     }
 
-    fn opens_for_nothing(&self) -> bool {
-        in_either!(self, connection => connection.opens_for_nothing())
+    fn is_connecting_unused(&self) -> bool {
+        dispatch!(self, connection => connection.is_connecting_unused())
     }
 
     fn silent_since(&self) -> Option<Micros> {
-        in_either!(self, connection => connection.silent_since())
+        dispatch!(self, connection => connection.silent_since())
     }
 
     fn last_used(&self) -> Micros {
-        in_either!(self, connection => connection.last_used())
+        dispatch!(self, connection => connection.last_used())
     }
 
     fn buffered_bytes(&self) -> usize {
-        in_either!(self, connection => connection.buffered_bytes())
+        dispatch!(self, connection => connection.buffered_bytes())
     }
 
     fn poll_timeout(&self, idle_timeout: Micros) -> Option<Micros> {
-        in_either!(self, connection => connection.poll_timeout(idle_timeout))
+        dispatch!(self, connection => connection.poll_timeout(idle_timeout))
     }
 
     fn send(&mut self, now: Micros, attempts: Vec<AttemptRequest>, events: &mut Vec<UpstreamEvent>) -> bool {
-        in_either!(self, connection => connection.send(now, attempts, events))
+        dispatch!(self, connection => connection.send(now, attempts, events))
     }
 
-    fn revoke_unsent(&mut self, which: impl Fn(&AttemptRequest) -> bool, events: &mut Vec<UpstreamEvent>) {
-        in_either!(self, connection => connection.revoke_unsent(which, events))
+    fn revoke_unsent(
+        &mut self,
+        predicate: impl Fn(&AttemptRequest) -> bool,
+        events: &mut Vec<UpstreamEvent>,
+    ) {
+        dispatch!(self, connection => connection.revoke_unsent(predicate, events))
     }
 
     fn cancel(
@@ -142,22 +146,22 @@
         attempt: AttemptId,
         events: &mut Vec<UpstreamEvent>,
     ) -> bool {
-        in_either!(self, connection => connection.cancel(now, silent_timeout, attempt, events))
+        dispatch!(self, connection => connection.cancel(now, silent_timeout, attempt, events))
     }
 
     fn health_check(&mut self, now: Micros, deadline: Micros, events: &mut Vec<UpstreamEvent>) -> bool {
-        in_either!(self, connection => connection.health_check(now, deadline, events))
+        dispatch!(self, connection => connection.health_check(now, deadline, events))
     }
 
     fn handle_ready(&mut self, now: Micros, events: &mut Vec<UpstreamEvent>) -> bool {
-        in_either!(self, connection => connection.handle_ready(now, events))
+        dispatch!(self, connection => connection.handle_ready(now, events))
     }
 
     fn handle_timeout(&mut self, now: Micros, idle_timeout: Micros, events: &mut Vec<UpstreamEvent>) -> bool {
-        in_either!(self, connection => connection.handle_timeout(now, idle_timeout, events))
+        dispatch!(self, connection => connection.handle_timeout(now, idle_timeout, events))
     }
 
     fn close(&mut self, events: &mut Vec<UpstreamEvent>) {
-        in_either!(self, connection => connection.close(events))
+        dispatch!(self, connection => connection.close(events))
     }
 }
--- a/crates/edge/src/upstream/flight_connection.rs
+++ b/crates/edge/src/upstream/flight_connection.rs
@@ -1,8 +1,8 @@
-//! A connection that speaks Arrow Flight to a backend that offers it: each part is a `DoGet` of its own, so that
-//! one that hangs holds up no other. A part has succeeded only once its stream has ended with OK.
+//! A backend connection that uses Arrow Flight. Each part is a separate `DoGet`, so a part that hangs does not delay
+//! the others. A part has succeeded only once its stream has ended with status OK.
 //!
-//! What may be said of an attempt whose stream ends is decided in [`stream_outcome`], and how much a backend may
-//! send in [`TableMemory`]: bytes beyond a stream's first window come only as far as there is memory.
+//! [`stream_outcome`] derives an attempt's outcome from the end of its stream. [`TableMemory`] limits how much a
+//! backend may send: beyond a stream's initial window, flow control admits only bytes for which there is memory.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -28,71 +28,72 @@
 use crate::http2_socket::{Http2Socket, WakeFlag};
 use crate::tls::{Connector, Session};
 
-/// The bytes of HTTP/2 frames that backends may send; larger ones cost less.
-const FRAME_BYTES: std::ops::RangeInclusive<u32> = 16 * 1024..=256 * 1024;
-/// The largest window of a connection, in bytes.
-const LARGEST_CONNECTION_WINDOW: u32 = 1 << 30;
+/// Range of the HTTP/2 maximum frame size, in bytes; larger frames cost less per byte.
+const MAX_FRAME_SIZE_RANGE: std::ops::RangeInclusive<u32> = 16 * 1024..=256 * 1024;
+/// Upper limit of a connection's flow-control window, in bytes.
+const MAX_CONNECTION_WINDOW: u32 = 1 << 30;
 
-/// What all Flight connections to backends share, and the bounds of what backends may send.
+/// Options of all Flight connections to backends, with the limits on what backends may send.
 #[derive(Clone)]
 pub struct FlightOptions {
-    /// The memory for tables.
+    /// The memory budget for tables, which all connections share.
     pub table_memory: TableMemory,
-    /// The first window of a stream, in bytes.
+    /// Initial flow-control window of a stream, in bytes.
     pub initial_window: u32,
-    /// Most bytes of one part's table.
+    /// Largest table of one part, in bytes.
     pub max_table_bytes: usize,
-    /// Most streams of a connection.
+    /// Most concurrent streams of a connection.
     pub max_streams: usize,
-    /// TLS, where it is configured.
+    /// The TLS connector, if TLS is configured.
     pub tls: Option<Connector>,
 }
 
 type Http2Connection = client::Connection<Http2Socket, Bytes>;
 type Http2Handshake = Pin<Box<dyn Future<Output = Result<(SendRequest<Bytes>, Http2Connection), h2::Error>>>>;
 
-/// How far a connection is.
+/// The state of a connection.
 enum State {
     Connecting,
-    /// Nothing is handed over before TLS is agreed on, so that nothing can have been executed if it fails.
+    /// Nothing is sent before the TLS handshake is complete, so nothing can have been executed if it fails.
     TlsHandshake(Http2Socket),
     Http2Handshake(Http2Handshake),
-    Open(Open),
+    Open(OpenConnection),
 }
 
-/// An open connection as `h2` gives it.
-struct Open {
+/// The `h2` handles of an open connection.
+struct OpenConnection {
     connection: Box<Http2Connection>,
     sender: SendRequest<Bytes>,
     pings: PingPong,
 }
 
-/// A health check that waits for its answer.
+/// A health check in progress: an HTTP/2 ping.
 struct HealthCheck {
     deadline: Micros,
     sent: bool,
 }
 
-/// A connection that speaks Flight.
+/// A backend connection that uses Arrow Flight.
 pub(super) struct FlightConnection {
     backend: BackendId,
     stream: Rc<Stream>,
     addr: SocketAddr,
     options: FlightOptions,
     state: State,
-    /// When opening it is given up.
+    /// When opening the connection, handshakes included, times out.
     connect_deadline: Micros,
-    /// Raised when bytes come.
+    /// Set when bytes are received.
     bytes_received: Arc<AtomicBool>,
-    /// Raised when `h2` wants to be polled again.
-    wanted: Arc<WakeFlag>,
+    /// Set when `h2` asks to be polled again.
+    poll_requested: Arc<WakeFlag>,
     waker: Waker,
-    /// Calls of which nothing was handed to `h2`.
+    /// Calls of which nothing was passed to `h2`.
     queue: VecDeque<Vec<AttemptRequest>>,
     streams: Vec<PartStream>,
-    last_call: u64,
+    /// Number of calls so far, which numbers the calls in tickets.
+    call_count: u64,
     health_check: Option<HealthCheck>,
-    /// The backend takes no more streams on this connection.
+    /// Whether the connection accepts no new streams.
     closing: bool,
     last_received: Micros,
     last_used: Micros,
@@ -111,11 +112,11 @@
         self.queue.is_empty() && self.streams.is_empty() && self.health_check.is_none()
     }
 
-    fn opens_for_nothing(&self) -> bool {
+    fn is_connecting_unused(&self) -> bool {
         !self.is_open() && self.queue.is_empty() && self.health_check.is_none()
     }
 
-    /// A backend whose window is shut has nothing to say.
+    /// Streams that wait for memory are skipped: their window is closed, so the backend cannot send.
     fn silent_since(&self) -> Option<Micros> {
         let expected = self.streams.iter().filter(|stream| !stream.waits_for_memory());
         expected.map(|stream| stream.sent_at.max(self.last_received)).min()
@@ -125,7 +126,7 @@
         self.last_used
     }
 
-    /// Its buffers are counted as memory for tables.
+    /// Its buffers are accounted as table memory.
     fn buffered_bytes(&self) -> usize {
         0
     }
@@ -148,14 +149,18 @@
         self.handle_ready(now, events)
     }
 
-    fn revoke_unsent(&mut self, which: impl Fn(&AttemptRequest) -> bool, events: &mut Vec<UpstreamEvent>) {
+    fn revoke_unsent(
+        &mut self,
+        predicate: impl Fn(&AttemptRequest) -> bool,
+        events: &mut Vec<UpstreamEvent>,
+    ) {
         for attempts in &mut self.queue {
-            drop_unsent(attempts, &which, events);
+            drop_unsent(attempts, &predicate, events);
         }
         self.queue.retain(|attempts| !attempts.is_empty());
     }
 
-    /// Its stream is reset, which shows by itself whether the backend is there.
+    /// Resets the stream. The silence timeout is not needed, since writing the reset shows whether the backend is alive.
     fn cancel(
         &mut self,
         now: Micros,
@@ -177,7 +182,7 @@
         before == self.streams.len() || self.handle_ready(now, events)
     }
 
-    /// Pings the backend, unless a ping is under way.
+    /// Sends a ping, unless a health check is in progress.
     fn health_check(&mut self, now: Micros, deadline: Micros, events: &mut Vec<UpstreamEvent>) -> bool {
         self.last_used = now;
         self.health_check.get_or_insert(HealthCheck { deadline, sent: false });
@@ -191,13 +196,13 @@
             Poll::Ready(true) => {}
         }
         loop {
-            self.wanted.take();
+            self.poll_requested.take();
             let waker = self.waker.clone();
             let alive = self.drive(&mut Context::from_waker(&waker), now, events);
             if self.bytes_received.swap(false, Ordering::Relaxed) {
                 (self.last_received, self.last_used) = (now, now);
             }
-            if !alive || !self.wanted.take() {
+            if !alive || !self.poll_requested.take() {
                 return alive;
             }
         }
@@ -208,7 +213,7 @@
             return false;
         }
         if self.health_check.as_ref().is_some_and(|check| check.deadline <= now) {
-            // The pong may still come, and would be taken for the next one's.
+            // The pong may still come, and would be taken for that of the next health check.
             self.health_check = None;
             self.closing = true;
             events.push(UpstreamEvent::HealthCheckCompleted(self.backend, false));
@@ -230,7 +235,7 @@
 }
 
 impl FlightConnection {
-    /// A connection that is being opened until `connect_deadline`.
+    /// Creates a connection for a socket that is connecting until `connect_deadline`.
     pub(super) fn new(
         backend: BackendId,
         stream: Stream,
@@ -239,7 +244,7 @@
         addr: SocketAddr,
         options: FlightOptions,
     ) -> Self {
-        let (wanted, waker) = WakeFlag::waker();
+        let (poll_requested, waker) = WakeFlag::waker();
         Self {
             backend,
             stream: Rc::new(stream),
@@ -248,11 +253,11 @@
             state: State::Connecting,
             connect_deadline,
             bytes_received: Arc::default(),
-            wanted,
+            poll_requested,
             waker,
             queue: VecDeque::new(),
             streams: Vec::new(),
-            last_call: 0,
+            call_count: 0,
             health_check: None,
             closing: false,
             last_received: now,
@@ -260,7 +265,7 @@
         }
     }
 
-    /// There is memory again for so many bytes of a stream; `None` if it is not one of this connection's, else
+    /// Grants `bytes` of table memory to a stream. Returns `None` if the stream is not on this connection, otherwise
     /// whether the connection stays open.
     pub(super) fn grant_memory(
         &mut self,
@@ -278,7 +283,8 @@
         matches!(self.state, State::Open(_))
     }
 
-    /// Goes on to the HTTP/2 handshake as far as the socket lets it; `false` when the connection has failed.
+    /// Advances the connect and the TLS handshake. Ready with `true` once the HTTP/2 handshake has started, and with
+    /// `false` if the connection has failed.
     fn establish(&mut self) -> Poll<bool> {
         if matches!(self.state, State::Connecting) {
             match self.stream.connected() {
@@ -290,54 +296,56 @@
             let session = match tls.map(|tls| tls.connect(self.addr)).transpose() {
                 Ok(session) => session.map(Session::Client),
                 Err(error) => {
-                    tracing::warn!("host {}: no TLS: {error}", self.backend.0);
+                    tracing::warn!("backend {}: TLS handshake failed: {error}", self.backend.0);
                     return Poll::Ready(false);
                 }
             };
-            let (wire, bytes_received) = Http2Socket::new(Rc::clone(&self.stream), session);
+            let (socket, bytes_received) = Http2Socket::new(Rc::clone(&self.stream), session);
             self.bytes_received = bytes_received;
-            self.state = State::TlsHandshake(wire);
+            self.state = State::TlsHandshake(socket);
         }
-        let State::TlsHandshake(wire) = &mut self.state else { return Poll::Ready(true) };
-        match wire.handshake() {
+        let State::TlsHandshake(socket) = &mut self.state else { return Poll::Ready(true) };
+        match socket.handshake() {
             Poll::Pending => return Poll::Pending,
             Poll::Ready(Err(error)) => {
-                tracing::warn!("host {}: no TLS: {error}", self.backend.0);
+                tracing::warn!("backend {}: TLS handshake failed: {error}", self.backend.0);
                 return Poll::Ready(false);
             }
             Poll::Ready(Ok(())) => {}
         }
-        let State::TlsHandshake(wire) = std::mem::replace(&mut self.state, State::Connecting) else {
+        let State::TlsHandshake(socket) = std::mem::replace(&mut self.state, State::Connecting) else {
             return Poll::Ready(false);
         };
-        self.state = State::Http2Handshake(Box::pin(self.http2_settings().handshake(wire)));
+        self.state = State::Http2Handshake(Box::pin(self.http2_settings().handshake(socket)));
         Poll::Ready(true)
     }
 
     fn http2_settings(&self) -> client::Builder {
         let window = self.options.initial_window;
-        // A stream that waits for memory keeps its window's bytes; the others go on beside it.
+        // A stream that waits for memory keeps its bytes of the connection's window, so the connection's window has
+        // space for all streams and the others can proceed.
         let streams = u32::try_from(self.options.max_streams).unwrap_or(u32::MAX);
-        let connection_window = window.saturating_mul(streams + 1).min(LARGEST_CONNECTION_WINDOW);
+        let connection_window = window.saturating_mul(streams + 1).min(MAX_CONNECTION_WINDOW);
         let mut builder = client::Builder::new();
         builder.initial_window_size(window).initial_connection_window_size(connection_window);
-        builder.max_frame_size(window.clamp(*FRAME_BYTES.start(), *FRAME_BYTES.end()));
+        builder.max_frame_size(window.clamp(*MAX_FRAME_SIZE_RANGE.start(), *MAX_FRAME_SIZE_RANGE.end()));
         builder.enable_push(false);
         builder
     }
 
-    /// Lets `h2` read and write, once; `false` when the connection is over.
+    /// Polls `h2` once, which reads and writes. Returns `false` if the connection is closed.
     fn drive(&mut self, cx: &mut Context<'_>, now: Micros, events: &mut Vec<UpstreamEvent>) -> bool {
         if let State::Http2Handshake(handshake) = &mut self.state {
             match handshake.as_mut().poll(cx) {
                 Poll::Pending => return true,
                 Poll::Ready(Err(error)) => {
-                    tracing::warn!("host {}: no HTTP/2: {error}", self.backend.0);
+                    tracing::warn!("backend {}: HTTP/2 handshake failed: {error}", self.backend.0);
                     return false;
                 }
                 Poll::Ready(Ok((sender, mut connection))) => {
                     let Some(pings) = connection.ping_pong() else { return false };
-                    self.state = State::Open(Open { connection: Box::new(connection), sender, pings });
+                    self.state =
+                        State::Open(OpenConnection { connection: Box::new(connection), sender, pings });
                 }
             }
         }
@@ -346,23 +354,23 @@
         if let Some(check) = self.health_check.as_mut().filter(|check| !check.sent) {
             check.sent = open.pings.send_ping(Ping::opaque()).is_ok();
         }
-        let over = Pin::new(&mut open.connection).poll(cx).is_ready();
+        let is_closed = Pin::new(&mut open.connection).poll(cx).is_ready();
         if self.health_check.is_some() && matches!(open.pings.poll_pong(cx), Poll::Ready(Ok(_))) {
             self.health_check = None;
             events.push(UpstreamEvent::HealthCheckCompleted(self.backend, true));
         }
         self.closing |= matches!(open.sender.poll_ready(cx), Poll::Ready(Err(_)));
         self.poll_streams(cx, now, events);
-        !over
+        !is_closed
     }
 
-    /// Hands the queued attempts to `h2`, each as a stream of its own.
+    /// Passes the queued attempts to `h2`, each as a separate stream.
     fn open_streams(&mut self, cx: &mut Context<'_>, now: Micros, events: &mut Vec<UpstreamEvent>) {
         let State::Open(open) = &mut self.state else { return };
         while let Some(mut attempts) = self.queue.pop_front() {
             drop_expired(now, &mut attempts, events);
-            self.last_call += 1;
-            let position = CallPosition { call: self.last_call, parts: attempts.len() };
+            self.call_count += 1;
+            let position = CallPosition { call: self.call_count, parts: attempts.len() };
             for attempt in &attempts {
                 let sender = &mut open.sender;
                 match PartStream::open(
@@ -377,8 +385,8 @@
                 ) {
                     Ok(stream) => self.streams.push(stream),
                     Err(error) => {
-                        // Nothing of it was written.
-                        tracing::info!("host {} takes no more here: {error}", self.backend.0);
+                        // No byte of the attempt was written.
+                        tracing::info!("backend {}: connection is closing: {error}", self.backend.0);
                         self.closing = true;
                         let failed = Outcome::ConnectFailed;
                         events.push(UpstreamEvent::AttemptEnded(attempt.attempt, failed, None));
@@ -388,12 +396,12 @@
         }
     }
 
-    /// Reads what has come on each stream, and ends those that are over.
+    /// Reads from each stream, and removes those that have ended.
     fn poll_streams(&mut self, cx: &mut Context<'_>, now: Micros, events: &mut Vec<UpstreamEvent>) {
         let memory = &self.options.table_memory;
         self.streams.retain_mut(|stream| match stream.poll(cx, memory) {
             Poll::Pending => {
-                stream.note_partial_message(now);
+                stream.update_partial_since(now);
                 true
             }
             Poll::Ready(end) => {
@@ -403,14 +411,14 @@
         });
     }
 
-    /// Ends the streams on which a message has not become complete in time; `false` if there are none.
+    /// Ends the streams on which a message has timed out incomplete. Returns whether there were any.
     fn end_stalled_streams(&mut self, now: Micros, events: &mut Vec<UpstreamEvent>) -> bool {
         let (backend, memory) = (self.backend, &self.options.table_memory);
         let before = self.streams.len();
         self.streams.retain_mut(|stream| {
             let stalled = stream.is_stalled(now);
             if stalled {
-                tracing::warn!("host {}: a message that does not become whole", backend.0);
+                tracing::warn!("backend {}: incomplete message timed out", backend.0);
                 stream.reset();
                 events.push(stream.end(StreamEnd::Stalled, memory));
             }
--- a/crates/edge/src/upstream/flight_stream.rs
+++ b/crates/edge/src/upstream/flight_stream.rs
@@ -1,4 +1,4 @@
-//! One attempt on a Flight connection: its `DoGet`, what comes back, and how it ends.
+//! One attempt on a Flight connection: its `DoGet` request, the response stream and the resulting outcome.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -24,45 +24,45 @@
 use super::flight_connection::FlightOptions;
 use super::{UpstreamEvent, MESSAGE_TIMEOUT};
 
-/// An answer may have this many times the bytes of a table while it is collected.
-const COLLECTED_TABLE_MULTIPLE: usize = 4;
+/// Compressed columns may decompress to this many times the size limit of a table.
+const DECOMPRESSED_SIZE_MULTIPLE: usize = 4;
 
-/// Where a part stands among those of its call, which its ticket says so that a backend can do their common work
-/// once.
+/// Identifies the call that a part belongs to. Tickets carry it, so that a backend can do the work that the parts of a
+/// call share only once.
 #[derive(Clone, Copy)]
 pub(super) struct CallPosition {
     /// The call's number on its connection.
     pub(super) call: u64,
-    /// How many parts the call has.
+    /// Number of parts in the call.
     pub(super) parts: usize,
 }
 
-/// Why an answer that came to its end holds no value.
+/// Why a response holds no usable value; the text goes to the log.
 #[derive(Debug, thiserror::Error)]
-enum AnswerError {
+enum ResponseError {
     #[error("{0}")]
     Message(String),
-    #[error("it ends within a message")]
-    EndsWithinMessage,
-    #[error("nothing came")]
+    #[error("response ends within a message")]
+    TruncatedMessage,
+    #[error("response is empty")]
     Empty,
-    #[error("no table came")]
+    #[error("response holds no table")]
     NoTable,
-    #[error("not one row")]
+    #[error("response does not hold exactly one row")]
     NotOneRow,
-    #[error("a row of another shard")]
-    OtherShard,
-    #[error("no memory")]
-    NoMemory,
+    #[error("response holds a row of another shard")]
+    WrongShard,
+    #[error("table memory is exhausted")]
+    OutOfMemory,
 }
 
-/// An attempt that somebody waits for, and its stream.
+/// An attempt that is not cancelled, and its stream.
 pub(super) struct PartStream {
-    /// The stream's number among those of all connections.
+    /// The stream's number, unique over all connections.
     pub(super) id: StreamId,
     pub(super) attempt: AttemptId,
     pub(super) sent_at: Micros,
-    /// Since when a message has come in part.
+    /// When the incomplete message in `deframer` began.
     pub(super) partial_since: Option<Micros>,
     backend: BackendId,
     query: CallId,
@@ -70,39 +70,39 @@
     request: SendStream<Bytes>,
     response: Option<ResponseFuture>,
     body: Option<RecvStream>,
-    messages: Deframer,
-    columns: Option<Collector>,
+    deframer: Deframer,
+    collector: Option<Collector>,
     stage: StreamStage,
     initial_window: usize,
-    /// Bytes that have come and whose place in the window was not given back.
-    unreleased: usize,
-    /// Of these, so many wait for memory.
-    waiting: usize,
-    /// The query's tables have outgrown their bound.
+    /// Received bytes that were not yet released to the flow-control window.
+    unreleased_bytes: usize,
+    /// The number of these bytes that wait for table memory.
+    bytes_awaiting_memory: usize,
+    /// Whether the query's tables have exceeded the table memory.
     memory_exceeded: bool,
-    /// Why what came cannot be used.
-    error: Option<AnswerError>,
+    /// Why the response cannot be used.
+    error: Option<ResponseError>,
 }
 
-/// Numbers for streams, of all connections.
+/// Returns a stream number that is unique over all connections.
 fn next_stream_id() -> StreamId {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     StreamId(NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
 fn ticket(attempt: &AttemptRequest, position: CallPosition) -> Ticket {
-    let text = String::from_utf8_lossy(&attempt.body);
-    let ticket = json!({"query": *attempt.request_id, "range": attempt.shard.0, "predicate": text,
+    let predicate = String::from_utf8_lossy(&attempt.body);
+    let ticket = json!({"query": *attempt.request_id, "range": attempt.shard.0, "predicate": predicate,
                         "call": position.call, "parts": position.parts});
     Ticket { ticket: ticket.to_string().into() }
 }
 
 impl PartStream {
-    /// Hands the attempt to `h2`.
+    /// Passes the attempt to `h2`.
     ///
     /// # Errors
-    /// The connection takes no more streams; nothing of the attempt was written.
-    #[allow(clippy::too_many_arguments)] // The connection's fields, borrowed apart
+    /// The connection accepts no more streams; no byte of the attempt was written.
+    #[allow(clippy::too_many_arguments)] // The connection's fields, borrowed separately
     pub(super) fn open(
         backend: BackendId,
         attempt: &AttemptRequest,
@@ -128,7 +128,7 @@
         request.send_data(grpc::frame(&ticket(attempt, position)).into(), true)?;
         let id = next_stream_id();
         options.table_memory.open(id, attempt.call);
-        let collected = options.max_table_bytes.saturating_mul(COLLECTED_TABLE_MULTIPLE);
+        let max_decompressed = options.max_table_bytes.saturating_mul(DECOMPRESSED_SIZE_MULTIPLE);
         Ok(Self {
             id,
             attempt: attempt.attempt,
@@ -140,56 +140,56 @@
             request,
             response: Some(response),
             body: None,
-            messages: Deframer::new(options.max_table_bytes),
-            columns: Some(Collector::new(collected)),
+            deframer: Deframer::new(options.max_table_bytes),
+            collector: Some(Collector::new(max_decompressed)),
             stage: StreamStage::Sent,
             initial_window: options.initial_window as usize,
-            unreleased: 0,
-            waiting: 0,
+            unreleased_bytes: 0,
+            bytes_awaiting_memory: 0,
             memory_exceeded: false,
             error: None,
         })
     }
 
-    /// The backend may not send more until there is memory.
+    /// Whether the backend cannot send more until there is table memory.
     pub(super) fn waits_for_memory(&self) -> bool {
-        self.waiting > 0
+        self.bytes_awaiting_memory > 0
     }
 
-    /// Whether a message has come in part for too long.
+    /// Whether a message has been incomplete for too long. Time spent waiting for memory does not count.
     pub(super) fn is_stalled(&self, now: Micros) -> bool {
         let overdue = self.partial_since.is_some_and(|since| since + MESSAGE_TIMEOUT <= now);
         overdue && !self.waits_for_memory()
     }
 
-    /// Notes since when a message has come in part. A backend that may not send more is not the one that keeps a
-    /// message from becoming complete.
-    pub(super) fn note_partial_message(&mut self, now: Micros) {
+    /// Updates when the incomplete message, if any, began. While the stream waits for memory the time restarts, since
+    /// the backend cannot complete the message then.
+    pub(super) fn update_partial_since(&mut self, now: Micros) {
         let since = if self.waits_for_memory() { now } else { self.partial_since.unwrap_or(now) };
-        self.partial_since = (!self.messages.is_empty()).then_some(since);
+        self.partial_since = (!self.deframer.is_empty()).then_some(since);
     }
 
-    /// Tells the backend that nobody listens any more.
+    /// Resets the stream, which cancels the request at the backend.
     pub(super) fn reset(&mut self) {
         self.request.send_reset(Reason::CANCEL);
     }
 
-    /// Lets the backend send so many bytes more.
+    /// Releases bytes to the flow-control window, so that the backend can send as many more.
     pub(super) fn release(&mut self, bytes: usize) {
-        self.unreleased -= bytes.min(self.unreleased);
-        self.waiting = self.waiting.saturating_sub(bytes);
+        self.unreleased_bytes -= bytes.min(self.unreleased_bytes);
+        self.bytes_awaiting_memory = self.bytes_awaiting_memory.saturating_sub(bytes);
         if let Some(body) = &mut self.body {
-            // An error means that the stream is over, which its next poll says.
+            // An error means that the stream has ended, which its next poll reports.
             let _ = body.flow_control().release_capacity(bytes);
         }
     }
 
-    /// Reads what has come, until the stream is over.
+    /// Reads the available input; ready once the stream has ended.
     pub(super) fn poll(&mut self, cx: &mut Context<'_>, memory: &TableMemory) -> Poll<StreamEnd> {
         if let Some(response) = &mut self.response {
             let response = match Pin::new(response).poll(cx) {
                 Poll::Pending => return Poll::Pending,
-                Poll::Ready(Err(error)) => return Poll::Ready(end_of_error(&error)),
+                Poll::Ready(Err(error)) => return Poll::Ready(stream_end_from_error(&error)),
                 Poll::Ready(Ok(response)) => response,
             };
             if let Err(end) = self.begin_body(response) {
@@ -200,9 +200,9 @@
             let Some(body) = &mut self.body else { return Poll::Ready(StreamEnd::Status) };
             match body.poll_data(cx) {
                 Poll::Pending => return Poll::Pending,
-                Poll::Ready(Some(Err(error))) => return Poll::Ready(end_of_error(&error)),
+                Poll::Ready(Some(Err(error))) => return Poll::Ready(stream_end_from_error(&error)),
                 Poll::Ready(Some(Ok(bytes))) => {
-                    if !self.take_bytes(&bytes, memory) {
+                    if !self.receive_bytes(&bytes, memory) {
                         return Poll::Ready(StreamEnd::Malformed);
                     }
                 }
@@ -212,78 +212,79 @@
         let Some(body) = &mut self.body else { return Poll::Ready(StreamEnd::Status) };
         match body.poll_trailers(cx) {
             Poll::Pending => Poll::Pending,
-            Poll::Ready(Err(error)) => Poll::Ready(end_of_error(&error)),
-            Poll::Ready(Ok(trailers)) => Poll::Ready(self.end_of_trailers(trailers.as_ref())),
+            Poll::Ready(Err(error)) => Poll::Ready(stream_end_from_error(&error)),
+            Poll::Ready(Ok(trailers)) => Poll::Ready(self.stream_end_from_trailers(trailers.as_ref())),
         }
     }
 
-    /// The head of the response has come: its body is read from now on, unless the head ends the stream.
+    /// Handles the response headers and starts to read the body, unless the headers end the stream.
     fn begin_body(&mut self, response: http::Response<RecvStream>) -> Result<(), StreamEnd> {
         if response.status() != http::StatusCode::OK {
             return Err(StreamEnd::Status);
         }
-        if let Some(end) = end_of_status(response.headers()) {
+        if let Some(end) = stream_end_from_status(response.headers()) {
             return Err(end);
         }
         self.stage = StreamStage::Answering;
         let encoding = response.headers().get("grpc-encoding").and_then(|value| value.to_str().ok());
         let encoding = encoding.map_or(Some(Encoding::Identity), Encoding::named);
         let encoding = encoding.ok_or(StreamEnd::Malformed)?;
-        let messages = std::mem::replace(&mut self.messages, Deframer::new(0));
-        self.messages = messages.encoded(encoding);
+        let deframer = std::mem::replace(&mut self.deframer, Deframer::new(0));
+        self.deframer = deframer.encoded(encoding);
         self.response = None;
         self.body = Some(response.into_body());
         Ok(())
     }
 
-    /// Takes bytes of the body; `false` where they cannot be used, or there is never memory for them.
-    fn take_bytes(&mut self, bytes: &Bytes, memory: &TableMemory) -> bool {
-        self.unreleased += bytes.len();
-        self.messages.push(bytes);
-        if let Err(error) = self.take_messages() {
-            self.error = Some(AnswerError::Message(error));
+    /// Handles bytes of the body. Returns `false` if they are invalid or exceed the table memory.
+    fn receive_bytes(&mut self, bytes: &Bytes, memory: &TableMemory) -> bool {
+        self.unreleased_bytes += bytes.len();
+        self.deframer.push(bytes);
+        if let Err(error) = self.decode_messages() {
+            self.error = Some(ResponseError::Message(error));
             return false;
         }
         self.request_memory(memory)
     }
 
-    /// Takes the complete messages that have come.
-    fn take_messages(&mut self) -> Result<(), String> {
-        while let Some(message) = self.messages.take().map_err(|error| format!("{error:?}"))? {
+    /// Decodes the complete messages that were received.
+    fn decode_messages(&mut self) -> Result<(), String> {
+        while let Some(message) = self.deframer.take().map_err(|error| format!("{error:?}"))? {
             let data = FlightData::decode(message).map_err(|error| error.to_string())?;
-            self.columns.as_mut().ok_or("nothing more is due")?.take(data)?;
-            // What comes next is another message, with a time of its own.
+            self.collector.as_mut().ok_or("a message after the end of the table")?.take(data)?;
+            // The next bytes belong to another message, which has its own timeout.
             self.partial_since = None;
         }
         Ok(())
     }
 
-    /// Asks for memory for what the backend may send beyond its first window; `false` where the query's tables
-    /// outgrow their bound. Nothing is asked for before half of the first window has come: most answers are smaller.
+    /// Requests table memory for what the backend may send beyond the initial window. Returns `false` if the query's
+    /// tables exceed the limit. Requests nothing before half of the initial window is received, since most responses
+    /// are smaller.
     fn request_memory(&mut self, memory: &TableMemory) -> bool {
-        let fresh = self.unreleased - self.waiting;
-        if fresh < self.initial_window / 2 {
+        let new_bytes = self.unreleased_bytes - self.bytes_awaiting_memory;
+        if new_bytes < self.initial_window / 2 {
             return true;
         }
-        match memory.request_window(self.id, fresh) {
-            // What waited before is part of the grant.
-            WindowGrant::Granted => self.release(fresh + self.waiting),
-            WindowGrant::Queued => self.waiting += fresh,
+        match memory.request_window(self.id, new_bytes) {
+            // The grant includes the bytes that waited before.
+            WindowGrant::Granted => self.release(new_bytes + self.bytes_awaiting_memory),
+            WindowGrant::Queued => self.bytes_awaiting_memory += new_bytes,
             WindowGrant::Exceeded => self.memory_exceeded = true,
         }
         !self.memory_exceeded
     }
 
-    /// What the end of the body means. Without a status or within a message the stream was cut short, whatever it
+    /// Returns how the stream ended. Without a status, or in the middle of a message, it was truncated, whatever it
     /// held.
-    fn end_of_trailers(&mut self, trailers: Option<&http::HeaderMap>) -> StreamEnd {
-        match trailers.and_then(end_of_status) {
-            Some(StreamEnd::Ok) if self.messages.is_empty() => {
+    fn stream_end_from_trailers(&mut self, trailers: Option<&http::HeaderMap>) -> StreamEnd {
+        match trailers.and_then(stream_end_from_status) {
+            Some(StreamEnd::Ok) if self.deframer.is_empty() => {
                 self.stage = StreamStage::Complete;
                 StreamEnd::Ok
             }
             Some(StreamEnd::Ok) => {
-                self.error = Some(AnswerError::EndsWithinMessage);
+                self.error = Some(ResponseError::TruncatedMessage);
                 StreamEnd::Malformed
             }
             Some(end) => end,
@@ -291,21 +292,21 @@
         }
     }
 
-    /// The stream is over: how the attempt has ended.
+    /// Ends the attempt, and returns the event with its outcome.
     pub(super) fn end(&mut self, end: StreamEnd, memory: &TableMemory) -> UpstreamEvent {
         let mut outcome = stream_outcome::classify(self.stage, end);
         let mut value = None;
         if outcome == Outcome::Succeeded {
             match self.value(memory) {
                 Ok(answer) => (outcome, value) = answer,
-                Err(AnswerError::NoMemory) => self.memory_exceeded = true,
+                Err(ResponseError::OutOfMemory) => self.memory_exceeded = true,
                 Err(error) => {
                     self.warn_unusable(&error);
                     outcome = Outcome::ConnectionLost;
                 }
             }
         } else if end == StreamEnd::Malformed {
-            // The stream goes on; nobody listens to it any more.
+            // The backend may still be sending; the response is no longer needed.
             self.reset();
             if !self.memory_exceeded {
                 self.warn_unusable(&self.error.as_ref().map(ToString::to_string).unwrap_or_default());
@@ -319,33 +320,33 @@
     }
 
     fn warn_unusable(&self, error: &dyn std::fmt::Display) {
-        tracing::warn!("host {}: no answer for shard {}: {error}", self.backend.0, self.shard.0);
+        tracing::warn!("backend {}: unusable answer for shard {}: {error}", self.backend.0, self.shard.0);
     }
 
-    /// The outcome that a complete answer states, and its value: a row of the simple form, or a table that is kept
-    /// as it is.
-    fn value(&mut self, memory: &TableMemory) -> Result<(Outcome, Option<Value>), AnswerError> {
-        let columns = self.columns.take().ok_or(AnswerError::Empty)?;
-        let is_simple = columns.schema().is_some_and(rows::is_simple);
-        let table = columns.finish().ok_or(AnswerError::NoTable)?;
+    /// Returns the outcome and the value of a complete response: a single row in the simple form, or a table, which is
+    /// kept as received.
+    fn value(&mut self, memory: &TableMemory) -> Result<(Outcome, Option<Value>), ResponseError> {
+        let collector = self.collector.take().ok_or(ResponseError::Empty)?;
+        let is_simple = collector.schema().is_some_and(rows::is_simple);
+        let table = collector.finish().ok_or(ResponseError::NoTable)?;
         if is_simple {
-            let rows = rows::read(&table.schema, &table.messages).map_err(AnswerError::Message)?;
-            let [row] = rows.as_slice() else { return Err(AnswerError::NotOneRow) };
+            let rows = rows::read(&table.schema, &table.messages).map_err(ResponseError::Message)?;
+            let [row] = rows.as_slice() else { return Err(ResponseError::NotOneRow) };
             if row.shard != self.shard {
-                return Err(AnswerError::OtherShard);
+                return Err(ResponseError::WrongShard);
             }
             let value = (row.outcome == Outcome::Succeeded).then(|| Value::Text(Rc::clone(&row.value)));
             return Ok((row.outcome, value));
         }
-        let lease = memory.retain(self.id, table.bytes).ok_or(AnswerError::NoMemory)?;
+        let lease = memory.retain(self.id, table.bytes).ok_or(ResponseError::OutOfMemory)?;
         let (schema, messages, rows) = (table.schema, table.messages, table.rows);
         Ok((Outcome::Succeeded, Some(Value::Table(Rc::new(Table { schema, messages, rows, lease })))))
     }
 }
 
-/// What a status says, if there is one. It proves nothing about whether the part was executed, except where its
-/// details say that it was not.
-fn end_of_status(headers: &http::HeaderMap) -> Option<StreamEnd> {
+/// Returns how a status ends the stream, if there is a status. A status does not show whether the part was executed,
+/// unless its details state that it was not.
+fn stream_end_from_status(headers: &http::HeaderMap) -> Option<StreamEnd> {
     let code = grpc::status_of(headers)?;
     Some(if code == Code::Ok as u32 {
         StreamEnd::Ok
@@ -358,10 +359,10 @@
     })
 }
 
-/// Only a stream that the backend has refused, or one above the last that its GOAWAY names, was not executed. `h2`
-/// gives the backend's GOAWAY as the reason to those above it alone: it ends them while it reads the frame, and
-/// ends the others with the connection's own error.
-fn end_of_error(error: &h2::Error) -> StreamEnd {
+/// Returns how an error ends the stream. Only a part whose stream the backend refused, or whose stream is above the
+/// last one that its GOAWAY names, was certainly not executed. `h2` reports the backend's GOAWAY as the error of the
+/// streams above the last one only: it ends these while it reads the frame, and the others with the connection's error.
+fn stream_end_from_error(error: &h2::Error) -> StreamEnd {
     if error.is_reset() && error.is_remote() && error.reason() == Some(Reason::REFUSED_STREAM) {
         StreamEnd::RefusedStream
     } else if error.is_go_away() && error.is_remote() {
--- a/crates/edge/src/upstream/frame_connection.rs
+++ b/crates/edge/src/upstream/frame_connection.rs
@@ -1,7 +1,8 @@
-//! A connection that carries the platform's frames ([`super::frames`]).
+//! A backend connection that uses the platform's frames ([`super::frames`]).
 //!
-//! Parts are answered in any order, by name; health checks in theirs. Of the queue only the frame in front is ever
-//! written in part: until its first byte is written it can be revoked, after its last the backend may execute it.
+//! Responses to parts come in any order and name their part; responses to health checks come in the order of the
+//! checks. Only the first queued frame is ever partly written: it can be revoked until its first byte is written, and
+//! the backend may execute it once its last byte is written.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,27 +14,27 @@
 use super::frames::{self, BackendMessage, FrameError};
 use super::{drop_expired, drop_unsent, UpstreamEvent, MESSAGE_TIMEOUT};
 
-/// How long after its deadline a cancelled part is remembered, for its late answer, in microseconds.
-const REMEMBER_CANCELLED: Micros = 1_000_000;
-/// How many of the last answered parts a connection remembers, for answers that come twice.
-const REMEMBER_ANSWERED: usize = 64;
-/// Most bytes read ahead: one frame and its length.
-const LONGEST_INPUT: usize = frames::LONGEST + 4;
+/// Time after its deadline for which a cancelled part is kept, to match a late response, in microseconds.
+const CANCELLED_PART_RETENTION: Micros = 1_000_000;
+/// Number of the last answered parts that a connection keeps, to recognise duplicate responses.
+const MAX_REMEMBERED_PARTS: usize = 64;
+/// Size limit of the input buffer in bytes: one frame with its length field.
+const MAX_INPUT_BYTES: usize = frames::MAX_FRAME_BYTES + 4;
 
-/// Why what a backend sends cannot be used, as the log has it.
+/// Why a connection is closed because of what the backend sent; the text goes to the log.
 #[derive(Debug, thiserror::Error)]
 enum ProtocolError {
     #[error(transparent)]
     Frame(#[from] FrameError),
-    #[error("an answer to no part that was sent here")]
+    #[error("response to a part that is not in flight on this connection")]
     UnknownPart,
-    #[error("an answer to no probe")]
+    #[error("response to a health check that was not sent")]
     UnknownHealthCheck,
-    #[error("the host gives this connection up")]
-    GivenUp,
-    #[error("more than belongs to an answer")]
+    #[error("backend closes the connection")]
+    ClosedByBackend,
+    #[error("unexpected bytes after a response")]
     SurplusBytes,
-    #[error("a frame that does not become whole")]
+    #[error("incomplete frame timed out")]
     FrameTimeout,
 }
 
@@ -41,7 +42,7 @@
 #[derive(Debug)]
 enum Frame {
     Call(Vec<AttemptRequest>),
-    /// Names the part.
+    /// The name of the part to cancel.
     Cancel(String),
     HealthCheck,
 }
@@ -54,58 +55,58 @@
         }
     }
 
-    /// Whether it cancels the part of this name.
+    /// Whether this frame cancels the part of this name.
     fn cancels(&self, part: &str) -> bool {
         matches!(self, Frame::Cancel(cancelled) if cancelled == part)
     }
 }
 
-/// A part that was written completely and is not answered.
+/// A part that was written completely and has no response yet.
 #[derive(Debug)]
 struct InFlightPart {
     attempt: AttemptId,
     sent_at: Micros,
-    /// Until then the backend may work on it, even if it is cancelled.
+    /// The backend may work on the part until then, even if it is cancelled.
     deadline: Micros,
     cancelled: bool,
 }
 
-/// A connection that carries frames.
+/// A backend connection that uses the platform's frames.
 pub(super) struct FrameConnection {
     backend: BackendId,
     stream: Stream,
-    /// While it is being opened: when that is given up.
+    /// When connecting times out; `None` once the connection is established.
     connect_deadline: Option<Micros>,
-    /// Frames of which not a byte is written.
+    /// Frames of which no byte is written.
     queue: VecDeque<Frame>,
-    /// The frame that is written in part, with its bytes that are not.
+    /// The partly written frame, with its remaining bytes.
     writing: Option<(Frame, Vec<u8>)>,
-    /// By name.
+    /// Parts in flight, by name.
     in_flight: BTreeMap<String, InFlightPart>,
-    /// The deadlines of health checks that wait for their answers.
+    /// Deadlines of the health checks that wait for a response.
     health_checks: VecDeque<Micros>,
-    /// Health checks that failed by time, whose answers may still come.
+    /// Number of timed-out health checks whose responses may still come.
     late_health_checks: u32,
-    /// The names of the parts answered last: a second answer to one is ignored.
+    /// Names of the last answered parts; a duplicate response to one is ignored.
     answered: VecDeque<String>,
-    /// Second answers since the last first one.
+    /// Number of duplicate responses since the last new one.
     duplicates: usize,
     input: Vec<u8>,
-    /// Since when a frame has come in part.
+    /// When the incomplete frame in `input` began.
     partial_since: Option<Micros>,
     last_received: Micros,
     last_used: Micros,
 }
 
 impl BackendConnection for FrameConnection {
-    /// A cancelled part counts until its deadline, since the backend may work on it for so long.
+    /// A cancelled part counts until its deadline, since the backend may work on it until then.
     fn in_flight(&self, now: Micros) -> usize {
         let counts = |part: &&InFlightPart| !part.cancelled || part.deadline > now;
         self.unwritten().count() + self.in_flight.values().filter(counts).count()
     }
 
-    /// Not in the middle of a frame that comes, nor where a part of the same name was sent: its late answer, or a
-    /// second one, would be taken for the new part's.
+    /// Rejects attempts while a frame is partly received, and those whose part was sent here before: a late or
+    /// duplicate response to the earlier attempt would be matched to the new one.
     fn accepts(&self, attempts: &[AttemptRequest]) -> bool {
         let is_known = |part: &String| self.in_flight.contains_key(part) || self.answered.contains(part);
         let is_queued = |attempt: &AttemptRequest| {
@@ -118,11 +119,14 @@
     }
 
     fn is_idle(&self) -> bool {
-        let writes = self.writing.is_some() || !self.queue.is_empty();
-        !self.awaits_answers() && !writes && self.health_checks.is_empty() && self.input.is_empty()
+        let has_unwritten_frames = self.writing.is_some() || !self.queue.is_empty();
+        !self.awaits_response()
+            && !has_unwritten_frames
+            && self.health_checks.is_empty()
+            && self.input.is_empty()
     }
 
-    fn opens_for_nothing(&self) -> bool {
+    fn is_connecting_unused(&self) -> bool {
         self.connect_deadline.is_some() && self.queue.is_empty()
     }
 
@@ -143,10 +147,10 @@
         if let Some(deadline) = self.connect_deadline {
             return Some(deadline);
         }
-        let idle = !self.awaits_answers() && self.queue.is_empty();
+        let idle = !self.awaits_response() && self.queue.is_empty();
         let idle_at = idle.then_some(self.last_used + idle_timeout);
-        let frame_at = self.partial_since.map(|since| since + MESSAGE_TIMEOUT);
-        self.health_checks.front().copied().into_iter().chain(idle_at).chain(frame_at).min()
+        let frame_timeout_at = self.partial_since.map(|since| since + MESSAGE_TIMEOUT);
+        self.health_checks.front().copied().into_iter().chain(idle_at).chain(frame_timeout_at).min()
     }
 
     fn send(&mut self, now: Micros, attempts: Vec<AttemptRequest>, events: &mut Vec<UpstreamEvent>) -> bool {
@@ -155,10 +159,14 @@
         self.handle_ready(now, events)
     }
 
-    fn revoke_unsent(&mut self, which: impl Fn(&AttemptRequest) -> bool, events: &mut Vec<UpstreamEvent>) {
+    fn revoke_unsent(
+        &mut self,
+        predicate: impl Fn(&AttemptRequest) -> bool,
+        events: &mut Vec<UpstreamEvent>,
+    ) {
         for frame in &mut self.queue {
             if let Frame::Call(attempts) = frame {
-                drop_unsent(attempts, &which, events);
+                drop_unsent(attempts, &predicate, events);
             }
         }
         self.queue.retain(|frame| !matches!(frame, Frame::Call(attempts) if attempts.is_empty()));
@@ -172,7 +180,7 @@
         events: &mut Vec<UpstreamEvent>,
     ) -> bool {
         self.revoke_unsent(|send| send.attempt == attempt, events);
-        if let Some(part) = self.partly_written(attempt) {
+        if let Some(part) = self.partly_written_part(attempt) {
             return self.cancel_partly_written(part);
         }
         let was_silent = self.silent_since().is_some_and(|since| since + silent_timeout <= now);
@@ -180,7 +188,7 @@
         let Some((name, part)) = in_flight.find(|(_, part)| part.attempt == attempt) else { return true };
         part.cancelled = true;
         let name = name.clone();
-        if was_silent && !self.awaits_answers() && self.unwritten().next().is_none() {
+        if was_silent && !self.awaits_response() && self.unwritten().next().is_none() {
             return false;
         }
         self.queue.push_back(Frame::Cancel(name));
@@ -197,9 +205,9 @@
 
     fn handle_ready(&mut self, now: Micros, events: &mut Vec<UpstreamEvent>) -> bool {
         if !self.write(now, events) {
-            // What came before the connection broke still counts: a part that was written may have been executed.
-            // Where that is malformed too, nobody is told more than that the connection is lost.
-            self.stream.read(&mut self.input, LONGEST_INPUT);
+            // Responses received before the connection broke still count: a written part may have been executed.
+            // If they are malformed, only the loss of the connection is reported.
+            self.stream.read(&mut self.input, MAX_INPUT_BYTES);
             let _ = self.read_frames(now, events);
             return false;
         }
@@ -211,22 +219,22 @@
 
     fn handle_timeout(&mut self, now: Micros, idle_timeout: Micros, events: &mut Vec<UpstreamEvent>) -> bool {
         if self.connect_deadline.is_some() {
-            tracing::info!("host {}: no connection in time", self.backend.0);
+            tracing::info!("backend {}: connect timed out", self.backend.0);
             return false;
         }
         if self.partial_since.is_some_and(|since| since + MESSAGE_TIMEOUT <= now) {
-            return self.give_up(&ProtocolError::FrameTimeout);
+            return self.protocol_failure(&ProtocolError::FrameTimeout);
         }
         if self.health_checks.front().is_some_and(|&deadline| deadline <= now) {
-            // A connection with nothing else on it may be dead, and closes with its health check.
-            if !self.awaits_answers() {
+            // A connection with nothing else in flight may be dead, so it closes when its health check times out.
+            if !self.awaits_response() {
                 return false;
             }
             self.health_checks.pop_front();
             self.late_health_checks += 1;
             events.push(UpstreamEvent::HealthCheckCompleted(self.backend, false));
         }
-        self.awaits_answers() || self.last_used + idle_timeout > now
+        self.awaits_response() || self.last_used + idle_timeout > now
     }
 
     fn close(&mut self, events: &mut Vec<UpstreamEvent>) {
@@ -240,7 +248,7 @@
 }
 
 impl FrameConnection {
-    /// A connection that is being opened until `connect_deadline`.
+    /// Creates a connection for a socket that is connecting until `connect_deadline`.
     pub(super) fn new(backend: BackendId, stream: Stream, now: Micros, connect_deadline: Micros) -> Self {
         Self {
             backend,
@@ -260,37 +268,38 @@
         }
     }
 
-    /// The attempts that are queued, and those of the frame that is written in part.
+    /// Returns the attempts of the queued frames and of the partly written one.
     fn unwritten(&self) -> impl Iterator<Item = &AttemptRequest> {
         let writing = self.writing.iter().map(|(frame, _)| frame);
         writing.chain(&self.queue).flat_map(Frame::attempts)
     }
 
-    /// Somebody waits for an answer of the backend.
-    fn awaits_answers(&self) -> bool {
+    /// Whether a part that is not cancelled waits for its response.
+    fn awaits_response(&self) -> bool {
         self.in_flight.values().any(|part| !part.cancelled)
     }
 
-    /// The name of an attempt's part if its frame is written in part.
-    fn partly_written(&self, attempt: AttemptId) -> Option<String> {
+    /// Returns the name of an attempt's part if its frame is partly written.
+    fn partly_written_part(&self, attempt: AttemptId) -> Option<String> {
         let (frame, _) = self.writing.as_ref()?;
         frame.attempts().iter().find(|send| send.attempt == attempt).map(frames::part_name)
     }
 
-    /// The cancellation waits behind the part. With nobody waiting for anything else here, the connection is reset
-    /// instead: the frame never becomes complete, and what the system holds of others is not worth sending either.
+    /// Queues the cancellation behind the partly written frame. If nothing else on the connection is needed, closes
+    /// it with a reset instead: the frame is never completed, and the socket's send buffer is discarded, since
+    /// nothing in it is needed either.
     fn cancel_partly_written(&mut self, part: String) -> bool {
         self.queue.push_back(Frame::Cancel(part));
-        let is_wanted = self.writing.iter().any(|(frame, _)| !self.is_cancelled(frame))
+        let is_needed = self.writing.iter().any(|(frame, _)| !self.is_cancelled(frame))
             || self.queue.iter().any(|frame| matches!(frame, Frame::Call(_)))
-            || self.awaits_answers();
-        if !is_wanted {
+            || self.awaits_response();
+        if !is_needed {
             self.stream.reset_on_close();
         }
-        is_wanted
+        is_needed
     }
 
-    /// Whether cancellations of all parts of this frame wait behind it.
+    /// Whether cancellations of all parts of this frame are queued.
     fn is_cancelled(&self, frame: &Frame) -> bool {
         let Frame::Call(attempts) = frame else { return false };
         attempts.iter().all(|attempt| self.has_queued_cancel(&frames::part_name(attempt)))
@@ -300,7 +309,7 @@
         self.queue.iter().any(|frame| frame.cancels(part))
     }
 
-    /// Writes what the socket takes; `false` when the connection is over.
+    /// Writes until the socket would block. Returns `false` if the connection is closed.
     fn write(&mut self, now: Micros, events: &mut Vec<UpstreamEvent>) -> bool {
         if self.connect_deadline.is_some() {
             match self.stream.connected() {
@@ -310,8 +319,8 @@
             }
         }
         loop {
-            let begins = self.writing.is_none();
-            if begins {
+            let starts_frame = self.writing.is_none();
+            if starts_frame {
                 self.writing = self.next_frame(now, events);
             }
             let Some((_, bytes)) = &mut self.writing else { return true };
@@ -321,15 +330,15 @@
                 self.frame_written(now);
                 continue;
             }
-            if begins && written == 0 {
-                // Not begun: until it is, it can be revoked, and its time runs on.
+            if starts_frame && written == 0 {
+                // No byte was written: the frame stays revocable, and its remaining time is encoded anew.
                 self.writing.take().into_iter().for_each(|(frame, _)| self.queue.push_front(frame));
             }
             return true;
         }
     }
 
-    /// The next frame in its bytes, without the attempts that may not begin any more.
+    /// Takes and encodes the next frame, without the attempts whose latest start time has passed.
     fn next_frame(&mut self, now: Micros, events: &mut Vec<UpstreamEvent>) -> Option<(Frame, Vec<u8>)> {
         while let Some(mut frame) = self.queue.pop_front() {
             let bytes = match &mut frame {
@@ -348,7 +357,7 @@
         None
     }
 
-    /// The last byte of a frame is written: its parts are in flight from now on.
+    /// Marks the parts of the completely written frame as in flight.
     fn frame_written(&mut self, now: Micros) {
         let Some((Frame::Call(attempts), _)) = self.writing.take() else { return };
         for attempt in attempts {
@@ -363,16 +372,16 @@
         }
     }
 
-    /// Reads all that has come; `false` when the connection is over.
+    /// Reads and handles all available input. Returns `false` if the connection has to be closed.
     fn read(&mut self, now: Micros, events: &mut Vec<UpstreamEvent>) -> bool {
         loop {
             let before = self.input.len();
-            let end = self.stream.read(&mut self.input, LONGEST_INPUT);
+            let end = self.stream.read(&mut self.input, MAX_INPUT_BYTES);
             if self.input.len() > before {
                 (self.last_received, self.last_used) = (now, now);
             }
             if let Err(error) = self.read_frames(now, events) {
-                return self.give_up(&error);
+                return self.protocol_failure(&error);
             }
             match end {
                 ReadEnd::Blocked => return true,
@@ -382,32 +391,33 @@
         }
     }
 
-    /// What came is malformed, and where the next frame begins is unknown; always `false`. With nothing in flight
-    /// it came after a good answer, takes nothing from that, and is not held against the backend.
-    fn give_up(&self, error: &ProtocolError) -> bool {
-        if self.awaits_answers() {
-            tracing::warn!("host {}: {error}", self.backend.0);
+    /// Logs a protocol error and returns `false`, since the start of the next frame is unknown. If nothing is in
+    /// flight, the malformed input followed a valid response, which still counts, so it is not logged as a fault of
+    /// the backend.
+    fn protocol_failure(&self, error: &ProtocolError) -> bool {
+        if self.awaits_response() {
+            tracing::warn!("backend {}: {error}", self.backend.0);
         }
         false
     }
 
-    /// Takes the complete frames off what has come.
+    /// Handles the complete frames in the input buffer and removes them.
     fn read_frames(&mut self, now: Micros, events: &mut Vec<UpstreamEvent>) -> Result<(), ProtocolError> {
         while let Some((message, used)) = frames::read(&self.input)? {
             self.input.drain(..used);
             self.partial_since = None;
             self.handle_message(message, events)?;
         }
-        self.forget_cancelled(now);
-        let is_due =
+        self.expire_cancelled(now);
+        let expects_response =
             !self.in_flight.is_empty() || !self.health_checks.is_empty() || self.late_health_checks > 0;
-        if !self.input.is_empty() && !is_due {
-            // It would be taken for the beginning of the next answer.
+        if !self.input.is_empty() && !expects_response {
+            // It would be taken for the beginning of the next response.
             return Err(ProtocolError::SurplusBytes);
         }
         if self.input.is_empty() {
             self.partial_since = None;
-            // Idle connections, of which there may be hundreds, hold no buffers.
+            // Frees the buffer, since there may be hundreds of idle connections.
             self.input = Vec::new();
         } else {
             self.partial_since.get_or_insert(now);
@@ -430,26 +440,26 @@
                     events.push(UpstreamEvent::AttemptEnded(ended.attempt, outcome, value));
                 }
             }
-            // Answers come in order: first those to health checks that failed by time. A busy backend's late answer
-            // must not cost the parts that are in flight.
+            // Responses come in the order of the checks, so those to timed-out checks come first. A late response of
+            // a busy backend must not close the connection, which would lose the parts in flight.
             BackendMessage::HealthChecked(_) if self.late_health_checks > 0 => self.late_health_checks -= 1,
             BackendMessage::HealthChecked(passed) => {
                 self.health_checks.pop_front().ok_or(ProtocolError::UnknownHealthCheck)?;
                 events.push(UpstreamEvent::HealthCheckCompleted(self.backend, passed));
             }
             BackendMessage::FrameRejected(reason) => {
-                tracing::warn!("host {} could not use a frame: {reason}", self.backend.0);
-                return Err(ProtocolError::GivenUp);
+                tracing::warn!("backend {} rejected a frame: {reason}", self.backend.0);
+                return Err(ProtocolError::ClosedByBackend);
             }
         }
         Ok(())
     }
 
-    /// An answer that came twice, or to a part that was cancelled long ago. A backend that goes on and on with
-    /// these would keep the event loop from everything else.
+    /// Ignores a duplicate response, or one to a part that was cancelled long ago. Limits their number, since a
+    /// backend that sends them without end would starve the event loop.
     fn handle_duplicate(&mut self, part: &str) -> Result<(), ProtocolError> {
         self.duplicates += 1;
-        if self.duplicates <= REMEMBER_ANSWERED && self.answered.iter().any(|answered| answered == part) {
+        if self.duplicates <= MAX_REMEMBERED_PARTS && self.answered.iter().any(|answered| answered == part) {
             return Ok(());
         }
         Err(ProtocolError::UnknownPart)
@@ -457,15 +467,16 @@
 
     fn remember_answered(&mut self, part: String) {
         self.answered.push_back(part);
-        self.answered.drain(..self.answered.len().saturating_sub(REMEMBER_ANSWERED));
+        self.answered.drain(..self.answered.len().saturating_sub(MAX_REMEMBERED_PARTS));
     }
 
-    /// Cancelled parts whose answers are not expected any more count as answered.
-    fn forget_cancelled(&mut self, now: Micros) {
-        let is_old = |part: &InFlightPart| part.cancelled && now >= part.deadline + REMEMBER_CANCELLED;
-        let old = self.in_flight.iter().filter(|(_, part)| is_old(part));
-        let old: Vec<String> = old.map(|(name, _)| name.clone()).collect();
-        for name in old {
+    /// Moves cancelled parts whose responses are no longer expected to the answered ones.
+    fn expire_cancelled(&mut self, now: Micros) {
+        let is_expired =
+            |part: &InFlightPart| part.cancelled && now >= part.deadline + CANCELLED_PART_RETENTION;
+        let expired = self.in_flight.iter().filter(|(_, part)| is_expired(part));
+        let expired: Vec<String> = expired.map(|(name, _)| name.clone()).collect();
+        for name in expired {
             self.in_flight.remove(&name);
             self.remember_answered(name);
         }
--- a/crates/edge/src/upstream/frames.rs
+++ b/crates/edge/src/upstream/frames.rs
@@ -1,15 +1,16 @@
-//! The platform's frames between an instance and a backend: what is written, and what is read.
+//! Encoding and decoding of the platform's frames between an instance and a backend.
 //!
-//! A frame is its length in four bytes, most significant first, one byte that says its kind, and what the kind
-//! requires. This table holds the names on the wire; the code uses them nowhere else:
+//! A frame is a length of four bytes in big-endian order, one byte for its kind, and a payload that depends on the
+//! kind. The length counts the kind and the payload. This table lists the kinds; no other code uses
+//! these bytes:
 //!
 //! | kind | direction | meaning |
 //! | --- | --- | --- |
-//! | `m` | to the backend | call: parts to work on |
-//! | `n` | to the backend | a part is cancelled |
-//! | `o` | both | health check, and its answer: `good` or `bad` |
-//! | `q` | from the backend | a part has ended: `good`, `bad` or `later` (rejected) |
-//! | `r` | from the backend | a frame could not be used; the connection is about to close |
+//! | `m` | to the backend | call: parts to execute |
+//! | `n` | to the backend | cancellation of a part |
+//! | `o` | both | health check, and its response: `good` or `bad` |
+//! | `q` | from the backend | response to a part: `good`, `bad` or `later` (rejected) |
+//! | `r` | from the backend | a frame was invalid; the backend is about to close the connection |
 
 use std::fmt::Write;
 
@@ -22,42 +23,42 @@
 const PART_ENDED: u8 = b'q';
 const FRAME_REJECTED: u8 = b'r';
 
-/// Longest frame that a backend may send, in bytes: a value has to fit into a body of 64 KiB.
-pub const LONGEST: usize = 65 * 1024;
-/// Longest first line of an answer, in bytes.
-const LONGEST_LINE: usize = 1024;
-/// Most of a backend's reason for closing that is logged, in bytes.
-const LONGEST_REASON: usize = 200;
-/// Bytes of the longer answer to a health check.
-const LONGEST_HEALTH: usize = 4;
+/// Largest frame that a backend may send, in bytes: a value has to fit into a body of 64 KiB.
+pub const MAX_FRAME_BYTES: usize = 65 * 1024;
+/// Longest header line of a response, in bytes.
+const MAX_HEADER_LINE_BYTES: usize = 1024;
+/// Length to which a backend's reason for closing is truncated in the log, in bytes.
+const MAX_REASON_BYTES: usize = 200;
+/// Length of the longest response to a health check, `good`, in bytes.
+const MAX_HEALTH_BYTES: usize = 4;
 
-/// What is wrong with a frame; the text goes to the log.
+/// Why a frame cannot be decoded; the text goes to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// Its length is zero, or more than [`LONGEST`].
-    #[error("a frame of no use or too long")]
+    /// The length is zero, or more than [`MAX_FRAME_BYTES`].
+    #[error("frame length is zero or exceeds the limit")]
     Length,
-    /// Its kind is none that a backend sends.
-    #[error("a frame of an unknown letter")]
+    /// The kind is none that a backend sends.
+    #[error("unknown frame kind")]
     UnknownKind,
-    /// An answer to a health check that is longer than any.
-    #[error("an answer to a probe that is too long")]
+    /// A response to a health check that is longer than any valid one.
+    #[error("health check response is too long")]
     HealthTooLong,
-    /// An answer to a health check that says neither of the two words.
-    #[error("an answer to a probe with an unknown end")]
+    /// A response to a health check that is neither `good` nor `bad`.
+    #[error("health check response has an unknown status")]
     UnknownHealth,
-    /// An answer whose first line does not end, or is too long.
-    #[error("an answer whose line does not end")]
-    EndlessLine,
-    /// An answer whose first line lacks a field, or holds one of another form.
-    #[error("an answer with an unreadable line")]
+    /// A response whose header line has no end, or is too long.
+    #[error("response header line is unterminated or too long")]
+    UnterminatedLine,
+    /// A response whose header line lacks a field, or has one that is malformed.
+    #[error("response header line is malformed")]
     MalformedLine,
-    /// An answer that says none of the three words.
-    #[error("an answer with an unknown end")]
+    /// A response whose outcome is none of `good`, `bad` and `later`.
+    #[error("response has an unknown outcome")]
     UnknownOutcome,
     /// A value that is not UTF-8.
-    #[error("a value that is not text")]
-    ValueNotText,
+    #[error("value is not valid UTF-8")]
+    ValueNotUtf8,
 }
 
 fn frame(kind: u8, content: &[u8]) -> Vec<u8> {
@@ -68,21 +69,21 @@
     bytes
 }
 
-/// The name of an attempt's part on this wire.
+/// Returns the name of an attempt's part on the wire.
 #[must_use]
 pub fn part_name(attempt: &AttemptRequest) -> String {
     format!("{}.{}", attempt.request_id, attempt.shard.0)
 }
 
-/// One call with these attempts, as it is written at `now`.
+/// Encodes a call with these attempts and the time that each has left at `now`.
 #[must_use]
 pub fn call(now: Micros, attempts: &[AttemptRequest]) -> Vec<u8> {
     let mut content = Vec::new();
     for attempt in attempts {
         let mut line = part_name(attempt);
-        // Rounded down to milliseconds: the backend has to know that nobody waits any more.
-        let left = (attempt.remaining(now) / 1000).max(1);
-        let done = writeln!(line, " {} d={left} {}", attempt.shard.0, attempt.body.len());
+        // Rounded down to milliseconds, so that the backend does not work on after the deadline.
+        let remaining_ms = (attempt.remaining(now) / 1000).max(1);
+        let done = writeln!(line, " {} d={remaining_ms} {}", attempt.shard.0, attempt.body.len());
         debug_assert!(done.is_ok(), "writing to a string cannot fail");
         content.extend_from_slice(line.as_bytes());
         content.extend_from_slice(&attempt.body);
@@ -90,44 +91,44 @@
     frame(CALL, &content)
 }
 
-/// Cancels the part of this name.
+/// Encodes the cancellation of the part of this name.
 #[must_use]
 pub fn cancel(part: &str) -> Vec<u8> {
     frame(CANCEL, part.as_bytes())
 }
 
-/// Asks for the backend's health.
+/// Encodes a health check.
 #[must_use]
 pub fn health_check() -> Vec<u8> {
     frame(HEALTH_CHECK, b"")
 }
 
-/// What a backend sends.
+/// A decoded frame from a backend.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BackendMessage {
-    /// A part has ended.
+    /// The response to a part.
     PartEnded {
-        /// Its name.
+        /// The part's name.
         part: String,
-        /// How it ended.
+        /// The part's outcome.
         outcome: Outcome,
-        /// Its value; of no meaning unless it succeeded.
+        /// The part's value; meaningless unless it succeeded.
         value: String,
     },
-    /// A health check passed, or did not.
+    /// A health check passed (`true`) or failed.
     HealthChecked(bool),
-    /// A frame could not be used, for this reason; the connection is about to close.
+    /// The backend rejected a frame for this reason and is about to close the connection.
     FrameRejected(String),
 }
 
-/// The first complete frame in `input`, with the bytes that it takes up; `None` while there is none.
+/// Decodes the first frame in `input`. Returns it with its length in bytes, or `None` while it is incomplete.
 ///
 /// # Errors
-/// What has come is no such frame. That is said as soon as it shows, before the rest of the frame has come.
+/// The frame is invalid. This is reported as early as possible, before the rest of the frame is received.
 pub fn read(input: &[u8]) -> Result<Option<(BackendMessage, usize)>, FrameError> {
     let Some((head, body)) = input.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
-    if length == 0 || length > LONGEST {
+    if length == 0 || length > MAX_FRAME_BYTES {
         return Err(FrameError::Length);
     }
     let received = &body[..body.len().min(length)];
@@ -142,9 +143,9 @@
     Ok(message.map(|message| (message, 4 + length)))
 }
 
-/// The outcome that a word of the wire stands for.
-fn outcome(word: &[u8]) -> Option<Outcome> {
-    match word {
+/// Decodes an outcome.
+fn parse_outcome(field: &[u8]) -> Option<Outcome> {
+    match field {
         b"good" => Some(Outcome::Succeeded),
         b"bad" => Some(Outcome::BackendError),
         b"later" => Some(Outcome::Rejected),
@@ -154,42 +155,42 @@
 
 fn read_health(content: &[u8], complete: bool) -> Result<Option<BackendMessage>, FrameError> {
     if !complete {
-        return if content.len() < LONGEST_HEALTH { Ok(None) } else { Err(FrameError::HealthTooLong) };
+        return if content.len() < MAX_HEALTH_BYTES { Ok(None) } else { Err(FrameError::HealthTooLong) };
     }
-    match outcome(content) {
+    match parse_outcome(content) {
         Some(Outcome::Succeeded) => Ok(Some(BackendMessage::HealthChecked(true))),
         Some(Outcome::BackendError) => Ok(Some(BackendMessage::HealthChecked(false))),
         _ => Err(FrameError::UnknownHealth),
     }
 }
 
-/// A backend's reason for closing, in one line of the log.
+/// Escapes and truncates a backend's reason for closing, so that it is one short line in the log.
 fn printable_reason(content: &[u8]) -> String {
-    let reason = String::from_utf8_lossy(&content[..content.len().min(LONGEST_LINE)]);
+    let reason = String::from_utf8_lossy(&content[..content.len().min(MAX_HEADER_LINE_BYTES)]);
     let mut reason = reason.escape_debug().to_string();
-    reason.truncate(reason.floor_char_boundary(LONGEST_REASON));
+    reason.truncate(reason.floor_char_boundary(MAX_REASON_BYTES));
     reason
 }
 
-/// An answer: a line of the part's name, its outcome, a score and a load report, then the value.
+/// Decodes a response to a part: a header line with the part's name, outcome, score and load report, then the value.
 fn read_part_ended(content: &[u8], complete: bool) -> Result<Option<BackendMessage>, FrameError> {
-    let Some(line_end) = content.iter().take(LONGEST_LINE).position(|&byte| byte == b'\n') else {
-        let endless = complete || content.len() >= LONGEST_LINE;
-        return if endless { Err(FrameError::EndlessLine) } else { Ok(None) };
+    let Some(line_end) = content.iter().take(MAX_HEADER_LINE_BYTES).position(|&byte| byte == b'\n') else {
+        let unterminated = complete || content.len() >= MAX_HEADER_LINE_BYTES;
+        return if unterminated { Err(FrameError::UnterminatedLine) } else { Ok(None) };
     };
-    let mut words = content[..line_end].splitn(4, |&byte| byte == b' ');
-    let part = words.next().and_then(|word| std::str::from_utf8(word).ok());
+    let mut fields = content[..line_end].splitn(4, |&byte| byte == b' ');
+    let part = fields.next().and_then(|field| std::str::from_utf8(field).ok());
     let part = part.ok_or(FrameError::MalformedLine)?;
-    let outcome = words.next().and_then(outcome).ok_or(FrameError::UnknownOutcome)?;
-    let score = words.next().and_then(|word| std::str::from_utf8(word).ok());
-    let has_score = score.is_some_and(|word| word.parse::<f64>().is_ok());
-    // The load report is not used, so one that is malformed takes nothing from the answer; it has to be there.
-    if words.next().is_none() || (outcome == Outcome::Succeeded && !has_score) {
+    let outcome = fields.next().and_then(parse_outcome).ok_or(FrameError::UnknownOutcome)?;
+    let score = fields.next().and_then(|field| std::str::from_utf8(field).ok());
+    let has_score = score.is_some_and(|field| field.parse::<f64>().is_ok());
+    // The load report is unused, so a malformed one does not invalidate the response, but it has to be present.
+    if fields.next().is_none() || (outcome == Outcome::Succeeded && !has_score) {
         return Err(FrameError::MalformedLine);
     }
     if !complete {
         return Ok(None);
     }
-    let value = std::str::from_utf8(&content[line_end + 1..]).map_err(|_| FrameError::ValueNotText)?;
+    let value = std::str::from_utf8(&content[line_end + 1..]).map_err(|_| FrameError::ValueNotUtf8)?;
     Ok(Some(BackendMessage::PartEnded { part: part.to_owned(), outcome, value: value.to_owned() }))
 }
--- a/crates/edge/src/upstream/mod.rs
+++ b/crates/edge/src/upstream/mod.rs
@@ -1,6 +1,6 @@
-//! Connections to backends: the pool, and the two protocols that backends are spoken to in.
+//! Connections to backends: the connection pool and the two backend protocols, the platform's frames and Arrow Flight.
 //!
-//! What becomes of attempts is the same for both protocols, and stated at `connection::BackendConnection`.
+//! Attempts end by the same rules in both protocols; `connection::BackendConnection` documents them.
 
 mod connection;
 pub mod flight_connection;
@@ -15,39 +15,39 @@
 use mallowgauge_core::{AttemptId, AttemptRequest, Value};
 use mallowgauge_router::{BackendId, Micros, Outcome};
 
-/// A frame or message that has begun to come has to be complete within this time, in microseconds.
+/// Time from the first received byte of a frame or message until it has to be complete, in microseconds.
 const MESSAGE_TIMEOUT: Micros = 500_000;
 
-/// What connections to backends report.
+/// An event that the connections to backends report to the server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum UpstreamEvent {
     /// An attempt has ended, with its value if it succeeded.
     AttemptEnded(AttemptId, Outcome, Option<Value>),
-    /// The tables of a query have no room in memory; the attempt at which that showed, if any, has ended.
+    /// A query's tables exceed the table memory. The attempt that exceeded it, if any, has ended.
     TableMemoryExceeded(CallId, Option<AttemptId>),
-    /// A health check passed, or did not.
+    /// A health check passed (`true`) or failed.
     HealthCheckCompleted(BackendId, bool),
 }
 
 impl UpstreamEvent {
-    /// An attempt that was never sent, and is not going to be.
+    /// The event for an attempt that was never sent and will not be.
     fn not_sent(attempt: AttemptId) -> Self {
         Self::AttemptEnded(attempt, Outcome::NotSent, None)
     }
 }
 
-/// Takes the attempts out of an unsent call that may not begin any more.
+/// Removes the attempts of an unsent call whose latest start time has passed.
 fn drop_expired(now: Micros, attempts: &mut Vec<AttemptRequest>, events: &mut Vec<UpstreamEvent>) {
     let expired = attempts.extract_if(.., |attempt| !attempt.may_start(now));
     events.extend(expired.map(|attempt| UpstreamEvent::not_sent(attempt.attempt)));
 }
 
-/// Takes the attempts out of an unsent call that are chosen by `which`.
+/// Removes the attempts of an unsent call that match `predicate`.
 fn drop_unsent(
     attempts: &mut Vec<AttemptRequest>,
-    which: impl Fn(&AttemptRequest) -> bool,
+    predicate: impl Fn(&AttemptRequest) -> bool,
     events: &mut Vec<UpstreamEvent>,
 ) {
-    let dropped = attempts.extract_if(.., |attempt| which(attempt));
+    let dropped = attempts.extract_if(.., |attempt| predicate(attempt));
     events.extend(dropped.map(|attempt| UpstreamEvent::not_sent(attempt.attempt)));
 }
--- a/crates/edge/src/upstream/pool.rs
+++ b/crates/edge/src/upstream/pool.rs
@@ -1,13 +1,13 @@
-//! The pool: connections to each backend, opened as needed and kept while they are of use.
+//! The pool of connections to all backends, which are opened on demand and closed when idle.
 //!
-//! Which connection a call takes, when another is opened and which one gives way is decided in
-//! [`mallowgauge_core::connection_limits`]; this module owns the connections and asks.
+//! [`mallowgauge_core::connection_limits`] decides which connection a call takes, when another one is opened and which
+//! one is evicted; this module owns the connections and applies these decisions.
 //!
-//! * A connection gives way to another only while it is idle, so no attempt is lost with it.
-//! * Where the buffers of all connections outgrow their bound, the largest is closed: its attempts end as those of
-//!   a lost connection do ([`BackendConnection`]).
-//! * A backend that drains, moves or is removed gets back nothing that was already written; what was not ends as
-//!   `NotSent`, and is decided about anew.
+//! * Only idle connections are evicted for another one, so no attempt is lost.
+//! * If the buffers of all connections exceed their limit, the largest connection is closed; its attempts end like
+//!   those of a lost connection ([`BackendConnection`]).
+//! * If a backend drains, moves or is removed, attempts that are already written stay in flight. Unsent ones end as
+//!   `NotSent`, and the router decides about them again.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -29,82 +29,82 @@
 use crate::tls::Connector;
 use crate::token::SocketKind;
 
-/// An idle connection is closed after this part of the time after which backends close it.
+/// An idle connection is closed after this fraction of the time after which backends close it.
 const IDLE_FRACTION: f64 = 0.8;
 
-/// What discovery says of a backend, as far as it matters to connections.
+/// What discovery reports of a backend, as far as connections depend on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct BackendTarget {
     addr: SocketAddr,
     speaks_flight: bool,
     ring_position: u32,
-    /// It takes new parts.
+    /// Whether the backend accepts new parts.
     ready: bool,
     started_at: Option<Micros>,
 }
 
 impl BackendTarget {
-    /// Whether a part that was sent to the backend as it was `before` may still begin.
-    fn continues(&self, before: &BackendTarget) -> bool {
-        self.ready && (self.addr, self.ring_position) == (before.addr, before.ring_position)
+    /// Whether an unsent attempt that was meant for the backend's `previous` state may still be sent.
+    fn accepts_unsent_of(&self, previous: &BackendTarget) -> bool {
+        self.ready && (self.addr, self.ring_position) == (previous.addr, previous.ring_position)
     }
 }
 
-/// A connection and what the pool's tables hold of it.
+/// A connection and its entries in the pool's indexes.
 struct PooledConnection {
     backend: BackendId,
     addr: SocketAddr,
-    /// When opening it began.
+    /// When the connect started.
     opened_at: Micros,
     protocol: ProtocolConnection,
     /// Its entry in `timers`.
     timeout: Option<Micros>,
-    /// Its part of `buffered_bytes`.
+    /// Its share of the pool's `buffered_bytes`.
     buffered_bytes: usize,
 }
 
-/// What a call takes: a connection that is there, or a new one.
+/// The connection that a call takes: an existing one, or a new one.
 enum Selection {
     Existing(u64),
     New {
-        /// The connection taken where none can be opened.
+        /// The connection to use if a new one cannot be opened.
         fallback: Option<u64>,
-        /// The idle connection, to whatever backend, that gives way to the new one.
+        /// The idle connection, to any backend, that is evicted for the new one.
         evict: Option<u64>,
     },
 }
 
-/// Connections to the backends.
+/// The pool of connections to all backends.
 pub struct ConnectionPool {
-    links: ConnectionSettings,
-    flight: FlightSettings,
+    settings: ConnectionSettings,
+    flight_settings: FlightSettings,
     limits: ConnectionLimits,
     flight_options: FlightOptions,
     backends: BTreeMap<BackendId, BackendTarget>,
     connections: BTreeMap<u64, PooledConnection>,
     next_id: u64,
-    /// The connections of each backend: with hundreds of backends, a look at all connections for each call would
-    /// cost more than the call.
+    /// The connections of each backend. With hundreds of backends, scanning all connections for each call would cost
+    /// more than the call itself.
     by_backend: BTreeMap<BackendId, Vec<u64>>,
-    /// When each connection has a time-out, for the same reason.
+    /// The connections ordered by their next timeout, for the same reason.
     timers: BTreeSet<(Micros, u64)>,
-    /// What the buffers of all connections hold.
+    /// Bytes in the buffers of all connections.
     buffered_bytes: usize,
     events: Vec<UpstreamEvent>,
 }
 
 impl ConnectionPool {
-    /// A pool without connections, within these limits.
+    /// Creates an empty pool with these limits.
     #[must_use]
     pub fn new(
-        links: ConnectionSettings,
-        flight: FlightSettings,
+        settings: ConnectionSettings,
+        flight_settings: FlightSettings,
         limits: ConnectionLimits,
         flight_options: FlightOptions,
     ) -> Self {
         Self {
-            links,
-            flight,
+            settings,
+            flight_settings,
             limits,
             flight_options,
             backends: BTreeMap::new(),
@@ -117,33 +117,35 @@
         }
     }
 
-    /// Takes the events since the last call.
+    /// Removes and returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<UpstreamEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// TLS settings for connections that are opened from now on.
+    /// Sets the TLS connector for connections that are opened from now on.
     pub fn set_tls(&mut self, tls: Option<Connector>) {
         self.flight_options.tls = tls;
     }
 
-    /// What discovery says of a backend. Where it drains or has moved, what was not begun there has to go
-    /// elsewhere, however late a connection comes up or a socket has room. Where it is a new process, nobody may be
-    /// left to close the idle connections to the one before.
-    pub fn update_backend(&mut self, backend: BackendId, host: &ListedBackend) {
-        let Some(addr) = host.address else { return };
+    /// Applies an endpoint list entry. If the backend drains or has moved, its unsent attempts are revoked, so that
+    /// they are not sent there when a connection is established or a socket becomes writable later. If it has
+    /// restarted, idle connections to the previous process are closed, since that process may not be there to close
+    /// them.
+    pub fn update_backend(&mut self, backend: BackendId, listed: &ListedBackend) {
+        let Some(addr) = listed.address else { return };
         let target = BackendTarget {
             addr,
-            speaks_flight: self.flight.every_backend || self.flight.backends.contains(&host.id),
-            ring_position: host.ring_position,
-            ready: host.state == EndpointState::Ready,
-            started_at: host.started_at,
+            speaks_flight: self.flight_settings.every_backend
+                || self.flight_settings.backends.contains(&listed.id),
+            ring_position: listed.ring_position,
+            ready: listed.state == EndpointState::Ready,
+            started_at: listed.started_at,
         };
-        let Some(before) = self.backends.insert(backend, target) else { return };
-        if !target.continues(&before) {
+        let Some(previous) = self.backends.insert(backend, target) else { return };
+        if !target.accepts_unsent_of(&previous) {
             self.revoke_all_unsent(backend);
         }
-        if target.started_at != before.started_at {
+        if target.started_at != previous.started_at {
             self.remove_connections(backend, |connection| {
                 let is_older = target.started_at.is_some_and(|at| connection.opened_at < at);
                 connection.protocol.is_idle() && is_older
@@ -151,14 +153,14 @@
         }
     }
 
-    /// A backend is removed: what is in flight there is waited for, and nothing else is kept of it.
+    /// Removes a backend: revokes its unsent attempts and closes the connections on which nothing is in flight.
     pub fn remove_backend(&mut self, now: Micros, backend: BackendId) {
         self.backends.remove(&backend);
         self.revoke_all_unsent(backend);
         self.remove_connections(backend, |connection| connection.protocol.in_flight(now) == 0);
     }
 
-    /// Sends one batch of attempts to a backend, in as few calls as they fit in.
+    /// Sends a batch of attempts to a backend, in as few calls as possible.
     pub fn send(
         &mut self,
         now: Micros,
@@ -167,13 +169,13 @@
         mut attempts: Vec<AttemptRequest>,
     ) {
         while !attempts.is_empty() {
-            let rest = attempts.split_off(attempts.len().min(self.links.parts_per_call));
-            // A permit may have come after the news that the backend drains.
+            let rest = attempts.split_off(attempts.len().min(self.settings.parts_per_call));
+            // A permit may be granted after discovery reported that the backend drains.
             let ready = self.backends.get(&backend).is_some_and(|target| target.ready);
             let id = if ready { self.connection_for(now, handle, backend, &attempts) } else { None };
             match id {
                 Some(id) => self.with_connection(id, |protocol, events| protocol.send(now, attempts, events)),
-                // The lack is on this side: it says nothing of the backend.
+                // No connection is available on this side, which is no failure of the backend.
                 None => {
                     let not_sent = attempts.iter().map(|attempt| UpstreamEvent::not_sent(attempt.attempt));
                     self.events.extend(not_sent);
@@ -183,9 +185,9 @@
         }
     }
 
-    /// Nobody waits for an attempt any more.
+    /// Cancels an attempt whose result is no longer needed.
     pub fn cancel(&mut self, now: Micros, backend: BackendId, attempt: AttemptId) {
-        let silent_timeout = self.links.silence_timeout;
+        let silent_timeout = self.settings.silence_timeout;
         for id in self.connections_of(backend) {
             self.with_connection(id, |protocol, events| {
                 protocol.cancel(now, silent_timeout, attempt, events)
@@ -193,7 +195,7 @@
         }
     }
 
-    /// An attempt is not to begin any more, if it has not.
+    /// Revokes an attempt, if no byte of it is written.
     pub fn revoke_unsent(&mut self, backend: BackendId, attempt: AttemptId) {
         for id in self.connections_of(backend) {
             self.with_connection(id, |protocol, events| {
@@ -203,9 +205,9 @@
         }
     }
 
-    /// Checks a backend's health.
+    /// Starts a health check of a backend.
     pub fn health_check(&mut self, now: Micros, handle: &Handle, backend: BackendId) {
-        let deadline = now + self.links.connect_timeout;
+        let deadline = now + self.settings.connect_timeout;
         match self.connection_for(now, handle, backend, &[]) {
             Some(id) => {
                 self.with_connection(id, |protocol, events| protocol.health_check(now, deadline, events));
@@ -214,18 +216,18 @@
         }
     }
 
-    /// A connection's socket is ready.
+    /// Handles the readiness of a connection's socket.
     pub fn handle_ready(&mut self, now: Micros, id: u64) {
         self.with_connection(id, |protocol, events| protocol.handle_ready(now, events));
     }
 
-    /// When a connection has a time-out.
+    /// Returns when [`handle_timeout`](Self::handle_timeout) has to be called next.
     #[must_use]
     pub fn poll_timeout(&self) -> Option<Micros> {
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// Gives up what has taken too long, and closes connections that have been idle for long.
+    /// Ends whatever has timed out, and closes connections that have been idle for too long.
     pub fn handle_timeout(&mut self, now: Micros) {
         let idle_timeout = self.idle_timeout();
         let due = self.timers.iter().take_while(|(at, _)| *at <= now);
@@ -234,8 +236,8 @@
         }
     }
 
-    /// Lets backends go on for whose tables there is memory again, and says which query has to give way where
-    /// nothing else would bring the others on.
+    /// Grants free table memory to the streams that wait for it. If no stream could ever proceed otherwise, reports
+    /// the query to evict.
     pub fn grant_table_memory(&mut self, now: Micros) {
         if !self.flight_options.table_memory.has_waiting_streams() {
             return;
@@ -259,36 +261,36 @@
         self.events.extend(query.map(|query| UpstreamEvent::TableMemoryExceeded(query, None)));
     }
 
-    /// Microseconds after which an idle connection is closed, sooner than the backend would.
+    /// Microseconds after which an idle connection is closed, earlier than the backend does it.
     fn idle_timeout(&self) -> Micros {
-        (self.links.idle_timeout as f64 * IDLE_FRACTION) as Micros
+        (self.settings.idle_timeout as f64 * IDLE_FRACTION) as Micros
     }
 
     fn connections_of(&self, backend: BackendId) -> Vec<u64> {
         self.by_backend.get(&backend).cloned().unwrap_or_default()
     }
 
-    /// What was sent to a backend and not begun was not executed, and is decided about anew.
+    /// Revokes all unsent attempts of a backend, which were not executed; the router decides about them again.
     fn revoke_all_unsent(&mut self, backend: BackendId) {
         for id in self.connections_of(backend) {
             self.with_connection(id, |protocol, events| {
                 protocol.revoke_unsent(|_| true, events);
-                !protocol.opens_for_nothing()
+                !protocol.is_connecting_unused()
             });
         }
     }
 
-    /// Drops the connections of a backend that are chosen by `which`; nobody may wait for anything on them.
-    fn remove_connections(&mut self, backend: BackendId, which: impl Fn(&PooledConnection) -> bool) {
+    /// Drops the connections of a backend that match `predicate`; nothing that is waited for may be in flight on them.
+    fn remove_connections(&mut self, backend: BackendId, predicate: impl Fn(&PooledConnection) -> bool) {
         for id in self.connections_of(backend) {
-            if self.connections.get(&id).is_some_and(&which) {
+            if self.connections.get(&id).is_some_and(&predicate) {
                 self.remove(id);
             }
         }
     }
 
-    /// A connection that takes these attempts, as `connection_limits` selects it, or else a new one. What it has to
-    /// say is read first: one that the backend has closed must not be written to.
+    /// Returns the connection that `connection_limits` selects for these attempts, or opens a new one. Reads from the
+    /// connection first, since one that the backend has closed must not be written to.
     fn connection_for(
         &mut self,
         now: Micros,
@@ -304,7 +306,8 @@
             };
             self.handle_ready(now, id);
             let connection = self.connections.get(&id);
-            if connection.is_some_and(|c| self.takes(now, &target, c, c.protocol.in_flight(now), attempts)) {
+            if connection.is_some_and(|c| self.can_take(now, &target, c, c.protocol.in_flight(now), attempts))
+            {
                 return Some(id);
             }
         };
@@ -312,15 +315,15 @@
             self.remove(id);
         }
         if self.connections.len() >= self.limits.backends {
-            tracing::warn!("host {}: no connection to spare", backend.0);
+            tracing::warn!("backend {}: connection limit reached", backend.0);
             return None;
         }
         self.open(now, handle, backend, &target).or(fallback)
     }
 
-    /// Whether a connection with so much in flight takes these attempts: it leads to the backend's present process,
-    /// and has room for all of them.
-    fn takes(
+    /// Whether a connection with `in_flight` attempts can take these as well: it is connected to the backend's current
+    /// process and has capacity for all of them.
+    fn can_take(
         &self,
         now: Micros,
         target: &BackendTarget,
@@ -328,15 +331,15 @@
         in_flight: usize,
         attempts: &[AttemptRequest],
     ) -> bool {
-        // A start in the future is a wrong clock's.
+        // A start time in the future is due to clock skew.
         let started_at = target.started_at.filter(|&at| at <= now).unwrap_or(0);
         connection.addr == target.addr
             && connection.opened_at >= started_at
-            && (in_flight == 0 || in_flight + attempts.len() <= self.links.max_attempts)
+            && (in_flight == 0 || in_flight + attempts.len() <= self.settings.max_attempts)
             && connection.protocol.accepts(attempts)
     }
 
-    /// Asks `connection_limits` what a call takes; `None` where it has to be done without a connection.
+    /// Selects the connection for a call by `connection_limits`; `None` if none is available.
     fn select(
         &self,
         now: Micros,
@@ -350,8 +353,8 @@
             let silent_since = connection.protocol.silent_since();
             Some(ConnectionView {
                 id,
-                has_capacity: self.takes(now, target, connection, in_flight, attempts),
-                silent: silent_since.is_some_and(|since| since + self.links.silence_timeout <= now),
+                has_capacity: self.can_take(now, target, connection, in_flight, attempts),
+                silent: silent_since.is_some_and(|since| since + self.settings.silence_timeout <= now),
                 attempts_in_flight: in_flight,
                 last_used_at: connection.protocol.last_used(),
             })
@@ -380,7 +383,7 @@
         }
     }
 
-    /// Begins to open a connection; `None` where the system does not let it.
+    /// Starts to open a connection; `None` if the operating system refuses.
     fn open(
         &mut self,
         now: Micros,
@@ -394,12 +397,12 @@
         let stream = match Stream::connect(handle, addr, SocketKind::Backend.token(id)) {
             Ok(stream) => stream,
             Err(error) => {
-                tracing::warn!("host {}: no connection: {error}", backend.0);
+                tracing::warn!("backend {}: cannot open a connection: {error}", backend.0);
                 return None;
             }
         };
-        tracing::debug!("host {}: dialling {addr}", backend.0);
-        let deadline = now + self.links.connect_timeout;
+        tracing::debug!("backend {}: connecting to {addr}", backend.0);
+        let deadline = now + self.settings.connect_timeout;
         let protocol = if target.speaks_flight {
             let options = self.flight_options.clone();
             ProtocolConnection::Flight(FlightConnection::new(backend, stream, now, deadline, addr, options))
@@ -414,8 +417,8 @@
         Some(id)
     }
 
-    /// Calls a connection, brings the pool's tables up to date, and closes the connection where `call` returns
-    /// `false`. While the buffers of all connections hold too much, the largest closes.
+    /// Runs `call` on a connection, updates the pool's indexes, and closes the connection if `call` returns `false`.
+    /// Then closes the largest connections while the buffers of all exceed their limit.
     fn with_connection(
         &mut self,
         id: u64,
@@ -439,18 +442,18 @@
         self.close_largest();
     }
 
-    /// Closes the largest connections, as few as can be, until the buffers of all are within their bound.
+    /// Closes the largest connections, as few as possible, until the buffers of all are within their limit.
     fn close_largest(&mut self) {
         while self.buffered_bytes > self.limits.backend_bytes {
             let sizes = self.connections.iter().map(|(&id, connection)| (id, connection.buffered_bytes));
             let Some(id) = largest_connection(sizes) else { return };
             let backend = self.connections.get(&id).map_or(0, |connection| connection.backend.0);
-            tracing::warn!("host {backend}: no room for what it sends");
+            tracing::warn!("backend {backend}: receive buffer limit reached, closing its connection");
             self.close(id);
         }
     }
 
-    /// Ends everything on a connection, and drops it.
+    /// Ends everything on a connection and drops it.
     fn close(&mut self, id: u64) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.protocol.close(&mut self.events);
@@ -458,7 +461,7 @@
         self.remove(id);
     }
 
-    /// Drops a connection.
+    /// Drops a connection and its entries in the indexes.
     fn remove(&mut self, id: u64) {
         let Some(removed) = self.connections.remove(&id) else { return };
         self.buffered_bytes -= removed.buffered_bytes;
--- a/crates/edge/tests/bad_input.rs
+++ b/crates/edge/tests/bad_input.rs
@@ -385,7 +385,7 @@
         let bytes = spoil(all.concat(), &changes);
         let (whole, cut) = (said([&bytes[..]]), said(pieces(&bytes, &sizes)));
         prop_assert_eq!((&whole.0, whole.1), (&cut.0, cut.1));
-        prop_assert!(cut.2 <= frames::LONGEST + 4, "{} held", cut.2);
+        prop_assert!(cut.2 <= frames::MAX_FRAME_BYTES + 4, "{} held", cut.2);
     }
 
     #[test]
--- a/crates/edge/tests/parts.rs
+++ b/crates/edge/tests/parts.rs
@@ -344,15 +344,15 @@
     assert_snapshot!(samples.iter().map(read).collect::<Vec<_>>().join("\n"), @r#"
     Some(PartEnded { part: "1.3", outcome: Succeeded, value: "value" })
     Some(PartEnded { part: "1.3", outcome: Succeeded, value: "value" })
-    a value that is not text
-    an answer with an unreadable line
-    an answer with an unreadable line
-    an answer with an unknown end
-    an answer with an unknown end
+    value is not valid UTF-8
+    response header line is malformed
+    response header line is malformed
+    response has an unknown outcome
+    response has an unknown outcome
     None
-    an answer whose line does not end
-    a frame of no use or too long
-    an answer to a probe with an unknown end
+    response header line is unterminated or too long
+    frame length is zero or exceeds the limit
+    health check response has an unknown status
     "#);
 }
 
--- a/crates/mallowgauge/tests/flight.rs
+++ b/crates/mallowgauge/tests/flight.rs
@@ -880,7 +880,7 @@
     let mut client = client(&cluster).await;
     ask(&mut client, &command("search", "q", &[0])).await.expect_err("nobody to trust");
     assert_eq!(cluster.runs("q"), []);
-    assert!(cluster.log("no TLS"));
+    assert!(cluster.log("TLS handshake failed"));
     std::fs::remove_dir_all(folder).expect("a folder");
 }
 
--- a/crates/mallowgauge/tests/flight_hard.rs
+++ b/crates/mallowgauge/tests/flight_hard.rs
@@ -127,7 +127,7 @@
         assert_eq!(cluster.runs("hold"), [(0, 1)], "{how}");
         let reply = ask(&mut raw, &command("search", "search", &[1]));
         assert_eq!(reply.status(), Some(0), "{how}: {reply:?}");
-        assert!(cluster.log("no answer for shard"), "{how}");
+        assert!(cluster.log("unusable answer for shard"), "{how}");
     }
 }
 
