--- a/crates/adapter/src/directory.rs
+++ b/crates/adapter/src/directory.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use mallowgauge_router::{BackendId, ClassId, Endpoint, Settings};
-use mallowgauge_settings::{zone, Site};
+use mallowgauge_settings::{find_zone, Site};
 use serde_json::Value;
 
 use crate::error::WireError;
@@ -68,7 +68,7 @@
             ring_position: listed.ring_position,
             state: listed.state,
             started_at: listed.started_at,
-            zone: listed.zone.as_ref().and_then(|name| zone(&self.zones, name)),
+            zone: listed.zone.as_ref().and_then(|name| find_zone(&self.zones, name)),
         }
     }
 }
--- a/crates/adapter/src/message.rs
+++ b/crates/adapter/src/message.rs
@@ -1,7 +1,7 @@
 //! Reads messages of the simulator: an array each, a name and then fields by position.
 
 use mallowgauge_router::{EndpointState, Event, Micros, PartArrival, PartId, QueryArrival, QueryId, ShardId};
-use mallowgauge_settings::small;
+use mallowgauge_settings::parse_u32;
 use serde_json::Value;
 
 use crate::directory::Directory;
@@ -49,7 +49,7 @@
 
     /// A whole number below 2^32.
     fn small_int(&self, field: Field) -> Result<u32, WireError> {
-        small(self.get(field)?).ok_or_else(|| self.invalid(field, "a whole number"))
+        parse_u32(self.get(field)?).ok_or_else(|| self.invalid(field, "a whole number"))
     }
 
     /// The id of the query or part that the message is about.
@@ -124,7 +124,7 @@
         let state = state.ok_or(WireError::UnknownEndpointState)?;
         let ring_position = match (get(endpoint::RING_POSITION), state) {
             (Value::Null, EndpointState::Removed) => 0,
-            (position, _) => small(position)
+            (position, _) => parse_u32(position)
                 .ok_or_else(|| invalid(endpoint::RING_POSITION.name, "a small whole number"))?,
         };
         let started_at = match get(endpoint::STARTED_AT) {
--- a/crates/edge/src/front/query.rs
+++ b/crates/edge/src/front/query.rs
@@ -73,7 +73,7 @@
     let mut hint = Some(0);
     let part = |value: &Value| {
         let shard =
-            value.get("range").and_then(mallowgauge_settings::small).ok_or(QueryError::NoRangeNumber)?;
+            value.get("range").and_then(mallowgauge_settings::parse_u32).ok_or(QueryError::NoRangeNumber)?;
         let weight = value.get("portion").and_then(Value::as_f64).ok_or(QueryError::NoPortion)?;
         let price = value.get("price").and_then(Value::as_u64);
         hint = hint.zip(price).map(|(sum, price): (Micros, _)| sum.saturating_add(price));
--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -143,7 +143,7 @@
             }),
             initial_window: limits.flight.backend_window,
             max_table_bytes: limits.flight.table_bytes_per_query,
-            max_streams: config.connections.max_attempts,
+            max_streams: config.connections.max_attempts_in_flight,
             tls: config.flight.backend_tls.as_ref().map(Connector::new).transpose()?,
         };
         let peers = start_peers(&config, clock.now(), &handle, incarnation)?;
--- a/crates/edge/src/server/endpoints.rs
+++ b/crates/edge/src/server/endpoints.rs
@@ -2,7 +2,7 @@
 
 use mallowgauge_router::{Endpoint, EndpointState, EndpointUpdate, Micros, ZoneId};
 use mallowgauge_settings::endpoint_list::{EndpointList, ListedBackend};
-use mallowgauge_settings::zone;
+use mallowgauge_settings::find_zone;
 
 use super::Server;
 use crate::discovery::DiscoveryEvent;
@@ -113,6 +113,6 @@
 
     /// The number of a backend's zone, if the settings name it.
     fn zone_index(&self, host: &ListedBackend) -> Option<ZoneId> {
-        host.zone.as_ref().and_then(|name| zone(&self.zones, name))
+        host.zone.as_ref().and_then(|name| find_zone(&self.zones, name))
     }
 }
--- a/crates/edge/src/server/resources.rs
+++ b/crates/edge/src/server/resources.rs
@@ -45,8 +45,8 @@
             let most = memory_without_flight / 4 / BYTES_PER_FLIGHT_BACKEND;
             connections.backends = connections.backends.min(most).max(1);
         }
-        let streams =
-            (connections.backends * config.connections.max_attempts).min(config.core_limits.max_open);
+        let streams = (connections.backends * config.connections.max_attempts_in_flight)
+            .min(config.core_limits.max_open);
         let flight_descriptors = if uses_flight { descriptors } else { 0 };
         let flight_limits = stream_admission::Limits::of(memory / 2, flight_descriptors, streams);
         if flight.listen.is_some() {
--- a/crates/edge/src/upstream/pool.rs
+++ b/crates/edge/src/upstream/pool.rs
@@ -335,7 +335,7 @@
         let started_at = target.started_at.filter(|&at| at <= now).unwrap_or(0);
         connection.addr == target.addr
             && connection.opened_at >= started_at
-            && (in_flight == 0 || in_flight + attempts.len() <= self.settings.max_attempts)
+            && (in_flight == 0 || in_flight + attempts.len() <= self.settings.max_attempts_in_flight)
             && connection.protocol.accepts(attempts)
     }
 
--- a/crates/settings/src/endpoint_list.rs
+++ b/crates/settings/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as the platform writes it, in its file and in discovery's answers.
+//! The endpoint list in the platform's format, as in its file and in discovery responses.
 
 use std::net::SocketAddr;
 
@@ -7,74 +7,67 @@
 
 use crate::error::{EndpointListError, OneLine};
 
-/// One backend, as discovery describes it.
+/// A backend's entry in an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedBackend {
-    /// Its id.
+    /// The backend's id.
     pub id: String,
-    /// Where it listens; absent only where it is [`EndpointState::Removed`].
+    /// The address it listens on; absent only if its state is [`EndpointState::Removed`].
     pub address: Option<SocketAddr>,
-    /// Its zone.
+    /// The zone, if the list states one.
     pub zone: Option<String>,
-    /// Its ring position.
+    /// The ring position.
     pub ring_position: u32,
-    /// Its state.
+    /// The state.
     pub state: EndpointState,
-    /// Its last start, in µs of Unix time; `None` where discovery says 0 or nothing.
+    /// When it last started, in µs of Unix time; `None` if the list has 0 or nothing.
     pub started_at: Option<Micros>,
 }
 
 /// An endpoint list: a snapshot or a delta.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
-    /// Its version.
+    /// The version of the list.
     pub generation: u64,
-    /// Whether it is a snapshot.
+    /// Whether the list is a snapshot; otherwise it is a delta.
     pub is_snapshot: bool,
-    /// The backends.
+    /// The entries.
     pub backends: Vec<ListedBackend>,
 }
 
-/// Reads an endpoint list.
+/// Parses an endpoint list.
 ///
 /// # Errors
-/// The key or the entry that is wrong.
+/// Names the key or the entry that is invalid.
 pub fn parse(value: &Value) -> Result<EndpointList, OneLine<EndpointListError>> {
-    Ok(read(value)?)
+    Ok(parse_list(value)?)
 }
 
-fn read(value: &Value) -> Result<EndpointList, EndpointListError> {
+fn parse_list(value: &Value) -> Result<EndpointList, EndpointListError> {
     let missing = EndpointListError::Missing;
     let generation = value.get("generation").and_then(Value::as_u64).ok_or(missing("generation"))?;
-    let reset = value.get("reset").and_then(Value::as_bool).ok_or(missing("reset"))?;
+    let is_snapshot = value.get("reset").and_then(Value::as_bool).ok_or(missing("reset"))?;
     let list = value.get("instances").and_then(Value::as_array).ok_or(missing("instances"))?;
-    let hosts = list.iter().map(read_entry).collect::<Result<_, _>>()?;
-    Ok(EndpointList { generation, is_snapshot: reset, backends: hosts })
+    let backends = list.iter().map(parse_entry).collect::<Result<_, _>>()?;
+    Ok(EndpointList { generation, is_snapshot, backends })
 }
 
-fn read_entry(entry: &Value) -> Result<ListedBackend, EndpointListError> {
+fn parse_entry(entry: &Value) -> Result<ListedBackend, EndpointListError> {
     let text = |key| entry.get(key).and_then(Value::as_str);
-    let name = text("instanceId").ok_or(EndpointListError::NoId)?.to_owned();
-    let phase = match text("lifecycle") {
+    let id = text("instanceId").ok_or(EndpointListError::MissingId)?.to_owned();
+    let state = match text("lifecycle") {
         Some("active") => EndpointState::Ready,
         Some("leaving") => EndpointState::Draining,
         Some("left") => EndpointState::Removed,
-        _ => return Err(EndpointListError::State { id: name }),
+        _ => return Err(EndpointListError::UnknownState { id }),
     };
-    let addr = text("hostPort").and_then(|addr| addr.parse().ok());
-    let cell = entry.get("cell").and_then(crate::site::small);
-    if phase != EndpointState::Removed && (addr.is_none() || cell.is_none()) {
-        return Err(EndpointListError::Place { id: name });
+    let address = text("hostPort").and_then(|address| address.parse().ok());
+    let ring_position = entry.get("cell").and_then(crate::site::parse_u32);
+    if state != EndpointState::Removed && (address.is_none() || ring_position.is_none()) {
+        return Err(EndpointListError::InvalidAddress { id });
     }
-    let started = entry.get("startedAtMs").and_then(Value::as_u64).filter(|&at| at > 0);
-    let started = started.map(|ms| ms.saturating_mul(1000));
+    let started_at_ms = entry.get("startedAtMs").and_then(Value::as_u64).filter(|&at| at > 0);
+    let started_at = started_at_ms.map(|ms| ms.saturating_mul(1000));
     let zone = text("zone").map(str::to_owned);
-    Ok(ListedBackend {
-        id: name,
-        address: addr,
-        zone,
-        ring_position: cell.unwrap_or(0),
-        state: phase,
-        started_at: started,
-    })
+    Ok(ListedBackend { id, address, zone, ring_position: ring_position.unwrap_or(0), state, started_at })
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,15 +1,15 @@
-//! What can be wrong with a configuration. Each error names the file and the key, and says what was expected; its
-//! `Display` is the line that an operator reads.
+//! Configuration errors. Each names the file and the key and states what was expected; its `Display` text is the line
+//! that operators read.
 
 use std::fmt;
 use std::io;
 
 use mallowgauge_router::SettingsError;
 
-/// Longest text of an error, in bytes: what it quotes is chosen by whoever wrote the input.
-const LONGEST_TEXT: usize = 500;
+/// Length limit of an error text, in bytes, since it quotes input of any length.
+const MAX_TEXT_BYTES: usize = 500;
 
-/// An error whose text is one line without control characters, at most 500 bytes and an ellipsis long.
+/// Wraps an error so that its text is one line without control characters, truncated to 500 bytes and an ellipsis.
 #[derive(Debug)]
 pub struct OneLine<E>(pub E);
 
@@ -22,8 +22,8 @@
             } else {
                 line.push(c);
             }
-            if line.len() > LONGEST_TEXT {
-                line.truncate(line.floor_char_boundary(LONGEST_TEXT));
+            if line.len() > MAX_TEXT_BYTES {
+                line.truncate(line.floor_char_boundary(MAX_TEXT_BYTES));
                 line.push('…');
                 break;
             }
@@ -40,10 +40,10 @@
     }
 }
 
-/// Why [`crate::Config::load`] gives no configuration.
+/// Why [`crate::Config::load`] fails.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The environment names no platform file.
+    /// The environment variable for the platform's file is not set.
     #[error("RELAY_CONFIG is not set")]
     NoPlatformFile,
     /// A file cannot be read.
@@ -51,10 +51,10 @@
     Unreadable {
         /// The path of the file.
         file: String,
-        /// The system's error.
+        /// The I/O error.
         source: io::Error,
     },
-    /// A file is not JSON; the error names line and column.
+    /// A file is not valid JSON; the parser's error names line and column.
     #[error("{file}: {source}")]
     NotJson {
         /// The path of the file.
@@ -62,43 +62,43 @@
         /// The parser's error.
         source: serde_json::Error,
     },
-    /// The platform's file is wrong.
+    /// The platform's file is invalid.
     #[error("{file}: {source}")]
     Platform {
         /// The path of the file.
         file: String,
-        /// What is wrong with it.
+        /// What is invalid.
         source: PlatformError,
     },
-    /// The operator's file is wrong.
+    /// The operator's file is invalid.
     #[error(transparent)]
     OperatorSettings(#[from] OperatorError),
-    /// The limits that the platform sets do not suffice for so many peers.
+    /// The platform's limits are too low for this number of peers.
     #[error("{file}: fleet.peers.list is too long: {reason}")]
     TooManyPeers {
-        /// The path of the platform's file, which sets the limits.
+        /// The path of the platform's file, which has the limits.
         file: String,
-        /// The limit that is too low, and what is needed.
+        /// The limit that is too low, and what the peers need.
         reason: mallowgauge_cluster::connections::LimitsError,
     },
-    /// Takeover records cannot hold the tables of backends that are reached over Flight.
+    /// Takeover and Flight backends are both configured, but takeover records cannot hold tables.
     #[error("fleet.handover is set beside flight.hosts: records hold no tables yet")]
     TakeoverWithFlight,
 }
 
-/// What is wrong with the platform's file.
+/// What is invalid in the platform's file.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformError {
-    /// A key is missing, and the environment does not stand in for it.
+    /// A key is missing, and no environment variable replaces it.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// A key of the `settings` object is wrong.
+    /// A key of the `settings` object is invalid.
     #[error("settings{0}")]
     Site(#[from] SiteError),
-    /// The settings do not make sense together.
+    /// The router rejects the settings.
     #[error(transparent)]
     Router(#[from] SettingsError),
-    /// A count that has to be positive and to fit into a `usize`.
+    /// A count is zero or does not fit into a `usize`.
     #[error("settings.{section}.{key} is zero or far too large")]
     Count {
         /// The section of `settings`.
@@ -112,35 +112,35 @@
     /// A limit is not a whole number below 2^32.
     #[error("limits.{0} is not a small whole number")]
     Limit(&'static str),
-    /// Fewer descriptors than the process needs.
+    /// The limit is below the number of descriptors that the process needs.
     #[error("limits.sockets is below {0}")]
     TooFewSockets(usize),
-    /// The seed is not a hexadecimal number of 64 bits.
+    /// The seed is not a 64-bit hexadecimal number.
     #[error("seed is not hex digits")]
     Seed,
-    /// The cached endpoint list is wrong.
+    /// The cached endpoint list is invalid.
     #[error("known: {0}")]
     EndpointList(#[from] OneLine<EndpointListError>),
-    /// An address is wrong.
+    /// An address is invalid.
     #[error(transparent)]
     Address(#[from] AddressError),
 }
 
-/// A text that is neither an address with a port nor a name that resolves to one.
+/// A value that is neither an address with a port nor a name that resolves to one.
 #[derive(Debug, thiserror::Error)]
 #[error("{key} {text} is not an address with a port")]
 pub struct AddressError {
-    /// The key that holds the text.
+    /// The key that has the value.
     pub key: &'static str,
-    /// The text.
+    /// The value.
     pub text: String,
 }
 
-/// What is wrong with the `settings` object. The text begins with what follows the object's own name, a dot and the path
-/// of the key.
+/// What is invalid in the `settings` object. The text is appended to the object's name, so it begins with a dot and the
+/// path of the key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SiteError {
-    /// It is not an object.
+    /// The value is not an object.
     #[error(" is not an object")]
     NotAnObject,
     /// A key is missing.
@@ -148,20 +148,20 @@
     Missing {
         /// The path of the key, such as `Limits.MaxOpen`.
         path: String,
-        /// What it should hold.
+        /// The expected type or value.
         expected: &'static str,
     },
-    /// A key holds something else than it should.
+    /// A key has a value of another type, or one that is not allowed.
     #[error(".{path} is not {expected}")]
     Unexpected {
         /// The path of the key, such as `Limits.MaxOpen`.
         path: String,
-        /// What it should hold.
+        /// The expected type or value.
         expected: &'static str,
     },
 }
 
-/// What is wrong with an endpoint list.
+/// What is invalid in an endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointListError {
     /// A key of the list is missing or of another type.
@@ -169,22 +169,22 @@
     Missing(&'static str),
     /// An entry has no id.
     #[error("an instance has no instanceId")]
-    NoId,
+    MissingId,
     /// An entry's state is unknown.
     #[error("{id}: lifecycle is none of active, leaving, left")]
-    State {
+    UnknownState {
         /// The entry's id.
         id: String,
     },
-    /// An entry that may get parts has no usable address or ring position.
+    /// An entry that is not removed has no valid address or ring position.
     #[error("{id}: hostPort or cell makes no sense")]
-    Place {
+    InvalidAddress {
         /// The entry's id.
         id: String,
     },
 }
 
-/// What is wrong with the operator's file.
+/// What is invalid in the operator's file.
 #[derive(Debug, thiserror::Error)]
 #[error("{file}: {key} {problem}")]
 pub struct OperatorError {
@@ -192,81 +192,81 @@
     pub file: String,
     /// The path of the key, such as `flight.listen`.
     pub key: String,
-    /// What is wrong with it.
+    /// What is invalid about it.
     pub problem: Problem,
 }
 
-/// What is wrong with a key of the operator's file.
+/// What is invalid about a key of the operator's file.
 #[derive(Debug, thiserror::Error)]
 pub enum Problem {
-    /// A section is something else than an object.
+    /// A section is not an object.
     #[error("is not an object")]
     NotAnObject,
     /// The section has no such key.
     #[error("is not known; there is {}", .known.join(", "))]
     Unknown {
-        /// The keys that the section has.
+        /// The keys that the section may have.
         known: &'static [&'static str],
     },
-    /// A key that is needed.
+    /// A required key is missing.
     #[error("is missing")]
     Missing,
-    /// One of a pair of keys.
+    /// A key is missing that is required together with another one.
     #[error("is missing beside its {0}")]
     MissingBeside(&'static str),
-    /// A value of another type, or none of the values that are allowed.
+    /// A value has another type, or is not one of the allowed values.
     #[error("{0}")]
     Unexpected(&'static str),
-    /// A number that is not whole or outside its range.
+    /// A number is not whole, or is outside its range.
     #[error("is not a whole number from {least} to {most}")]
     OutOfRange {
-        /// The least number that is allowed.
+        /// The smallest allowed number.
         least: u64,
-        /// The greatest number that is allowed.
+        /// The largest allowed number.
         most: u64,
     },
-    /// A number that is not whole or too large.
+    /// A number is not whole, or is too large.
     #[error("is not a whole number up to {most}")]
     TooLarge {
-        /// The greatest number that is allowed.
+        /// The largest allowed number.
         most: u64,
     },
-    /// A text that is no address.
+    /// A value is not an address.
     #[error("{text} is not an address with a port")]
     Address {
-        /// The text.
+        /// The value.
         text: String,
     },
-    /// A file that the key names cannot be read.
+    /// The file that the key names cannot be read.
     #[error("cannot be read: {name}: {source}")]
     Unreadable {
-        /// The file's name, as the key has it.
+        /// The file's name, as in the configuration.
         name: String,
-        /// The system's error.
+        /// The I/O error.
         source: io::Error,
     },
-    /// A line of the users' file.
+    /// A line of the users' file is invalid.
     #[error("line {line}: {problem}")]
     UserLine {
-        /// The number of the line, from 1.
+        /// The line number, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// What is invalid about it.
         problem: &'static str,
     },
-    /// No peers, or too many.
+    /// The list of peers is empty or too long.
     #[error("holds {found}, not 1 to {most} peers")]
     PeerCount {
-        /// How many there are.
+        /// The number of peers in the list.
         found: usize,
-        /// How many are allowed.
+        /// The largest allowed number.
         most: usize,
     },
-    /// An entry in the list of peers.
+    /// An entry of the list of peers is invalid.
     #[error("of entry {index} {problem}")]
     PeerEntry {
         /// The index of the entry, from 0.
         index: usize,
-        /// What is wrong with the key of this entry.
+        /// What is invalid about the key of this entry.
         problem: PeerProblem,
     },
     /// This instance is not in the list of peers.
@@ -275,13 +275,13 @@
         /// The instance's name.
         name: String,
     },
-    /// A majority of an even number of acceptors needs as many as one of the next odd number.
+    /// The number of acceptors is even. A majority of it is as large as one of the next odd number.
     #[error("is {group}, not an odd number")]
-    EvenGroup {
+    EvenGroupSize {
         /// The number of acceptors.
         group: usize,
     },
-    /// More acceptors than there are peers.
+    /// The number of acceptors exceeds the number of peers.
     #[error("is {group}, larger than the list of {peers}")]
     GroupTooLarge {
         /// The number of acceptors.
@@ -289,12 +289,12 @@
         /// The number of peers.
         peers: usize,
     },
-    /// The address for peers can be reached from outside.
+    /// The listen address for peers is publicly reachable.
     #[error("is neither loopback nor private; \"anywhere\": true allows it")]
     NotPrivate,
 }
 
-/// What is wrong with a key of an entry in the list of peers.
+/// What is invalid about a key of an entry in the list of peers.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PeerProblem {
     /// The name is missing, empty or too long.
@@ -303,16 +303,16 @@
     /// The key is missing.
     #[error("is missing")]
     Missing,
-    /// The address can be reached from outside.
+    /// The address is publicly reachable.
     #[error(
         "is {address}, neither loopback nor private; links are neither signed nor \
          encrypted, \"anywhere\": true allows it all the same"
     )]
     NotPrivate {
-        /// The address as the file has it.
+        /// The address, as in the configuration.
         address: String,
     },
-    /// The value stands in an earlier entry as well.
+    /// An earlier entry has the same value.
     #[error("is {value}, which an entry before it has")]
     Repeated {
         /// The value; a name is quoted.
--- a/crates/settings/src/flight.rs
+++ b/crates/settings/src/flight.rs
@@ -1,4 +1,4 @@
-//! The section `flight` of the operator's file: the Flight frontend, and the backends that offer Flight.
+//! The section `flight` of the operator's file: the Flight frontend, and the backends that support Flight.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,55 +9,55 @@
 use crate::error::{OperatorError, Problem};
 use crate::section::OperatorSection;
 
-/// A frontend's certificate.
+/// TLS settings of the frontend.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerTls {
-    /// The chain, in PEM.
+    /// The certificate chain, in PEM.
     pub certificate: Vec<u8>,
-    /// The key, in PEM.
+    /// The private key, in PEM.
     pub key: Vec<u8>,
-    /// Clients have to show a certificate from one of these roots, in PEM.
+    /// The root certificates, in PEM; if set, clients have to present a certificate issued by one of them.
     pub client_ca: Option<Vec<u8>>,
 }
 
-/// What is trusted of backends, and shown to them.
+/// TLS settings of the connections to backends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackendTls {
-    /// The roots that backends' certificates come from, in PEM.
+    /// The trusted root certificates of backends, in PEM.
     pub ca: Vec<u8>,
-    /// The name in them; the backend's address where there is none.
+    /// The name that backends' certificates have to contain; the backend's address if there is none.
     pub name: Option<String>,
-    /// A chain and its key, both in PEM, that are shown to backends.
+    /// The client certificate chain and its private key, both in PEM.
     pub identity: Option<(Vec<u8>, Vec<u8>)>,
 }
 
-/// The settings of Flight, where an operator has set it up.
+/// Settings of Arrow Flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FlightSettings {
-    /// Where Flight clients connect.
+    /// The address for Flight clients; the frontend is off if there is none.
     pub listen: Option<SocketAddr>,
-    /// The backends that offer Flight, by their ids.
+    /// Ids of the backends that support Flight.
     pub backends: BTreeSet<String>,
-    /// Every backend offers it.
+    /// Whether every backend supports Flight.
     pub every_backend: bool,
-    /// What tickets and tokens are signed with; drawn at each start where there is none.
+    /// The key that signs tickets and tokens; a random one is generated at each start if there is none.
     pub key: Option<Vec<u8>>,
-    /// Who may call, with lines that prove their passwords; everybody where there are none.
+    /// Password hashes by user name; without users, anybody may call.
     pub users: Option<BTreeMap<String, String>>,
-    /// How long a ticket is valid, in µs.
+    /// The lifetime of a ticket, in µs.
     pub ticket_lifetime: Micros,
-    /// How long a token is valid, in µs.
+    /// The lifetime of a token, in µs.
     pub token_lifetime: Micros,
-    /// TLS for clients.
+    /// TLS of the frontend.
     pub tls: Option<ServerTls>,
-    /// TLS towards backends.
+    /// TLS of the connections to backends.
     pub backend_tls: Option<BackendTls>,
 }
 
-/// Default validity of a ticket, in seconds.
-const TICKET_S: u64 = 600;
-/// Default validity of a token, in seconds.
-const TOKEN_S: u64 = 3600;
+/// Default lifetime of a ticket, in seconds.
+const DEFAULT_TICKET_LIFETIME_S: u64 = 600;
+/// Default lifetime of a token, in seconds.
+const DEFAULT_TOKEN_LIFETIME_S: u64 = 3600;
 
 impl Default for FlightSettings {
     fn default() -> Self {
@@ -67,8 +67,8 @@
             every_backend: false,
             key: None,
             users: None,
-            ticket_lifetime: TICKET_S * 1_000_000,
-            token_lifetime: TOKEN_S * 1_000_000,
+            ticket_lifetime: DEFAULT_TICKET_LIFETIME_S * 1_000_000,
+            token_lifetime: DEFAULT_TOKEN_LIFETIME_S * 1_000_000,
             tls: None,
             backend_tls: None,
         }
@@ -79,36 +79,36 @@
     /// Reads the section.
     ///
     /// # Errors
-    /// The key that is wrong.
+    /// Names the key that is invalid.
     pub(crate) fn read(value: &Value, file: &str) -> Result<Self, OperatorError> {
         let known = &["listen", "hosts", "key", "users", "ticket_s", "token_s", "tls", "host_tls"];
         let section = OperatorSection::new(value, file, "flight", known)?;
         let listen = section.address("listen")?;
-        let (hosts, every_host) = read_hosts(&section)?;
+        let (backends, every_backend) = read_backends(&section)?;
         let key = section.file("key")?;
         if key.as_ref().is_some_and(|key| key.len() < mallowgauge_flight::seal::SHORTEST_KEY) {
             return Err(section.error("key", Problem::Unexpected("is a file of fewer than 16 bytes")));
         }
         let users = section.file("users")?.map(|text| read_users(&text, &section)).transpose()?;
-        // What is wrong with a validity is reported before what is wrong with TLS.
+        // The TLS results are unwrapped below, so that errors of the lifetimes are reported first.
         let tls = section.value("tls").map(|value| read_server_tls(value, file));
-        let host_tls = section.value("host_tls").map(|value| read_host_tls(value, file));
+        let backend_tls = section.value("host_tls").map(|value| read_backend_tls(value, file));
         Ok(Self {
             listen,
-            backends: hosts,
-            every_backend: every_host,
+            backends,
+            every_backend,
             key,
             users,
-            ticket_lifetime: section.seconds("ticket_s", TICKET_S)?,
-            token_lifetime: section.seconds("token_s", TOKEN_S)?,
+            ticket_lifetime: section.seconds("ticket_s", DEFAULT_TICKET_LIFETIME_S)?,
+            token_lifetime: section.seconds("token_s", DEFAULT_TOKEN_LIFETIME_S)?,
             tls: tls.transpose()?,
-            backend_tls: host_tls.transpose()?,
+            backend_tls: backend_tls.transpose()?,
         })
     }
 }
 
-/// The backends that offer Flight by their ids, and whether every one does.
-fn read_hosts(section: &OperatorSection<'_>) -> Result<(BTreeSet<String>, bool), OperatorError> {
+/// Reads the ids of the backends that support Flight, and whether every one does.
+fn read_backends(section: &OperatorSection<'_>) -> Result<(BTreeSet<String>, bool), OperatorError> {
     let error = |problem| section.error("hosts", Problem::Unexpected(problem));
     match section.value("hosts") {
         None => Ok((BTreeSet::new(), false)),
@@ -124,13 +124,13 @@
 fn read_server_tls(value: &Value, file: &str) -> Result<ServerTls, OperatorError> {
     let section = OperatorSection::new(value, file, "flight.tls", &["certificate", "key", "client_ca"])?;
     Ok(ServerTls {
-        certificate: section.needed_file("certificate")?,
-        key: section.needed_file("key")?,
+        certificate: section.required_file("certificate")?,
+        key: section.required_file("key")?,
         client_ca: section.file("client_ca")?,
     })
 }
 
-fn read_host_tls(value: &Value, file: &str) -> Result<BackendTls, OperatorError> {
+fn read_backend_tls(value: &Value, file: &str) -> Result<BackendTls, OperatorError> {
     let known = &["ca", "name", "certificate", "key"];
     let section = OperatorSection::new(value, file, "flight.host_tls", known)?;
     let identity = match (section.file("certificate")?, section.file("key")?) {
@@ -140,13 +140,13 @@
         (Some(_), None) => return Err(section.error("key", Problem::MissingBeside("certificate"))),
     };
     let name = section.text("name")?.map(str::to_owned);
-    Ok(BackendTls { ca: section.needed_file("ca")?, name, identity })
+    Ok(BackendTls { ca: section.required_file("ca")?, name, identity })
 }
 
-/// Reads lines `NAME:pbkdf2-sha256$ROUNDS$SALT$HASH`; empty ones and those that begin with `#` are skipped.
+/// Reads lines of the form `NAME:pbkdf2-sha256$ROUNDS$SALT$HASH`. Skips empty ones and those that begin with `#`.
 fn read_users(text: &[u8], section: &OperatorSection<'_>) -> Result<BTreeMap<String, String>, OperatorError> {
-    let no_text = |_| section.error("users", Problem::Unexpected("is a file that is no text"));
-    let text = std::str::from_utf8(text).map_err(no_text)?;
+    let not_utf8 = |_| section.error("users", Problem::Unexpected("is a file that is no text"));
+    let text = std::str::from_utf8(text).map_err(not_utf8)?;
     let mut users = BTreeMap::new();
     for (index, line) in text.lines().enumerate() {
         let line = line.trim();
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! What the platform and the operator configure, checked: the platform's file with the settings of its site
-//! ([`Config`], [`Site`]), endpoint lists ([`endpoint_list`]) and the operator's file ([`OperatorSettings`], [`FlightSettings`], [`PeerSettings`]).
+//! Reads and validates the configuration: the platform's file with the site's settings ([`Config`], [`Site`]), endpoint
+//! lists ([`endpoint_list`]) and the operator's file ([`OperatorSettings`], [`FlightSettings`], [`PeerSettings`]).
 //!
-//! Whatever is wrong is a typed error ([`error`]) that names the file and the key. No socket is opened here.
+//! Errors are typed ([`error`]) and name the file and the key. This crate opens no sockets.
 
 pub mod endpoint_list;
 pub mod error;
@@ -16,4 +16,4 @@
 pub use operator::{LogFormat, OperatorSettings};
 pub use peers::{Peer, PeerSettings};
 pub use platform::{Config, ConnectionSettings};
-pub use site::{small, zone, Section, Site};
+pub use site::{find_zone, parse_u32, Section, Site};
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's file: what goes beyond the platform. Without one, all of it is off.
+//! The operator's file, which configures features beyond the platform's. Without it they are off.
 //!
 //! ```json
 //! {"flight": {"listen": "127.0.0.1:8815", "hosts": ["s-5be2a07c"],
@@ -9,8 +9,8 @@
 //!  "fleet": {}, "log": {"format": "json"}}
 //! ```
 //!
-//! What `fleet` holds stands in [`crate::Fleet`]'s module. `"hosts": "all"` names every backend. Files are looked for in
-//! the folder of the operator's own.
+//! [`crate::PeerSettings`] reads the section `fleet`. `"hosts": "all"` stands for every backend. File names are relative
+//! to the folder of the operator's file.
 
 use mallowgauge_core::two_phase::{Rule, SketchBounds};
 use mallowgauge_core::TwoPhaseSettings;
@@ -21,47 +21,47 @@
 use crate::peers::PeerSettings;
 use crate::section::OperatorSection;
 
-/// All that the operator's file configures.
+/// The settings of the operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorSettings {
-    /// Flight.
+    /// The Flight frontend, and the backends that support Flight.
     pub flight: FlightSettings,
-    /// Queries in two phases; rejected where there is none.
-    pub phases: Option<TwoPhaseSettings>,
-    /// The instances that are linked to each other; none where there is none.
-    pub fleet: Option<PeerSettings>,
-    /// How the log is written.
+    /// Two-phase queries, which are rejected if this is not set.
+    pub two_phase: Option<TwoPhaseSettings>,
+    /// The cluster of instances; this instance runs alone if it is not set.
+    pub peers: Option<PeerSettings>,
+    /// The format of the log.
     pub log: LogFormat,
 }
 
-/// How the log is written.
+/// The format of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
     /// Lines of text.
     #[default]
     Text,
-    /// A JSON object a line, with the instance's name and incarnation.
+    /// One JSON object per line, with the instance's name and incarnation.
     Json,
 }
 
-/// Default bound on cached sketches.
-const SKETCHES: u64 = 10_000;
-/// Default age up to which a sketch is used, in ms.
-const SKETCH_MS: u64 = 2_000;
+/// Default limit on cached sketches.
+const DEFAULT_MAX_SKETCHES: u64 = 10_000;
+/// Default age up to which a cached sketch is used, in ms.
+const DEFAULT_SKETCH_AGE_MS: u64 = 2_000;
 
-/// Reads the operator's file, whose path is `file`; `name` is what the platform calls this instance.
+/// Reads the operator's file, whose path is `file`; `name` is the platform's name for this instance.
 ///
 /// # Errors
-/// The key that is wrong.
+/// Names the key that is invalid.
 pub(crate) fn read(all: &Value, file: &str, name: Option<&str>) -> Result<OperatorSettings, OperatorError> {
-    let whole = OperatorSection::new(all, file, "the file", &["flight", "phases", "fleet", "log"])?;
-    let flight = whole
+    let file_section = OperatorSection::new(all, file, "the file", &["flight", "phases", "fleet", "log"])?;
+    let flight = file_section
         .value("flight")
         .map_or(Ok(FlightSettings::default()), |value| FlightSettings::read(value, file))?;
-    let phases = whole.value("phases").map(|value| read_phases(value, file)).transpose()?;
-    let fleet = whole.value("fleet").map(|value| PeerSettings::read(value, file, name)).transpose()?;
-    let log = whole.value("log").map_or(Ok(LogFormat::Text), |value| read_log(value, file))?;
-    Ok(OperatorSettings { flight, phases, fleet, log })
+    let two_phase = file_section.value("phases").map(|value| read_two_phase(value, file)).transpose()?;
+    let peers = file_section.value("fleet").map(|value| PeerSettings::read(value, file, name)).transpose()?;
+    let log = file_section.value("log").map_or(Ok(LogFormat::Text), |value| read_log(value, file))?;
+    Ok(OperatorSettings { flight, two_phase, peers, log })
 }
 
 fn read_log(value: &Value, file: &str) -> Result<LogFormat, OperatorError> {
@@ -73,11 +73,11 @@
     }
 }
 
-fn read_phases(value: &Value, file: &str) -> Result<TwoPhaseSettings, OperatorError> {
+fn read_two_phase(value: &Value, file: &str) -> Result<TwoPhaseSettings, OperatorError> {
     let section = OperatorSection::new(value, file, "phases", &["rule", "sketches", "sketch_ms"])?;
     let rule = read_rule(&section)?;
-    let entries = section.number_up_to("sketches", SKETCHES, 1_000_000)? as usize;
-    let age = section.number_up_to("sketch_ms", SKETCH_MS, 600_000)? * 1000;
+    let entries = section.number_up_to("sketches", DEFAULT_MAX_SKETCHES, 1_000_000)? as usize;
+    let age = section.number_up_to("sketch_ms", DEFAULT_SKETCH_AGE_MS, 600_000)? * 1000;
     Ok(TwoPhaseSettings { rule, sketches: SketchBounds { entries, age } })
 }
 
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's file and the environment: all that an instance is configured with at its start.
+//! The configuration that an instance reads at its start, from the platform's file and the environment.
 
 use std::net::SocketAddr;
 
@@ -17,15 +17,15 @@
 /// Limits on connections to backends. Durations are in µs.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionSettings {
-    /// Backends close a connection that has been idle for so long.
+    /// Idle time after which backends close a connection.
     pub idle_timeout: Micros,
-    /// A connection that is not established by then is given up.
+    /// Time in which a connection has to be established.
     pub connect_timeout: Micros,
-    /// With nothing received on a connection for so long while attempts are in flight, new ones take another.
+    /// Time without received data, while attempts are in flight, after which new attempts avoid a connection.
     pub silence_timeout: Micros,
     /// Most attempts in flight on a connection.
-    pub max_attempts: usize,
-    /// Most parts in a call.
+    pub max_attempts_in_flight: usize,
+    /// Most parts per call.
     pub parts_per_call: usize,
     /// Most descriptors that the process may hold.
     pub max_descriptors: usize,
@@ -33,47 +33,47 @@
 
 /// The configuration of an instance.
 pub struct Config {
-    /// Its name.
+    /// The instance's name.
     pub name: String,
-    /// Where HTTP clients connect.
+    /// The address for HTTP clients.
     pub listen: SocketAddr,
-    /// Discovery's address.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The seed of its random numbers.
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// The settings of its site.
+    /// The settings of the site.
     pub site: Site,
-    /// Bounds on open queries.
+    /// Limits on open queries.
     pub core_limits: CoreLimits,
     /// Limits on connections to backends.
     pub connections: ConnectionSettings,
     /// The memory that the process may use, in bytes.
     pub memory: usize,
-    /// The cached endpoint list, which is valid.
+    /// The cached endpoint list, which has been validated.
     pub cached_endpoints: Value,
-    /// The Flight frontend, and the backends that offer Flight.
+    /// The Flight frontend, and the backends that support Flight.
     pub flight: FlightSettings,
-    /// Queries in two phases, where they are accepted.
+    /// Two-phase queries, which are rejected if this is not set.
     pub two_phase: Option<TwoPhaseSettings>,
-    /// The other instances, and what links to them may hold.
+    /// The cluster of instances, and the limits on connections to peers.
     pub peers: Option<(PeerSettings, PeerConnectionLimits)>,
 }
 
-/// Fraction of the shortest latency objective after which a silent connection is avoided.
+/// Fraction of the shortest latency objective after which silent connections are avoided.
 const SILENCE_FRACTION: f64 = 0.15;
-/// Descriptors where the platform states no limit.
+/// Default limit on descriptors.
 const DEFAULT_SOCKETS: u64 = 1024;
-/// Megabytes where the platform states no limit.
+/// Default memory limit, in MiB.
 const DEFAULT_MEMORY_MB: u64 = 192;
-/// Descriptors for the listeners, discovery, a few backends and clients.
-const FEWEST_SOCKETS: usize = 32;
+/// Smallest number of descriptors: for listeners, discovery, and a few backends and clients.
+const MIN_SOCKETS: usize = 32;
 
 impl Config {
-    /// Reads the platform's file, which `RELAY_CONFIG` names, and the operator's, if one is named.
-    /// `RELAY_NAME`, `RELAY_LISTEN` and `RELAY_DISCOVERY` stand in for what the file leaves out.
+    /// Reads the platform's file, which the environment variable `RELAY_CONFIG` names, and the operator's file, if its
+    /// path is given. `RELAY_NAME`, `RELAY_LISTEN` and `RELAY_DISCOVERY` replace keys that the platform's file lacks.
     ///
     /// # Errors
-    /// What is wrong, in one line.
+    /// States in one line what is invalid.
     pub fn load(
         variable: impl Fn(&str) -> Option<String>,
         operator: Option<&str>,
@@ -86,41 +86,41 @@
         operator: Option<&str>,
     ) -> Result<Self, ConfigError> {
         let path = variable("RELAY_CONFIG").ok_or(ConfigError::NoPlatformFile)?;
-        let all = read_json(&path)?;
-        let own = own_name(&all, &variable);
+        let platform = read_json(&path)?;
+        let own_name = own_name(&platform, &variable);
         let mut operator = match operator {
-            Some(path) => operator::read(&read_json(path)?, path, own.as_deref())?,
+            Some(path) => operator::read(&read_json(path)?, path, own_name.as_deref())?,
             None => OperatorSettings::default(),
         };
-        let fleet = operator.fleet.take();
-        let config = Self::read(&all, variable, operator);
+        let peers = operator.peers.take();
+        let config = Self::read(&platform, variable, operator);
         let config = config.map_err(|source| ConfigError::Platform { file: path.clone(), source })?;
-        match fleet {
-            Some(fleet) => config.with_peers(fleet, &path),
+        match peers {
+            Some(peers) => config.with_peers(peers, &path),
             None => Ok(config),
         }
     }
 
-    /// Adds the other instances, within the limits of the platform's file.
-    fn with_peers(mut self, fleet: PeerSettings, path: &str) -> Result<Self, ConfigError> {
-        let room = fleet.connection_limits(self.connections.max_descriptors, self.memory);
-        let room = room.map_err(|reason| ConfigError::TooManyPeers { file: path.to_owned(), reason })?;
-        if fleet.request_lifetime.is_some() && (self.flight.every_backend || !self.flight.backends.is_empty())
+    /// Adds the cluster of instances, within the limits of the platform's file, whose path is `path`.
+    fn with_peers(mut self, peers: PeerSettings, path: &str) -> Result<Self, ConfigError> {
+        let limits = peers.connection_limits(self.connections.max_descriptors, self.memory);
+        let limits = limits.map_err(|reason| ConfigError::TooManyPeers { file: path.to_owned(), reason })?;
+        if peers.request_lifetime.is_some() && (self.flight.every_backend || !self.flight.backends.is_empty())
         {
             return Err(ConfigError::TakeoverWithFlight);
         }
-        self.peers = Some((fleet, room));
+        self.peers = Some((peers, limits));
         Ok(self)
     }
 
-    /// What the platform calls this instance, as far as its file can be read.
+    /// Returns the platform's name for this instance, if its file can be read.
     #[must_use]
     pub fn name(variable: impl Fn(&str) -> Option<String>) -> Option<String> {
         own_name(&read_json(&variable("RELAY_CONFIG")?).ok()?, variable)
     }
 
-    /// How the log is to be written, as far as the operator's file can be read; what is wrong with it is an error of
-    /// [`Config::load`].
+    /// Returns the format of the log, or the default if the operator's file cannot be read; [`Config::load`] reports
+    /// errors in that file.
     #[must_use]
     pub fn log_format(operator: Option<&str>) -> LogFormat {
         let format = |path| read_json(path).ok()?.get("log")?.get("format")?.as_str().map(str::to_owned);
@@ -131,73 +131,78 @@
     }
 
     fn read(
-        all: &Value,
+        platform: &Value,
         variable: impl Fn(&str) -> Option<String>,
         operator: OperatorSettings,
     ) -> Result<Self, PlatformError> {
         let text = |key: &'static str, name: &str| {
-            let value = all.get(key).and_then(Value::as_str).map(str::to_owned);
+            let value = platform.get(key).and_then(Value::as_str).map(str::to_owned);
             value.or_else(|| variable(name)).ok_or(PlatformError::Missing(key))
         };
-        let settings = all.get("settings").ok_or(PlatformError::Missing("settings"))?;
+        let settings = platform.get("settings").ok_or(PlatformError::Missing("settings"))?;
         let site = Site::read(settings)?;
         site.settings.validate()?;
         let root = Section::root(settings)?;
         let shards = u32::try_from(count(&root, "FamilyInfo", "Shards")?)?;
-        let sockets = limit(all, "sockets", DEFAULT_SOCKETS)?;
-        let memory = limit(all, "memory_mb", DEFAULT_MEMORY_MB)? * 1024 * 1024;
-        if sockets < FEWEST_SOCKETS {
-            return Err(PlatformError::TooFewSockets(FEWEST_SOCKETS));
+        let sockets = limit(platform, "sockets", DEFAULT_SOCKETS)?;
+        let memory = limit(platform, "memory_mb", DEFAULT_MEMORY_MB)? * 1024 * 1024;
+        if sockets < MIN_SOCKETS {
+            return Err(PlatformError::TooFewSockets(MIN_SOCKETS));
         }
-        let seed = all.get("seed").and_then(Value::as_str).ok_or(PlatformError::Missing("seed"))?;
-        let known = all.get("known").ok_or(PlatformError::Missing("known"))?;
-        crate::endpoint_list::parse(known)?;
+        let seed = platform.get("seed").and_then(Value::as_str).ok_or(PlatformError::Missing("seed"))?;
+        let cached_endpoints = platform.get("known").ok_or(PlatformError::Missing("known"))?;
+        crate::endpoint_list::parse(cached_endpoints)?;
         Ok(Self {
             name: text("name", "RELAY_NAME")?,
             listen: address(&text("listen", "RELAY_LISTEN")?, "listen")?,
             discovery: address(&text("discovery", "RELAY_DISCOVERY")?, "discovery")?,
             seed: u64::from_str_radix(seed, 16).map_err(|_| PlatformError::Seed)?,
             core_limits: CoreLimits { max_open: count(&root, "Limits", "MaxOpen")?, shards },
-            connections: read_links(&root, &site, sockets)?,
+            connections: read_connection_settings(&root, &site, sockets)?,
             memory,
-            cached_endpoints: known.clone(),
+            cached_endpoints: cached_endpoints.clone(),
             site,
             flight: operator.flight,
-            two_phase: operator.phases,
+            two_phase: operator.two_phase,
             peers: None,
         })
     }
 }
 
-fn read_links(root: &Section<'_>, site: &Site, sockets: usize) -> Result<ConnectionSettings, PlatformError> {
+fn read_connection_settings(
+    root: &Section<'_>,
+    site: &Site,
+    sockets: usize,
+) -> Result<ConnectionSettings, PlatformError> {
     let objectives = site.settings.classes.iter().map(|class| class.latency_objective);
     let shortest = objectives.min().unwrap_or_default();
     Ok(ConnectionSettings {
         idle_timeout: root.sub("Limits")?.int("ConnIdleUs")?,
         connect_timeout: root.sub("Limits")?.int("DialTimeoutUs")?,
         silence_timeout: (shortest as f64 * SILENCE_FRACTION) as Micros,
-        max_attempts: count(root, "Limits", "MaxStreams")?,
+        max_attempts_in_flight: count(root, "Limits", "MaxStreams")?,
         parts_per_call: site.settings.layout.parts_per_call as usize,
         max_descriptors: sockets,
     })
 }
 
-/// A positive number of a section of the settings.
+/// Reads a positive number from a section of the settings.
 fn count(root: &Section<'_>, section: &'static str, key: &'static str) -> Result<usize, PlatformError> {
     let value = root.sub(section)?.int(key)?;
     let value = usize::try_from(value).ok().filter(|&n| n > 0);
     value.ok_or(PlatformError::Count { section, key })
 }
 
-/// A number of the object `limits`, below 2^32; `default` where there is none.
-fn limit(all: &Value, key: &'static str, default: u64) -> Result<usize, PlatformError> {
-    let value = all.get("limits").and_then(|limits| limits.get(key)).map_or(Some(default), Value::as_u64);
+/// Reads a number below 2^32 from the object `limits`; `default` if it is absent.
+fn limit(platform: &Value, key: &'static str, default: u64) -> Result<usize, PlatformError> {
+    let value =
+        platform.get("limits").and_then(|limits| limits.get(key)).map_or(Some(default), Value::as_u64);
     let value = value.and_then(|n| u32::try_from(n).ok());
     value.map(|n| n as usize).ok_or(PlatformError::Limit(key))
 }
 
-fn own_name(all: &Value, variable: impl Fn(&str) -> Option<String>) -> Option<String> {
-    all.get("name").and_then(Value::as_str).map(str::to_owned).or_else(|| variable("RELAY_NAME"))
+fn own_name(platform: &Value, variable: impl Fn(&str) -> Option<String>) -> Option<String> {
+    platform.get("name").and_then(Value::as_str).map(str::to_owned).or_else(|| variable("RELAY_NAME"))
 }
 
 fn read_json(path: &str) -> Result<Value, ConfigError> {
--- a/crates/settings/src/section.rs
+++ b/crates/settings/src/section.rs
@@ -1,4 +1,4 @@
-//! Sections of the operator's file, and what their values are read with.
+//! Sections of the operator's file, and functions to read their values.
 
 use std::net::{SocketAddr, ToSocketAddrs};
 use std::ops::RangeInclusive;
@@ -9,16 +9,16 @@
 
 use crate::error::{AddressError, OperatorError, Problem};
 
-/// Longest validity that can be set, in seconds: 30 days.
-const LONGEST_VALIDITY_S: u64 = 30 * 86_400;
+/// Longest lifetime that can be configured, in seconds: 30 days.
+const MAX_LIFETIME_S: u64 = 30 * 86_400;
 
-/// Reads an address with a port; a name is resolved.
+/// Parses an address with a port; resolves a host name.
 pub(crate) fn address(text: &str, key: &'static str) -> Result<SocketAddr, AddressError> {
     let found = text.to_socket_addrs().ok().and_then(|mut all| all.next());
     found.ok_or_else(|| AddressError { key, text: text.to_owned() })
 }
 
-/// A section, with the file and the key that it is from.
+/// A section, with the file and the key that it is read from.
 pub(crate) struct OperatorSection<'a> {
     fields: &'a Map<String, Value>,
     file: &'a str,
@@ -26,7 +26,7 @@
 }
 
 impl<'a> OperatorSection<'a> {
-    /// The section of that name, which may have the keys `known` and no others.
+    /// Creates the section `name`, which may only have the keys `known`.
     pub(crate) fn new(
         value: &'a Value,
         file: &'a str,
@@ -41,22 +41,22 @@
         Ok(Self { fields, file, name })
     }
 
-    /// The error for a key of this section.
+    /// Creates an error for a key of this section.
     pub(crate) fn error(&self, key: &str, problem: Problem) -> OperatorError {
         OperatorError { file: self.file.to_owned(), key: format!("{}.{key}", self.name), problem }
     }
 
-    /// What a key holds, be it `null`.
+    /// Returns the value of a key, which may be `null`.
     pub(crate) fn raw(&self, key: &str) -> Option<&'a Value> {
         self.fields.get(key)
     }
 
-    /// What a key holds; `null` counts as absent.
+    /// Returns the value of a key; `null` counts as absent.
     pub(crate) fn value(&self, key: &str) -> Option<&'a Value> {
         self.fields.get(key).filter(|value| !value.is_null())
     }
 
-    /// A text, if there is one.
+    /// Reads a string, if present.
     pub(crate) fn text(&self, key: &str) -> Result<Option<&'a str>, OperatorError> {
         match self.fields.get(key) {
             None | Some(Value::Null) => Ok(None),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// An address with a port, if there is one.
+    /// Reads an address with a port, if present.
     pub(crate) fn address(&self, key: &str) -> Result<Option<SocketAddr>, OperatorError> {
         let Some(text) = self.text(key)? else { return Ok(None) };
         let found = text.to_socket_addrs().ok().and_then(|mut all| all.next());
@@ -73,7 +73,7 @@
         found.map(Some).ok_or_else(error)
     }
 
-    /// The content of the file that a key names, if it names one; it is looked for beside the operator's file.
+    /// Reads the file that a key names, if present; its name is relative to the folder of the operator's file.
     pub(crate) fn file(&self, key: &str) -> Result<Option<Vec<u8>>, OperatorError> {
         let Some(name) = self.text(key)? else { return Ok(None) };
         let folder = Path::new(self.file).parent().unwrap_or(Path::new(""));
@@ -81,12 +81,12 @@
         std::fs::read(folder.join(name)).map(Some).map_err(unreadable)
     }
 
-    /// The content of a file that has to be named.
-    pub(crate) fn needed_file(&self, key: &str) -> Result<Vec<u8>, OperatorError> {
+    /// Reads the file that a required key names.
+    pub(crate) fn required_file(&self, key: &str) -> Result<Vec<u8>, OperatorError> {
         self.file(key)?.ok_or_else(|| self.error(key, Problem::Missing))
     }
 
-    /// A whole number in a range; `default` where there is none, or else it has to be there.
+    /// Reads a whole number in a range; `default` if it is absent. Without a default, the key is required.
     pub(crate) fn number(
         &self,
         key: &str,
@@ -100,16 +100,16 @@
         })
     }
 
-    /// A whole number up to `most`; `default` where there is none.
+    /// Reads a whole number up to `most`; `default` if it is absent.
     pub(crate) fn number_up_to(&self, key: &str, default: u64, most: u64) -> Result<u64, OperatorError> {
         let value = self.raw(key).map_or(Some(default), Value::as_u64).filter(|&n| n <= most);
         value.ok_or_else(|| self.error(key, Problem::TooLarge { most }))
     }
 
-    /// A validity in seconds, as microseconds.
+    /// Reads a lifetime in seconds and returns it in microseconds; `default` is in seconds.
     pub(crate) fn seconds(&self, key: &str, default: u64) -> Result<Micros, OperatorError> {
         let value = self.raw(key).map_or(Some(default), Value::as_u64);
-        let value = value.filter(|s| (1..=LONGEST_VALIDITY_S).contains(s));
+        let value = value.filter(|s| (1..=MAX_LIFETIME_S).contains(s));
         let problem = Problem::Unexpected("is not a whole number of seconds up to 30 days");
         value.map(|s| s * 1_000_000).ok_or_else(|| self.error(key, problem))
     }
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -1,5 +1,5 @@
-//! The `settings` object, which the server and the simulator adapter are both given. The platform's names for its keys
-//! appear here and nowhere else.
+//! The `settings` object, which both the server and the simulator adapter read. The platform's names for its keys
+//! appear only here and, for the keys that only the server reads, in `platform`.
 
 use mallowgauge_router::{
     Class, DeploymentLimits, Discovery, Idempotency, RetryBudgetSettings, RuleSettings, Settings,
@@ -9,27 +9,27 @@
 
 use crate::error::SiteError;
 
-/// What the settings say of the site, with the names that go with the router's numbers.
+/// The settings of the site, with the names for the router's class and zone numbers.
 pub struct Site {
-    /// What the router is told.
+    /// The router's settings.
     pub settings: Settings,
-    /// Names of the classes, in order.
+    /// The names of the classes, by class number.
     pub classes: Vec<String>,
-    /// Names of the zones, in order.
+    /// The names of the zones, by zone number.
     pub zones: Vec<String>,
 }
 
-/// The zone of that name; `None` for one that the settings do not name.
-pub fn zone(zones: &[String], name: &str) -> Option<ZoneId> {
+/// Returns the zone of that name; `None` if the settings do not have it.
+pub fn find_zone(zones: &[String], name: &str) -> Option<ZoneId> {
     zones.iter().position(|known| known == name).and_then(|at| u32::try_from(at).ok()).map(ZoneId)
 }
 
-/// A whole number below 2^32.
-pub fn small(value: &Value) -> Option<u32> {
+/// Converts a JSON value to a whole number below 2^32.
+pub fn parse_u32(value: &Value) -> Option<u32> {
     value.as_u64().and_then(|n| u32::try_from(n).ok())
 }
 
-/// A settings object and the path that leads to it.
+/// A settings object and its path.
 pub struct Section<'a> {
     /// The object.
     pub value: &'a Value,
@@ -37,10 +37,10 @@
 }
 
 impl<'a> Section<'a> {
-    /// The whole object.
+    /// Creates the section of the whole `settings` object.
     ///
     /// # Errors
-    /// Any other value than an object.
+    /// The value is not an object.
     pub fn root(value: &'a Value) -> Result<Self, SiteError> {
         if value.is_object() {
             Ok(Section { value, path: String::new() })
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The object under a key.
+    /// Returns the object under a key.
     ///
     /// # Errors
     /// Names the key.
@@ -59,7 +59,7 @@
         value.map(|value| Section { value, path }).ok_or_else(|| self.error(key, "an object"))
     }
 
-    /// The error for a key that does not hold what it should.
+    /// Creates the error for a key that is missing or has an unexpected value.
     #[must_use]
     pub fn error(&self, key: &str, expected: &'static str) -> SiteError {
         let path = format!("{}{key}", self.path);
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A whole number.
+    /// Reads a whole number.
     ///
     /// # Errors
     /// Names the key.
@@ -78,15 +78,15 @@
         self.value.get(key).and_then(Value::as_u64).ok_or_else(|| self.error(key, "a whole number"))
     }
 
-    /// A whole number below 2^32.
+    /// Reads a whole number below 2^32.
     ///
     /// # Errors
     /// Names the key.
     pub fn int32(&self, key: &str) -> Result<u32, SiteError> {
-        self.value.get(key).and_then(small).ok_or_else(|| self.error(key, "a small whole number"))
+        self.value.get(key).and_then(parse_u32).ok_or_else(|| self.error(key, "a small whole number"))
     }
 
-    /// A number.
+    /// Reads a number.
     ///
     /// # Errors
     /// Names the key.
@@ -94,7 +94,7 @@
         self.value.get(key).and_then(Value::as_f64).ok_or_else(|| self.error(key, "a number"))
     }
 
-    /// True or false.
+    /// Reads a boolean.
     ///
     /// # Errors
     /// Names the key.
@@ -102,7 +102,7 @@
         self.value.get(key).and_then(Value::as_bool).ok_or_else(|| self.error(key, "true or false"))
     }
 
-    /// A text.
+    /// Reads a string.
     ///
     /// # Errors
     /// Names the key.
@@ -110,7 +110,7 @@
         self.value.get(key).and_then(Value::as_str).ok_or_else(|| self.error(key, "a text"))
     }
 
-    /// A list.
+    /// Reads a list.
     ///
     /// # Errors
     /// Names the key.
@@ -122,7 +122,7 @@
             .ok_or_else(|| self.error(key, "a list"))
     }
 
-    /// Figures of the classes, in the order of the classes.
+    /// Reads a list with one number per class.
     fn per_class(&self, key: &str, classes: usize) -> Result<Vec<f64>, SiteError> {
         let list = self.list(key)?;
         if list.len() != classes {
@@ -133,19 +133,19 @@
 }
 
 impl Site {
-    /// Reads the settings object that an instance is given.
+    /// Reads the `settings` object.
     ///
     /// # Errors
-    /// The first key that does not hold what it should.
+    /// Names the first key that is missing or has an unexpected value.
     pub fn read(env: &Value) -> Result<Self, SiteError> {
         let env = Section::root(env)?;
         let (family, limits, rules) = (env.sub("FamilyInfo")?, env.sub("Limits")?, env.sub("Safety")?);
-        let figures = ClassFigures::read(&env, &family)?;
+        let class_values = ClassValues::read(&env, &family)?;
         let zones = read_zones(&env);
-        let (names, classes) = figures.classes()?;
+        let (names, classes) = class_values.classes()?;
         let retry_budget = read_retry_budget(&rules)?;
         let settings = Settings {
-            zone: env.value.get("Az").and_then(Value::as_str).and_then(|name| zone(&zones, name)),
+            zone: env.value.get("Az").and_then(Value::as_str).and_then(|name| find_zone(&zones, name)),
             cross_zone_costs: env
                 .sub("Charges")
                 .is_ok_and(|charges| charges.number("CrossZone").is_ok_and(|price| price > 0.0)),
@@ -161,8 +161,8 @@
     }
 }
 
-/// The classes as the settings have them: an object each, and lists with a figure for each of them.
-struct ClassFigures<'a> {
+/// The classes in the form of the settings: one object per class, and lists with one number per class.
+struct ClassValues<'a> {
     objects: &'a [Value],
     minimum_completeness: Vec<f64>,
     required_completeness: Vec<f64>,
@@ -170,7 +170,7 @@
     second_step_parts: Vec<f64>,
 }
 
-impl<'a> ClassFigures<'a> {
+impl<'a> ClassValues<'a> {
     fn read(env: &Section<'a>, family: &Section<'_>) -> Result<Self, SiteError> {
         let objects = env.list("Classes")?;
         let per_class = |key| family.per_class(key, objects.len());
@@ -183,11 +183,11 @@
         })
     }
 
-    /// Names and settings of the classes, in order.
+    /// Returns the names and the settings of the classes, in order.
     fn classes(&self) -> Result<(Vec<String>, Vec<Class>), SiteError> {
         let (mut names, mut classes) = (Vec::new(), Vec::new());
-        for (i, value) in self.objects.iter().enumerate() {
-            let class = Section { value, path: format!("Classes[{i}].") };
+        for (index, value) in self.objects.iter().enumerate() {
+            let class = Section { value, path: format!("Classes[{index}].") };
             names.push(class.text("Name")?.to_owned());
             classes.push(Class {
                 latency_objective: class.int("AimUs")?,
@@ -195,10 +195,10 @@
                 deadline: class.int("DeadlineUs")?,
                 late_value: class.number("LateValue")?,
                 idempotency: read_idempotency(&class)?,
-                minimum_completeness: self.minimum_completeness[i],
-                required_completeness: self.required_completeness[i],
-                partial_value: self.partial_value[i],
-                second_step_parts: self.second_step_parts[i] as u32,
+                minimum_completeness: self.minimum_completeness[index],
+                required_completeness: self.required_completeness[index],
+                partial_value: self.partial_value[index],
+                second_step_parts: self.second_step_parts[index] as u32,
             });
         }
         Ok((names, classes))
@@ -214,13 +214,13 @@
     }
 }
 
-/// Names of the zones; whatever else stands among them is skipped.
+/// Reads the names of the zones; skips entries that are not strings.
 fn read_zones(env: &Section<'_>) -> Vec<String> {
     let listed = env.value.get("Azs").and_then(Value::as_array);
     listed.into_iter().flatten().filter_map(|name| name.as_str().map(str::to_owned)).collect()
 }
 
-/// The retry budget, which is set where both its window and its ratio are numbers.
+/// Reads the retry budget, which is set only if both its window and its ratio are numbers.
 fn read_retry_budget(rules: &Section<'_>) -> Result<Option<RetryBudgetSettings>, SiteError> {
     let is_number = |key| rules.value.get(key).is_some_and(Value::is_number);
     if !is_number("LookBackUs") || !is_number("ResendRatio") {
--- a/crates/settings/tests/bad_input.rs
+++ b/crates/settings/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Malformed files and lists: each is read, or rejected in one line, never more than that, and what is read is inside the
-//! bounds that the programs rest on.
+//! Property tests with malformed files and endpoint lists: each is either rejected with an error of one line, or read
+//! with values within the limits that the program relies on.
 
 mod examples;
 
@@ -20,21 +20,23 @@
     }
 }
 
-/// Every place in a value, by its path.
-fn places(value: &Value, path: &str, found: &mut Vec<String>) {
+/// Collects the JSON pointers of a value and of everything in it.
+fn collect_pointers(value: &Value, path: &str, found: &mut Vec<String>) {
     found.push(path.to_owned());
     match value {
         Value::Object(fields) => {
-            fields.iter().for_each(|(key, value)| places(value, &format!("{path}/{key}"), found))
+            fields.iter().for_each(|(key, value)| collect_pointers(value, &format!("{path}/{key}"), found))
         }
         Value::Array(list) => {
-            list.iter().enumerate().for_each(|(at, value)| places(value, &format!("{path}/{at}"), found));
+            list.iter()
+                .enumerate()
+                .for_each(|(index, value)| collect_pointers(value, &format!("{path}/{index}"), found));
         }
         _ => {}
     }
 }
 
-/// No text with a colon: one could be taken for an address, and looked up by its name.
+/// Generates no string with a colon, since it could be taken for an address and resolved by name.
 fn unexpected_value() -> impl Strategy<Value = Value> {
     prop_oneof![
         Just(Value::Null),
@@ -60,36 +62,36 @@
     ]
 }
 
-/// One value in another's place, or one taken away.
+/// A change of a JSON value at a randomly selected pointer.
 #[derive(Clone, Debug)]
 enum Change {
-    Put(prop::sample::Index, Value),
-    Take(prop::sample::Index),
+    Replace(prop::sample::Index, Value),
+    Remove(prop::sample::Index),
 }
 
 fn change() -> impl Strategy<Value = Change> {
     prop_oneof![
-        4 => (any::<prop::sample::Index>(), unexpected_value()).prop_map(|(at, value)| Change::Put(at, value)),
-        1 => any::<prop::sample::Index>().prop_map(Change::Take),
+        4 => (any::<prop::sample::Index>(), unexpected_value()).prop_map(|(at, value)| Change::Replace(at, value)),
+        1 => any::<prop::sample::Index>().prop_map(Change::Remove),
     ]
 }
 
 fn mutate(mut value: Value, changes: &[Change]) -> Value {
     for change in changes {
-        let mut all = Vec::new();
-        places(&value, "", &mut all);
+        let mut pointers = Vec::new();
+        collect_pointers(&value, "", &mut pointers);
         match change {
-            Change::Put(at, other) => {
-                if let Some(found) = value.pointer_mut(&all[at.index(all.len())]) {
+            Change::Replace(at, other) => {
+                if let Some(found) = value.pointer_mut(&pointers[at.index(pointers.len())]) {
                     *found = other.clone();
                 }
             }
-            Change::Take(at) => {
-                let path = &all[at.index(all.len())];
+            Change::Remove(at) => {
+                let path = &pointers[at.index(pointers.len())];
                 let Some((parent, key)) = path.rsplit_once('/') else { continue };
                 match value.pointer_mut(parent) {
                     Some(Value::Object(fields)) => drop(fields.remove(key)),
-                    Some(Value::Array(list)) => drop(list.remove(key.parse().expect("a place"))),
+                    Some(Value::Array(list)) => drop(list.remove(key.parse().expect("an index"))),
                     _ => {}
                 }
             }
@@ -99,18 +101,21 @@
 }
 
 fn load(platform: &[u8], operator: Option<&[u8]>) -> Result<Config, String> {
-    let (platform, operator) = (File::of(platform), operator.map(File::of));
+    let (platform, operator) = (File::with_content(platform), operator.map(File::with_content));
     let variable = |name: &str| (name == "RELAY_CONFIG").then(|| platform.path().to_owned());
     Config::load(variable, operator.as_ref().map(File::path)).map_err(|error| error.to_string())
 }
 
-/// What the programs rest on.
+/// Checks the limits that the program relies on.
 fn check(config: &Config) -> Result<(), TestCaseError> {
-    let (bounds, links) = (&config.core_limits, &config.connections);
+    let (core_limits, connections) = (&config.core_limits, &config.connections);
     prop_assert!(
-        bounds.max_open > 0 && bounds.shards > 0 && links.max_attempts > 0 && links.parts_per_call > 0
+        core_limits.max_open > 0
+            && core_limits.shards > 0
+            && connections.max_attempts_in_flight > 0
+            && connections.parts_per_call > 0
     );
-    prop_assert!(links.max_descriptors >= 32 && links.max_descriptors <= u32::MAX as usize);
+    prop_assert!(connections.max_descriptors >= 32 && connections.max_descriptors <= u32::MAX as usize);
     let (settings, classes) = (&config.site.settings, &config.site.classes);
     prop_assert!(settings.validate().is_ok());
     prop_assert_eq!(settings.classes.len(), classes.len());
@@ -125,30 +130,30 @@
     Ok(())
 }
 
-/// What is wrong is one line, and not one that holds all of what was sent.
-fn check_error_text(words: &str) -> Result<(), TestCaseError> {
-    prop_assert!(!words.is_empty() && !words.contains(char::is_control), "{words:.300?}");
-    prop_assert!(words.len() <= 510, "{} bytes: {words:.300}", words.len());
+/// Checks that an error text is one line of limited length, which does not quote the whole input.
+fn check_error_text(text: &str) -> Result<(), TestCaseError> {
+    prop_assert!(!text.is_empty() && !text.contains(char::is_control), "{text:.300?}");
+    prop_assert!(text.len() <= 510, "{} bytes: {text:.300}", text.len());
     Ok(())
 }
 
 #[test]
-fn the_inputs_that_are_changed_below_are_valid() {
+fn unmodified_inputs_are_valid() {
     assert_eq!(endpoint_list::parse(&list()).expect("a list").backends.len(), 3);
     assert!(Site::read(&platform()["settings"]).is_ok());
     let loaded = load(platform().to_string().as_bytes(), Some(operator().to_string().as_bytes()));
     assert!(loaded.expect("a configuration").peers.is_some());
 }
 
-// A list's words go into the log with a name that somebody else chose.
+// Guards the log against names in an endpoint list, which are untrusted and quoted in error lines.
 #[test]
-fn a_name_that_is_quoted_stays_one_short_line() {
+fn quoted_names_are_escaped_and_truncated_to_one_line() {
     for name in ["x".repeat(100_000), "a\nb\u{1b}[2J".to_owned(), "\n".repeat(300), "ž".repeat(400)] {
         let mut value = list();
         value["instances"][0]["instanceId"] = json!(name);
         value["instances"][0]["lifecycle"] = json!("odd");
-        let words = endpoint_list::parse(&value).expect_err("no list").to_string();
-        assert!(!words.contains(char::is_control) && words.len() <= 510, "{words:.200?}");
+        let text = endpoint_list::parse(&value).expect_err("no list").to_string();
+        assert!(!text.contains(char::is_control) && text.len() <= 510, "{text:.200?}");
     }
 }
 
@@ -163,8 +168,8 @@
                 prop_assert_eq!(Some(read.generation), value["generation"].as_u64());
                 prop_assert_eq!(Some(read.is_snapshot), value["reset"].as_bool());
                 prop_assert_eq!(read.backends.len(), value["instances"].as_array().expect("a list").len());
-                for host in &read.backends {
-                    prop_assert!(host.state == EndpointState::Removed || host.address.is_some());
+                for backend in &read.backends {
+                    prop_assert!(backend.state == EndpointState::Removed || backend.address.is_some());
                 }
             }
             Err(error) => check_error_text(&error.to_string())?,
@@ -182,21 +187,21 @@
 
     #[test]
     fn a_malformed_configuration_is_read_or_rejected(
-        changes in prop::collection::vec(change(), 0..3), others in prop::collection::vec(change(), 0..3),
+        platform_changes in prop::collection::vec(change(), 0..3), operator_changes in prop::collection::vec(change(), 0..3),
     ) {
-        let (platform, operator) = (mutate(platform(), &changes), mutate(operator(), &others));
+        let (platform, operator) = (mutate(platform(), &platform_changes), mutate(operator(), &operator_changes));
         match load(platform.to_string().as_bytes(), Some(operator.to_string().as_bytes())) {
             Ok(config) => check(&config)?,
-            Err(words) => check_error_text(&words)?,
+            Err(text) => check_error_text(&text)?,
         }
     }
 
     #[test]
-    fn a_truncated_configuration_is_rejected(at in any::<prop::sample::Index>(), operators: bool) {
+    fn a_truncated_configuration_is_rejected(at in any::<prop::sample::Index>(), truncate_operator: bool) {
         let (mut platform, mut operator) = (platform().to_string().into_bytes(), operator().to_string().into_bytes());
-        let cut = if operators { &mut operator } else { &mut platform };
-        cut.truncate(at.index(cut.len()));
-        let words = load(&platform, Some(&operator)).err().expect("no configuration");
-        check_error_text(&words)?;
+        let truncated = if truncate_operator { &mut operator } else { &mut platform };
+        truncated.truncate(at.index(truncated.len()));
+        let text = load(&platform, Some(&operator)).err().expect("no configuration");
+        check_error_text(&text)?;
     }
 }
--- a/crates/settings/tests/error_lines.rs
+++ b/crates/settings/tests/error_lines.rs
@@ -1,5 +1,5 @@
-//! Every error line that the settings can produce, held to the byte: operators and their tools read them.
-//! `golden/error_lines.txt` has a line for each case, its name and the text.
+//! Compares the error lines of the settings byte for byte with `golden/error_lines.txt`, since operators and their tools
+//! read them. The file has one line per case, with its name and the error.
 
 mod examples;
 
@@ -9,9 +9,9 @@
 
 const GOLDEN: &str = include_str!("golden/error_lines.txt");
 
-/// Sets the value at a JSON pointer, adding a key that is not there; `None` takes the key away.
+/// Sets the value at a JSON pointer, adding a missing key; `None` removes the key.
 fn change(mut value: Value, pointer: &str, new: Option<Value>) -> Value {
-    let Some((parent, key)) = pointer.rsplit_once('/') else { return new.expect("a whole value") };
+    let Some((parent, key)) = pointer.rsplit_once('/') else { return new.expect("a value for the root") };
     match (value.pointer_mut(parent).expect("a parent"), new) {
         (Value::Object(fields), Some(new)) => drop(fields.insert(key.to_owned(), new)),
         (Value::Object(fields), None) => drop(fields.remove(key)),
@@ -21,23 +21,23 @@
     value
 }
 
-/// What `Config::load` says, with the files' names in place of their paths.
+/// Returns the error of `Config::load`, with placeholders in place of the files' paths.
 fn load_error(platform: &Value, operator: Option<&Value>) -> String {
     load_text_error(&platform.to_string(), operator.map(Value::to_string).as_deref())
 }
 
 fn load_text_error(platform: &str, operator: Option<&str>) -> String {
-    let platform = File::of(platform.as_bytes());
-    let operator = operator.map(|text| File::of(text.as_bytes()));
+    let platform = File::with_content(platform.as_bytes());
+    let operator = operator.map(|text| File::with_content(text.as_bytes()));
     let variable = |name: &str| (name == "RELAY_CONFIG").then(|| platform.path().to_owned());
     let error = Config::load(variable, operator.as_ref().map(File::path)).err().expect("no configuration");
     let text = error.to_string().replace(platform.path(), "PLATFORM");
     operator.map_or(text.clone(), |file| text.replace(file.path(), "OPERATOR"))
 }
 
-/// What `Config::load` says of an operator's file, where the file `beside` stands beside it and is named in it.
+/// Returns the error of `Config::load` for an operator's file that names another file with the content `beside`.
 fn error_with_file(change_operator: impl FnOnce(&str) -> Value, beside: &[u8]) -> String {
-    let beside = File::of(beside);
+    let beside = File::with_content(beside);
     load_error(&platform(), Some(&change_operator(beside.path()))).replace(beside.path(), "BESIDE")
 }
 
@@ -254,10 +254,10 @@
 }
 
 fn load_cases() -> Vec<(&'static str, String)> {
-    let unset = Config::load(|_| None, None).err().expect("no configuration").to_string();
+    let unset_variable = Config::load(|_| None, None).err().expect("no configuration").to_string();
     let absent = |name: &str| (name == "RELAY_CONFIG").then(|| "no-such-file".to_owned());
-    let absent = Config::load(absent, None).err().expect("no configuration").to_string();
-    let sound = platform().to_string();
+    let absent_file = Config::load(absent, None).err().expect("no configuration").to_string();
+    let valid_platform = platform().to_string();
     let long_name = change(list(), "/instances/0/instanceId", Some(json!("é".repeat(300))));
     let long_name = change(long_name, "/instances/0/lifecycle", None);
     let long_name = endpoint_list::parse(&long_name).expect_err("no list").to_string();
@@ -271,10 +271,10 @@
     nameless = change(nameless, "/fleet/name", None);
     let nameless_platform = change(platform(), "/name", None);
     vec![
-        ("RELAY_CONFIG is unset", unset),
-        ("the platform's file is absent", absent),
+        ("RELAY_CONFIG is unset", unset_variable),
+        ("the platform's file is absent", absent_file),
         ("the platform's file is no JSON", load_text_error("{", None)),
-        ("the operator's file is no JSON", load_text_error(&sound, Some("[1,"))),
+        ("the operator's file is no JSON", load_text_error(&valid_platform, Some("[1,"))),
         ("too many peers for the sockets", load_error(&few_sockets, Some(&many_peers))),
         ("too many peers for the memory", load_error(&little_memory, Some(&many_peers))),
         ("nobody names this instance", load_error(&nameless_platform, Some(&nameless))),
@@ -316,11 +316,11 @@
 }
 
 #[test]
-fn every_error_line_stays_as_it_is() {
+fn error_lines_match_the_golden_file() {
     let lines = all_lines();
     let golden: Vec<&str> = GOLDEN.lines().collect();
-    for (line, held) in lines.iter().zip(&golden) {
-        assert_eq!(line, held);
+    for (line, expected) in lines.iter().zip(&golden) {
+        assert_eq!(line, expected);
     }
     assert_eq!(lines.len(), golden.len(), "{:#?}", &lines[golden.len().min(lines.len())..]);
 }
--- a/crates/settings/tests/examples/mod.rs
+++ b/crates/settings/tests/examples/mod.rs
@@ -1,11 +1,11 @@
-//! Valid inputs that tests change, and files to hold them.
+//! Valid inputs, which the tests modify, and temporary files.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use serde_json::{json, Value};
 
-/// An endpoint list as discovery writes it.
+/// Returns an endpoint list in the format of discovery.
 pub fn list() -> Value {
     json!({"generation": 4, "reset": true, "instances": [
         {"instanceId": "é-1", "hostPort": "127.0.0.1:7070", "zone": "z", "machineType": "m", "cell": 0,
@@ -15,7 +15,7 @@
         {"instanceId": "three", "lifecycle": "left"}]})
 }
 
-/// The platform's file.
+/// Returns the content of a platform's file.
 pub fn platform() -> Value {
     let class = |name: &str, effect: &str| {
         json!({"Name": name, "AimUs": 900_000, "DeadlineUs": 2_000_000, "LateValue": 0.2, "Semantics": effect,
@@ -35,7 +35,7 @@
            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512}, "known": list(), "settings": settings})
 }
 
-/// An operator's file with all sections.
+/// Returns the content of an operator's file with all sections.
 pub fn operator() -> Value {
     json!({"flight": {"listen": "127.0.0.1:0", "hosts": ["x"], "ticket_s": 60, "token_s": 60},
            "phases": {"rule": {"share": 0.5}, "sketches": 10, "sketch_ms": 100},
@@ -45,23 +45,23 @@
            "log": {"format": "json"}})
 }
 
-/// A file of its own in the temporary folder.
+/// A uniquely named file in the temporary folder, removed on drop.
 pub struct File(PathBuf);
 
 impl File {
-    /// A file with this content.
-    pub fn of(text: &[u8]) -> Self {
+    /// Creates a file with this content.
+    pub fn with_content(content: &[u8]) -> Self {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
         let path =
             std::env::temp_dir().join(format!("mallowgauge-bad-input-{}-{number}", std::process::id()));
-        std::fs::write(&path, text).expect("a file in the temporary folder");
+        std::fs::write(&path, content).expect("a file in the temporary folder");
         Self(path)
     }
 
-    /// Its path.
+    /// Returns the path.
     pub fn path(&self) -> &str {
-        self.0.to_str().expect("text")
+        self.0.to_str().expect("a UTF-8 path")
     }
 }
 
