--- a/crates/edge/src/upstream/flight_connection.rs
+++ b/crates/edge/src/upstream/flight_connection.rs
@@ -160,7 +160,7 @@
         self.queue.retain(|attempts| !attempts.is_empty());
     }
 
-    /// Resets the stream. The silence timeout is not needed, since writing the reset shows whether the backend is alive.
+    /// Resets the stream. Ignores the silence timeout, since writing the reset shows whether the backend is alive.
     fn cancel(
         &mut self,
         now: Micros,
--- a/crates/edge/src/upstream/frame_connection.rs
+++ b/crates/edge/src/upstream/frame_connection.rs
@@ -21,7 +21,7 @@
 /// Size limit of the input buffer in bytes: one frame with its length field.
 const MAX_INPUT_BYTES: usize = frames::MAX_FRAME_BYTES + 4;
 
-/// Why a connection is closed because of what the backend sent; the text goes to the log.
+/// A protocol violation or an announced close, after which the connection is closed; the text goes to the log.
 #[derive(Debug, thiserror::Error)]
 enum ProtocolError {
     #[error(transparent)]
@@ -30,7 +30,7 @@
     UnknownPart,
     #[error("response to a health check that was not sent")]
     UnknownHealthCheck,
-    #[error("backend closes the connection")]
+    #[error("connection closed by the backend")]
     ClosedByBackend,
     #[error("unexpected bytes after a response")]
     SurplusBytes,
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -9,8 +9,8 @@
 //!  "fleet": {}, "log": {"format": "json"}}
 //! ```
 //!
-//! [`crate::PeerSettings`] reads the section `fleet`. `"hosts": "all"` stands for every backend. File names are relative
-//! to the folder of the operator's file.
+//! [`PeerSettings`] reads the section `fleet`. `"hosts": "all"` means every backend. File names are relative to the
+//! folder of the operator's file.
 
 use mallowgauge_core::two_phase::{Rule, SketchBounds};
 use mallowgauge_core::TwoPhaseSettings;
--- a/crates/settings/tests/bad_input.rs
+++ b/crates/settings/tests/bad_input.rs
@@ -187,7 +187,8 @@
 
     #[test]
     fn a_malformed_configuration_is_read_or_rejected(
-        platform_changes in prop::collection::vec(change(), 0..3), operator_changes in prop::collection::vec(change(), 0..3),
+        platform_changes in prop::collection::vec(change(), 0..3),
+        operator_changes in prop::collection::vec(change(), 0..3),
     ) {
         let (platform, operator) = (mutate(platform(), &platform_changes), mutate(operator(), &operator_changes));
         match load(platform.to_string().as_bytes(), Some(operator.to_string().as_bytes())) {
--- a/crates/settings/tests/error_lines.rs
+++ b/crates/settings/tests/error_lines.rs
@@ -1,5 +1,5 @@
-//! Compares the error lines of the settings byte for byte with `golden/error_lines.txt`, since operators and their tools
-//! read them. The file has one line per case, with its name and the error.
+//! Compares the error lines of the settings byte for byte with `golden/error_lines.txt`, since operators and their
+//! tools read them. The file has one line per case, with its name and the error.
 
 mod examples;
 
