--- a/crates/edge/src/front/flight/call.rs
+++ b/crates/edge/src/front/flight/call.rs
@@ -416,7 +416,7 @@
                     Ok(Some(pieces)) => self.outbound.push_front(OutboundItem::Pieces(pieces.into())),
                     Ok(None) => drop(self.outbound.pop_front()),
                     Err(reason) => {
-                        tracing::warn!("an answer could not be written: {reason}");
+                        tracing::warn!("response could not be encoded: {reason}");
                         let status = Status::new(Code::Internal, "the answer could not be written");
                         self.outbound.clear();
                         self.trailers = Some(status.trailers());
--- a/crates/edge/src/front/flight/connection.rs
+++ b/crates/edge/src/front/flight/connection.rs
@@ -124,7 +124,7 @@
             match handshake.as_mut().poll(context) {
                 Poll::Pending => return true,
                 Poll::Ready(Err(e)) => {
-                    tracing::debug!("client speaks no HTTP/2: {e}");
+                    tracing::debug!("client does not speak HTTP/2: {e}");
                     return false;
                 }
                 Poll::Ready(Ok(connection)) => self.state = State::Up(Box::new(connection)),
--- a/crates/edge/src/front/flight/mod.rs
+++ b/crates/edge/src/front/flight/mod.rs
@@ -168,11 +168,11 @@
         let id = self.service.next_id();
         let stream = match Stream::from_accepted(handle, socket, SocketKind::FlightClient.token(id)) {
             Ok(stream) => Rc::new(stream),
-            Err(e) => return tracing::warn!("connection not taken: {e}"),
+            Err(e) => return tracing::warn!("accepted client connection failed: {e}"),
         };
         let session = match self.acceptor.as_ref().map(Acceptor::accept).transpose() {
             Ok(session) => session,
-            Err(e) => return tracing::warn!("connection not taken: {e}"),
+            Err(e) => return tracing::warn!("accepted client connection failed: {e}"),
         };
         let (wire, _) = Http2Socket::new(Rc::clone(&stream), session.map(tls::Session::Server));
         let limits = self.service.admission.limits();
--- a/crates/edge/src/front/flight/service.rs
+++ b/crates/edge/src/front/flight/service.rs
@@ -36,7 +36,7 @@
 pub fn random<const N: usize>() -> [u8; N] {
     let mut bytes = [0; N];
     if let Err(e) = getrandom::fill(&mut bytes) {
-        tracing::error!("no random numbers: {e}");
+        tracing::error!("system random numbers unavailable: {e}");
     }
     bytes
 }
--- a/crates/edge/src/front/http.rs
+++ b/crates/edge/src/front/http.rs
@@ -1,5 +1,5 @@
-//! The HTTP frontend: the connections of clients on the platform's protocol, and which of them gives way where there
-//! is no room for another.
+//! The HTTP frontend: client connections that speak the platform's protocol, and the policy that chooses which
+//! connection to close when the connection limit is reached.
 
 mod connection;
 mod routes;
@@ -16,23 +16,24 @@
 use crate::lifecycle::Phase;
 use crate::token::SocketKind;
 
-pub use self::connection::LARGEST;
+pub use self::connection::MAX_INPUT_PER_CONNECTION;
 
-/// A client's first request follows its connection at once: with no room left, one that has sent nothing for longer
-/// than this, in microseconds, may be closed.
-const FIRST_BYTES_TIMEOUT: Micros = 50_000;
-/// A connection that had an answer within so many microseconds does not give way to a crowd of new ones.
-const RECENTLY_USED: Micros = 2_000_000;
+/// At the connection limit, a connection without a complete request this long after it was opened may be closed, in
+/// microseconds. Clients send their first request as soon as they are connected.
+const FIRST_REQUEST_GRACE: Micros = 50_000;
+/// How long after its last response a connection counts as recently used, in microseconds. A burst of new connections
+/// does not evict such connections.
+const RECENT_USE_PERIOD: Micros = 2_000_000;
 
-/// Which connections give way first, in this order.
+/// The order in which connections are evicted, first variant first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Eviction {
-    /// Has had its last answer.
+enum EvictionOrder {
+    /// Its last response has been written; the server waits for the client to close.
     Lingering,
     /// Kept alive, and not used recently.
-    IdleForLong,
-    /// Has sent nothing, or no complete request, since it was opened.
-    SilentSinceOpened,
+    LongIdle,
+    /// Has sent no complete request since it was opened.
+    NoRequestYet,
     /// Kept alive, and used recently.
     RecentlyUsed,
 }
@@ -42,16 +43,16 @@
     connections: BTreeMap<u64, Connection>,
     next_id: u64,
     max_connections: usize,
-    /// Where the process is between start and exit.
+    /// The lifecycle phase of the process.
     phase: Phase,
-    /// Connections that have more to read.
+    /// Connections whose sockets may have more input.
     more_to_read: Vec<u64>,
-    /// Requests answered with a status of 4xx so far.
-    bad_requests: u64,
+    /// Requests so far that got a 4xx status.
+    malformed_requests: u64,
 }
 
 impl HttpFrontend {
-    /// A frontend for at most `max_connections`.
+    /// Creates a frontend for at most `max_connections` connections.
     #[must_use]
     pub fn new(max_connections: usize) -> Self {
         Self {
@@ -60,18 +61,20 @@
             max_connections,
             phase: Phase::Starting,
             more_to_read: Vec::new(),
-            bad_requests: 0,
+            malformed_requests: 0,
         }
     }
 
-    /// Whether one more connection fits; where there is no room, others are closed in the order of `Eviction`.
+    /// Makes capacity for one more connection, closing others in the order of `EvictionOrder`. Returns whether there
+    /// is capacity.
     ///
-    /// At most a quarter of the places are kept for idle connections, the newest: clients that ask once and stay
-    /// would else use up what the platform's proxy lets through to one instance, long before it is full here.
-    pub fn has_room(&mut self, now: Micros, core: &mut Core) -> bool {
+    /// At most a quarter of the connections may be idle; beyond that the one idle for longest is closed. Otherwise
+    /// clients that send one query and keep their connection would exhaust the number of connections that the
+    /// platform's proxy opens to one instance, long before the limit here is reached.
+    pub fn ensure_capacity(&mut self, now: Micros, core: &mut Core) -> bool {
         let idle = self.connections.iter().filter(|(_, connection)| connection.is_kept_alive());
         if idle.clone().count() > self.max_connections / 4 {
-            if let Some(id) = idle.min_by_key(|(_, connection)| connection.since).map(|(&id, _)| id) {
+            if let Some(id) = idle.min_by_key(|(_, connection)| connection.waiting_since).map(|(&id, _)| id) {
                 self.evict(now, id, core);
             }
         }
@@ -82,41 +85,42 @@
         true
     }
 
-    /// The connection that gives way first; of those of one rank, the one that has waited longest.
+    /// Returns the connection to evict next: the first in eviction order, and among equals the one that has waited
+    /// longest.
     fn eviction_candidate(&self, now: Micros) -> Option<u64> {
-        // While many are too new to tell a crowd from clients whose request is on its way, those that were used
-        // recently stay, and others wait to be accepted.
-        let is_fresh = |c: &&Connection| c.is_new && c.since + FIRST_BYTES_TIMEOUT > now;
-        let crowded = self.connections.values().filter(is_fresh).count() > self.max_connections / 4;
-        let rank = |c: &Connection| {
-            let age = now.saturating_sub(c.since);
+        // While many connections are so new that their first request may still be in transit, recently used ones are
+        // kept and further clients wait to be accepted.
+        let is_fresh = |c: &&Connection| c.is_new && c.waiting_since + FIRST_REQUEST_GRACE > now;
+        let many_fresh = self.connections.values().filter(is_fresh).count() > self.max_connections / 4;
+        let order = |c: &Connection| {
+            let age = now.saturating_sub(c.waiting_since);
             match c.state {
-                State::Lingering => Some(Eviction::Lingering),
+                State::Lingering => Some(EvictionOrder::Lingering),
                 _ if c.has_output() => None,
                 State::Idle | State::ReadingBody(..) if c.is_new => {
-                    (age >= FIRST_BYTES_TIMEOUT).then_some(Eviction::SilentSinceOpened)
+                    (age >= FIRST_REQUEST_GRACE).then_some(EvictionOrder::NoRequestYet)
                 }
                 State::Idle if c.has_input() => None,
-                State::Idle if age >= RECENTLY_USED => Some(Eviction::IdleForLong),
-                State::Idle if !crowded => Some(Eviction::RecentlyUsed),
+                State::Idle if age >= RECENT_USE_PERIOD => Some(EvictionOrder::LongIdle),
+                State::Idle if !many_fresh => Some(EvictionOrder::RecentlyUsed),
                 _ => None,
             }
         };
-        let ranked = self.connections.iter().filter_map(|(&id, c)| Some((rank(c)?, c.since, id)));
+        let ranked = self.connections.iter().filter_map(|(&id, c)| Some((order(c)?, c.waiting_since, id)));
         ranked.min().map(|(_, _, id)| id)
     }
 
-    /// Closes a connection after a last look for a request, which may have come in the same moment.
+    /// Closes a connection unless a last read finds a request, which may have arrived in the meantime.
     fn evict(&mut self, now: Micros, id: u64, core: &mut Core) {
         self.handle_ready(now, id, core);
-        if !self.connections.get(&id).is_some_and(Connection::owes_answer) {
+        if !self.connections.get(&id).is_some_and(Connection::owes_response) {
             self.linger(now, id, core);
             self.connections.remove(&id);
         }
     }
 
-    /// Tells a client that nothing more will be written, and only then reads what it has sent until then: a request
-    /// among that was not answered, and its client sends it again elsewhere.
+    /// Starts a lingering close: shuts down the write side first, and then reads and drops the input. A request in that
+    /// input gets no response, so its client can send it again on another connection.
     fn linger(&mut self, now: Micros, id: u64, core: &mut Core) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.linger(now);
@@ -124,28 +128,28 @@
         }
     }
 
-    /// Takes an accepted connection.
+    /// Starts serving an accepted connection.
     pub fn accept(&mut self, now: Micros, handle: &Handle, socket: TcpStream) {
         let id = self.next_id;
         self.next_id += 1;
         match Stream::from_accepted(handle, socket, SocketKind::HttpClient.token(id)) {
             Ok(stream) => _ = self.connections.insert(id, Connection::new(stream, now)),
-            Err(error) => tracing::warn!("connection not taken: {error}"),
+            Err(error) => tracing::warn!("accepted client connection failed: {error}"),
         }
     }
 
-    /// A connection's socket is ready.
+    /// Handles readiness of a connection's socket.
     pub fn handle_ready(&mut self, now: Micros, id: u64, core: &mut Core) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let progress = connection.handle_ready(now, id, core, self.phase);
-        let bad_requests = std::mem::take(&mut connection.bad_requests);
-        let awaits_answer = matches!(connection.state, State::AwaitingAnswer);
-        self.count_bad_requests(bad_requests.count, bad_requests.last_status);
+        let malformed_requests = std::mem::take(&mut connection.malformed_requests);
+        let awaits_response = matches!(connection.state, State::AwaitingResponse);
+        self.count_malformed_requests(malformed_requests.count, malformed_requests.last_status);
         match progress {
             Progress::Blocked => {}
             Progress::MoreToRead => self.more_to_read.push(id),
             Progress::Closed => {
-                if awaits_answer {
+                if awaits_response {
                     core.client_disconnected(ResponseHandle::Http(id));
                 }
                 self.connections.remove(&id);
@@ -153,37 +157,40 @@
         }
     }
 
-    /// Each doubling of the number of bad requests is worth a line of the log, so that nobody can fill it.
-    fn count_bad_requests(&mut self, count: u64, last_status: u16) {
-        let before = self.bad_requests;
-        self.bad_requests += count;
-        if before.checked_ilog2() != self.bad_requests.checked_ilog2() {
-            tracing::warn!("bad requests: {} so far, the last was answered {last_status}", self.bad_requests);
+    /// Counts malformed requests. Logs only when their number has doubled, so that a client cannot flood the log.
+    fn count_malformed_requests(&mut self, count: u64, last_status: u16) {
+        let before = self.malformed_requests;
+        self.malformed_requests += count;
+        if before.checked_ilog2() != self.malformed_requests.checked_ilog2() {
+            tracing::warn!(
+                "malformed requests: {} so far, the last got status {last_status}",
+                self.malformed_requests
+            );
         }
     }
 
-    /// The core has answered a client's query.
+    /// Sends the core's response to a client's query.
     pub fn respond(&mut self, now: Micros, id: u64, response: &QueryResponse, core: &mut Core) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.respond(now, response, self.phase);
-        // What the client sent ahead is read now: the socket will not be said to be ready for it again.
+        // Pipelined input is read now: the socket reports no further readiness for bytes that have already arrived.
         self.handle_ready(now, id, core);
     }
 
-    /// Whether any client is still connected. Each wait for one is bounded, and while the process finishes those
-    /// that are idle are not waited for.
+    /// Returns whether any client is still connected. Every wait for a client is bounded, and idle clients are not waited
+    /// for in [`Phase::Finishing`].
     #[must_use]
     pub fn is_busy(&self) -> bool {
         !self.connections.is_empty()
     }
 
-    /// The phase of the process has changed. While it drains, connections stay open: a client that is sent away
-    /// before the platform's proxy knows of another instance has nowhere to go.
+    /// Sets the lifecycle phase of the process. Connections stay open while it drains: a client that is disconnected
+    /// before the platform's proxy knows another instance has nowhere to connect to.
     pub fn set_phase(&mut self, phase: Phase) {
         self.phase = phase;
     }
 
-    /// When the first client has kept its connection waiting for too long; at once if there is more to read.
+    /// Returns when the first client timeout is due; 0 if there is more input to read.
     #[must_use]
     pub fn poll_timeout(&self) -> Option<Micros> {
         if !self.more_to_read.is_empty() {
@@ -192,8 +199,8 @@
         self.connections.values().filter_map(|connection| connection.deadline(self.phase)).min()
     }
 
-    /// Goes on where there is more to read, and ends connections whose clients have kept them waiting for too long,
-    /// after a last look at what they have sent.
+    /// Continues connections that have more input, and closes those whose client has timed out, after a last read of
+    /// their input.
     pub fn handle_timeout(&mut self, now: Micros, core: &mut Core) {
         for id in std::mem::take(&mut self.more_to_read) {
             self.handle_ready(now, id, core);
@@ -209,7 +216,7 @@
             };
             if connection.is_idle() {
                 self.linger(now, id, core);
-            } else if connection.request_begun && !connection.has_output() {
+            } else if connection.request_started && !connection.has_output() {
                 connection.reject_input(now, MessageError::RequestTimeout);
                 self.handle_ready(now, id, core);
             } else {
--- a/crates/edge/src/front/http/connection.rs
+++ b/crates/edge/src/front/http/connection.rs
@@ -1,6 +1,7 @@
-//! One connection of an HTTP client: its requests come one after the other, each answered before the next is read.
+//! One connection of an HTTP client. Requests are handled one after the other: each is answered before the next is
+//! read.
 //!
-//! No wait for a client is without bound: see [`Connection::deadline`].
+//! Every wait for the client is bounded, see [`Connection::deadline`].
 
 use mallowgauge_core::{Core, QueryResponse, ResponseHandle};
 use mallowgauge_net::{ReadEnd, Stream};
@@ -10,77 +11,80 @@
 use crate::front::http1::{self, BodyReader, MessageError, RequestHead};
 use crate::lifecycle::Phase;
 
-/// Most bytes of input held: a whole head fits, and of a body what has come is taken off at once.
-const LONGEST_INPUT: usize = http1::LONGEST_HEAD;
-/// Most bytes of input held while the client waits for its answer: the end of what it sends, by which it leaves, is
-/// seen behind one more request of the largest size. A client that sends more is cut off.
-const LONGEST_INPUT_AHEAD: usize = LONGEST_INPUT + http1::LONGEST_BODY;
-/// The most bytes that a connection holds of what its client sent: a head or what was read last, and a body; or what
-/// was sent ahead of an answer.
-pub const LARGEST: usize = LONGEST_INPUT_AHEAD;
+/// Maximum buffered input, in bytes: a whole head fits, and body bytes are consumed as they arrive.
+const MAX_INPUT: usize = http1::MAX_HEAD_BYTES;
+/// Maximum buffered input while the client waits for its response, in bytes. One pipelined request of maximum size fits,
+/// so that the end of the stream behind it is noticed and the client counts as disconnected. A client that sends more is
+/// rejected.
+const MAX_PIPELINED_INPUT: usize = MAX_INPUT + http1::MAX_REQUEST_BODY_BYTES;
+/// Maximum memory for one client's input, in bytes: a head or the last read, and a body; or input pipelined behind a
+/// query.
+pub const MAX_INPUT_PER_CONNECTION: usize = MAX_PIPELINED_INPUT;
 
-/// How long a request may take, from when its connection was opened or its first bytes came, in microseconds.
+/// How long receiving a request may take, in microseconds: from when the connection was opened for the first request,
+/// from its first bytes for later ones.
 const REQUEST_TIMEOUT: Micros = 2_000_000;
-/// How long a client may take nothing of its answer, in microseconds.
-const ANSWER_TIMEOUT: Micros = 10_000_000;
-/// How long a connection is kept without another request, in microseconds.
-const KEEP_ALIVE: Micros = 10_000_000;
-/// How long, in microseconds, and how much, in bytes, a client may go on sending after its last answer.
+/// How long a client may read nothing of its response, in microseconds.
+const RESPONSE_STALL_TIMEOUT: Micros = 10_000_000;
+/// How long an idle connection is kept open, in microseconds.
+const KEEP_ALIVE_TIMEOUT: Micros = 10_000_000;
+/// How long a client may continue to send after its last response, in microseconds.
 const LINGER_TIMEOUT: Micros = 500_000;
+/// How many bytes a client may send after its last response.
 const LINGER_BYTES: usize = 256 * 1024;
-/// How long a first request is waited for while the process finishes, in microseconds.
-const FIRST_REQUEST_WHILE_FINISHING: Micros = 250_000;
-/// Reads of one client in a row before other connections get their turn.
-const READS_IN_A_ROW: usize = 16;
+/// How long to wait for a first request in [`Phase::Finishing`], in microseconds.
+const FIRST_REQUEST_TIMEOUT_FINISHING: Micros = 250_000;
+/// Consecutive reads from one client before other connections are served.
+const MAX_CONSECUTIVE_READS: usize = 16;
 
 #[derive(Debug)]
 pub(super) enum State {
-    /// Waits for a request, or for the rest of its head.
+    /// Waiting for a request, or for the rest of its head.
     Idle,
     /// The head is complete, the body is not.
     ReadingBody(Box<RequestHead>, BodyReader),
-    /// The core has the query.
-    AwaitingAnswer,
-    /// The last answer is being written.
+    /// The query was submitted to the core.
+    AwaitingResponse,
+    /// The last response is being written.
     Closing,
-    /// Nothing more is written, and the client has been told so; what it still sends is dropped until it closes too.
-    /// A close over unread bytes would reset the connection and could take the answer with it.
+    /// The write side is shut down; input is dropped until the client closes too. Closing a socket with unread input
+    /// would reset the connection, and the client could lose the response.
     Lingering,
 }
 
-/// How a connection goes on.
+/// The result of driving a connection.
 pub(super) enum Progress {
-    /// The socket has nothing more, or takes nothing more.
+    /// The socket has no more input, or accepts no more output.
     Blocked,
-    /// There is more to read; other connections come first.
+    /// There may be more input; other connections are served first.
     MoreToRead,
-    /// The connection is over.
+    /// The connection has ended.
     Closed,
 }
 
-/// Requests that were answered with a status of 4xx.
+/// Counts requests that got a 4xx status.
 #[derive(Default)]
-pub(super) struct BadRequests {
+pub(super) struct MalformedRequests {
     pub(super) count: u64,
     pub(super) last_status: u16,
 }
 
 pub(super) struct Connection {
     pub(super) state: State,
-    /// No request of this client has become complete yet.
+    /// No complete request has been received yet.
     pub(super) is_new: bool,
-    /// A part of a request has come.
-    pub(super) request_begun: bool,
-    /// When the present wait for the client began.
-    pub(super) since: Micros,
-    /// Since they were last taken.
-    pub(super) bad_requests: BadRequests,
+    /// Part of a request has been received.
+    pub(super) request_started: bool,
+    /// When the current wait for the client started.
+    pub(super) waiting_since: Micros,
+    /// Those not yet collected by the frontend.
+    pub(super) malformed_requests: MalformedRequests,
     stream: Stream,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// The connection closes after this answer.
+    /// The connection closes after the current response.
     close: bool,
-    /// So many bytes after the last answer are still dropped.
+    /// How many more bytes after the last response are read and dropped.
     linger_bytes: usize,
 }
 
@@ -89,9 +93,9 @@
         Self {
             state: State::Idle,
             is_new: true,
-            request_begun: false,
-            since: now,
-            bad_requests: BadRequests::default(),
+            request_started: false,
+            waiting_since: now,
+            malformed_requests: MalformedRequests::default(),
             stream,
             input: Vec::new(),
             output: Vec::new(),
@@ -100,130 +104,130 @@
         }
     }
 
-    /// It has had an answer, and nothing of another request has come.
+    /// Returns whether the connection is idle after at least one request.
     pub(super) fn is_kept_alive(&self) -> bool {
         self.is_idle() && !self.is_new
     }
 
-    /// Nothing of a request has come, and no answer is owed.
+    /// Returns whether no part of a request has been received and no response is pending.
     pub(super) fn is_idle(&self) -> bool {
         matches!(self.state, State::Idle) && !self.has_input() && !self.has_output()
     }
 
-    /// Something of the client's waits to be read.
+    /// Returns whether there is buffered input.
     pub(super) fn has_input(&self) -> bool {
         !self.input.is_empty()
     }
 
-    /// Something of an answer waits to be written.
+    /// Returns whether there is buffered output.
     pub(super) fn has_output(&self) -> bool {
         !self.output.is_empty()
     }
 
-    /// The client waits for an answer, or for the rest of one.
-    pub(super) fn owes_answer(&self) -> bool {
-        matches!(self.state, State::AwaitingAnswer) || self.has_output()
+    /// Returns whether the client waits for a response, or for the rest of one.
+    pub(super) fn owes_response(&self) -> bool {
+        matches!(self.state, State::AwaitingResponse) || self.has_output()
     }
 
-    /// When the client has kept the connection waiting for too long; `None` while it is the client that waits.
+    /// Returns when the wait for the client times out; `None` while the client waits for the server.
     pub(super) fn deadline(&self, phase: Phase) -> Option<Micros> {
         let timeout = match self.state {
-            State::AwaitingAnswer => return None,
+            State::AwaitingResponse => return None,
             State::Lingering => LINGER_TIMEOUT,
-            _ if self.has_output() => ANSWER_TIMEOUT,
-            State::Idle if !self.request_begun && phase == Phase::Finishing => match self.is_new {
-                true => FIRST_REQUEST_WHILE_FINISHING,
+            _ if self.has_output() => RESPONSE_STALL_TIMEOUT,
+            State::Idle if !self.request_started && phase == Phase::Finishing => match self.is_new {
+                true => FIRST_REQUEST_TIMEOUT_FINISHING,
                 false => 0,
             },
-            State::Idle if !self.request_begun && !self.is_new => KEEP_ALIVE,
+            State::Idle if !self.request_started && !self.is_new => KEEP_ALIVE_TIMEOUT,
             _ => REQUEST_TIMEOUT,
         };
-        Some(self.since + timeout)
+        Some(self.waiting_since + timeout)
     }
 
-    /// Whether the client has kept the connection waiting for too long.
+    /// Returns whether the client has timed out.
     pub(super) fn is_overdue(&self, now: Micros, phase: Phase) -> bool {
         self.deadline(phase).is_some_and(|at| at <= now)
     }
 
-    /// Tells the client that nothing more will be written.
+    /// Shuts down the write side; from now on input is dropped.
     pub(super) fn linger(&mut self, now: Micros) {
         self.stream.shutdown_write();
         self.state = State::Lingering;
-        self.since = now;
-        self.request_begun = false;
+        self.waiting_since = now;
+        self.request_started = false;
     }
 
-    /// Reads and writes as far as the socket lets it, within [`READS_IN_A_ROW`].
+    /// Reads and writes until the socket blocks, with at most [`MAX_CONSECUTIVE_READS`] reads.
     pub(super) fn handle_ready(&mut self, now: Micros, id: u64, core: &mut Core, phase: Phase) -> Progress {
-        for _ in 0..READS_IN_A_ROW {
+        for _ in 0..MAX_CONSECUTIVE_READS {
             if !self.flush(now) {
                 return Progress::Closed;
             }
-            let awaits_answer = matches!(self.state, State::AwaitingAnswer);
-            let limit = if awaits_answer { LONGEST_INPUT_AHEAD } else { LONGEST_INPUT };
+            let awaits_response = matches!(self.state, State::AwaitingResponse);
+            let limit = if awaits_response { MAX_PIPELINED_INPUT } else { MAX_INPUT };
             let end = self.stream.read(&mut self.input, limit);
-            if awaits_answer && end == ReadEnd::Full {
+            if awaits_response && end == ReadEnd::Full {
                 core.client_disconnected(ResponseHandle::Http(id));
-                self.reject_input(now, MessageError::TooMuchAhead);
+                self.reject_input(now, MessageError::TooMuchPipelinedInput);
                 continue;
             }
-            let Some(advanced) = self.handle_input(now, id, core, phase) else { return Progress::Closed };
+            let Some(consumed) = self.handle_input(now, id, core, phase) else { return Progress::Closed };
             if end.is_over() {
                 return Progress::Closed;
             }
-            if end == ReadEnd::Blocked || !advanced {
+            if end == ReadEnd::Blocked || !consumed {
                 return Progress::Blocked;
             }
         }
         Progress::MoreToRead
     }
 
-    /// Takes what has come; whether anything was taken, or `None` when the connection is over.
+    /// Processes the buffered input. Returns whether any of it was consumed, or `None` when the connection has ended.
     fn handle_input(&mut self, now: Micros, id: u64, core: &mut Core, phase: Phase) -> Option<bool> {
         let length = self.input.len();
         if matches!(self.state, State::Lingering) {
             self.linger_bytes = self.linger_bytes.checked_sub(length)?;
             self.input.clear();
         }
-        let mut advanced = false;
-        // A client that does not take its answers gets no more of them.
+        let mut consumed = false;
+        // While a client does not read its responses, its next requests are not handled.
         while matches!(self.state, State::Idle | State::ReadingBody(..)) && !self.has_output() {
             match self.read_request(now, id, core, phase) {
-                Ok(true) => advanced = true,
+                Ok(true) => consumed = true,
                 Ok(false) => break,
                 Err(error) => {
                     self.reject_input(now, error);
-                    advanced = true;
+                    consumed = true;
                 }
             }
             if !self.flush(now) {
                 return None;
             }
         }
-        advanced |= self.input.len() < length;
-        self.note_request_begun(now);
+        consumed |= self.input.len() < length;
+        self.track_request_start(now);
         if self.input.is_empty() {
-            // Idle clients hold no buffers.
+            // Idle connections hold no buffers.
             self.input = Vec::new();
         }
-        Some(advanced)
+        Some(consumed)
     }
 
-    /// The time for a request runs from its first bytes; the time for the first request from the connection's start.
-    fn note_request_begun(&mut self, now: Micros) {
-        let begun = match self.state {
+    /// Starts the request timeout at the first bytes of a request. For the first request it starts with the connection.
+    fn track_request_start(&mut self, now: Micros) {
+        let started = match self.state {
             State::ReadingBody(..) => true,
             State::Idle => self.has_input(),
-            State::AwaitingAnswer | State::Closing | State::Lingering => false,
+            State::AwaitingResponse | State::Closing | State::Lingering => false,
         };
-        if begun && !self.request_begun && !self.is_new {
-            self.since = now;
+        if started && !self.request_started && !self.is_new {
+            self.waiting_since = now;
         }
-        self.request_begun = begun;
+        self.request_started = started;
     }
 
-    /// Takes the next piece of a request; `false` when more has to come first.
+    /// Reads the next piece of a request; `false` if more input is needed first.
     fn read_request(
         &mut self,
         now: Micros,
@@ -243,9 +247,10 @@
             State::ReadingBody(_, body) => {
                 let Some(body) = body.take(&mut self.input)? else { return Ok(false) };
                 self.is_new = false;
-                if let State::ReadingBody(head, _) = std::mem::replace(&mut self.state, State::AwaitingAnswer)
+                if let State::ReadingBody(head, _) =
+                    std::mem::replace(&mut self.state, State::AwaitingResponse)
                 {
-                    // Who asks for the health has nothing more to ask, and the place is wanted.
+                    // A health check is its client's only request: closing frees the connection for other clients.
                     self.close = head.close || head.path == HEALTH_PATH;
                     if let Err(reply) = route(now, id, &head, &body, core, phase) {
                         self.reply(now, &reply, phase);
@@ -253,57 +258,62 @@
                 }
                 Ok(true)
             }
-            State::AwaitingAnswer | State::Closing | State::Lingering => Ok(false),
+            State::AwaitingResponse | State::Closing | State::Lingering => Ok(false),
         }
     }
 
-    /// The core has answered the query.
+    /// Queues the core's response to the query.
     pub(super) fn respond(&mut self, now: Micros, response: &QueryResponse, phase: Phase) {
-        if matches!(self.state, State::AwaitingAnswer) {
+        if matches!(self.state, State::AwaitingResponse) {
             self.reply(now, &render(response), phase);
         }
     }
 
     fn reply(&mut self, now: Micros, reply: &Reply, phase: Phase) {
-        self.count_bad_request(reply.status);
+        self.count_malformed_request(reply.status);
         let close = self.close || phase == Phase::Finishing;
-        self.output.extend(http1::write(reply.status, &reply.headers, &reply.body, close));
+        self.output.extend(http1::encode_response(reply.status, &reply.headers, &reply.body, close));
         self.state = if close { State::Closing } else { State::Idle };
-        self.since = now;
+        self.waiting_since = now;
     }
 
-    fn count_bad_request(&mut self, status: u16) {
+    fn count_malformed_request(&mut self, status: u16) {
         if (400..500).contains(&status) {
-            self.bad_requests.count += 1;
-            self.bad_requests.last_status = status;
+            self.malformed_requests.count += 1;
+            self.malformed_requests.last_status = status;
         }
     }
 
-    /// Where the next request begins is unknown, so nothing more is read from this client.
+    /// Rejects malformed input. The start of the next request is unknown then, so nothing more is read from this client.
     pub(super) fn reject_input(&mut self, now: Micros, error: MessageError) {
-        tracing::debug!("bad request: {error}");
-        self.count_bad_request(error.status());
-        self.output.extend(http1::write(error.status(), &[], &error_body(&error.to_string()), true));
+        tracing::debug!("malformed request: {error}");
+        self.count_malformed_request(error.status());
+        self.output.extend(http1::encode_response(
+            error.status(),
+            &[],
+            &error_body(&error.to_string()),
+            true,
+        ));
         self.state = State::Closing;
-        self.request_begun = false;
-        self.since = now;
+        self.request_started = false;
+        self.waiting_since = now;
         self.input = Vec::new();
     }
 
-    /// Writes what the socket takes; `false` when the connection is over.
+    /// Writes as much output as the socket accepts; `false` when the connection has ended.
     fn flush(&mut self, now: Micros) -> bool {
         if self.has_output() {
             match self.stream.write(&self.output) {
                 Ok(0) => {}
                 Ok(written) => {
                     self.output.drain(..written);
-                    self.since = now;
+                    self.waiting_since = now;
                 }
                 Err(_) => return false,
             }
         }
         if !self.has_output() {
-            // Idle clients hold no buffers.
+            // Idle connections hold no buffers.
             self.output = Vec::new();
             if matches!(self.state, State::Closing) {
                 self.linger(now);
--- a/crates/edge/src/front/http/routes.rs
+++ b/crates/edge/src/front/http/routes.rs
@@ -1,5 +1,4 @@
-//! What a request asks for: the health of the process, or an answer to a query. And what the HTTP wire makes of a
-//! final answer.
+//! Routes requests to the health check or to the core, and renders final responses as HTTP.
 
 use mallowgauge_core::{Core, Failure, QueryRequest, QueryResponse, ResponseHandle};
 use mallowgauge_router::Micros;
@@ -9,12 +8,12 @@
 use crate::front::query::{self, QueryError, QueryMetadata};
 use crate::lifecycle::Phase;
 
-/// Where the platform's proxy asks whether the process takes queries.
+/// Path of the health check: the platform's proxy polls it to learn whether this instance accepts queries.
 pub(super) const HEALTH_PATH: &str = "/healthz";
-/// Where queries go.
+/// Path that queries are posted to.
 const QUERY_PATH: &str = "/api";
 
-/// An answer that is yet to be written.
+/// An HTTP response before it is encoded.
 pub(super) struct Reply {
     pub(super) status: u16,
     pub(super) headers: Vec<(&'static str, String)>,
@@ -31,27 +30,27 @@
     }
 }
 
-/// The body of an answer that says what is wrong.
+/// Returns the body of an error response.
 pub(super) fn error_body(message: &str) -> String {
     json!({ "error": message }).to_string()
 }
 
-/// What is wrong with a query. Clients see the text.
+/// Why a query is invalid. Clients see the text.
 #[derive(Debug, thiserror::Error)]
 enum RequestError {
     #[error("Req-Id is missing or odd")]
-    Id,
+    InvalidId,
     #[error("the class is unknown")]
-    Class,
+    UnknownClass,
     #[error("Req-Deadline-Ms is missing or odd")]
-    Deadline,
+    InvalidDeadline,
     #[error("the body is not JSON")]
     BodyNotJson,
     #[error(transparent)]
     Query(#[from] QueryError),
 }
 
-/// Answers a request at once, by `Err`, or hands its query to the core.
+/// Submits the query of a request to the core. An `Err` is an immediate response.
 pub(super) fn route(
     now: Micros,
     connection: u64,
@@ -91,10 +90,11 @@
 }
 
 fn read_query(head: &RequestHead, body: &[u8], core: &Core) -> Result<QueryRequest, RequestError> {
-    let id = head.header("req-id").filter(|id| query::is_valid_id(id)).ok_or(RequestError::Id)?;
-    let class = head.header("req-kind").and_then(|name| core.class_id(name)).ok_or(RequestError::Class)?;
+    let id = head.header("req-id").filter(|id| query::is_valid_id(id)).ok_or(RequestError::InvalidId)?;
+    let class =
+        head.header("req-kind").and_then(|name| core.class_id(name)).ok_or(RequestError::UnknownClass)?;
     let digits = head.header("req-deadline-ms").filter(|ms| ms.bytes().all(|byte| byte.is_ascii_digit()));
-    let milliseconds = digits.and_then(|ms| ms.parse::<u32>().ok()).ok_or(RequestError::Deadline)?;
+    let milliseconds = digits.and_then(|ms| ms.parse::<u32>().ok()).ok_or(RequestError::InvalidDeadline)?;
     let expires_in = Micros::from(milliseconds) * 1000;
     let retry = head.header("req-retry") == Some("1");
     let body: Value = serde_json::from_slice(body).map_err(|_| RequestError::BodyNotJson)?;
@@ -102,13 +102,13 @@
     Ok(query::parse(metadata, &body)?)
 }
 
-/// What the HTTP wire makes of a final answer.
+/// Renders a final response as HTTP.
 pub(super) fn render(response: &QueryResponse) -> Reply {
     match response {
         QueryResponse::Completed { complete, values } => match query::write_values(*complete, values) {
             Ok(body) => Reply::new(200, body.to_string()),
             Err(error) => {
-                tracing::warn!("an answer could not be written: {error}");
+                tracing::warn!("response could not be encoded: {error}");
                 Reply::error(500, "the answer could not be written")
             }
         },
--- a/crates/edge/src/front/http1.rs
+++ b/crates/edge/src/front/http1.rs
@@ -1,18 +1,18 @@
-//! HTTP/1.1 messages on top of httparse: heads, bodies with a length or in chunks. Bytes in, messages out.
+//! HTTP/1.1 messages on top of httparse: heads, and bodies that are chunked or have a length. Does no I/O.
 
 use httparse::Status;
 
-/// Longest head of a message, in bytes.
-pub const LONGEST_HEAD: usize = 16 * 1024;
-/// Longest body of a request, in bytes.
-pub const LONGEST_BODY: usize = 64 * 1024;
-/// Most header lines of a message.
-const MOST_HEADERS: usize = 64;
-/// Longest line that opens a chunk, and longest trailer, in bytes.
-const LONGEST_CHUNK_LINE: usize = 1024;
+/// Maximum size of a message's head, in bytes.
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Maximum size of a request's body, in bytes.
+pub const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
+/// Maximum number of a message's header lines.
+const MAX_HEADERS: usize = 64;
+/// Maximum length of a chunk-size line and of a trailer line, in bytes.
+const MAX_CHUNK_LINE_BYTES: usize = 1024;
 
-/// Why a message cannot be taken. Where it ends is unknown then, so nothing more can be read from its connection.
-/// Clients see the text in the body of the answer.
+/// Why a message is rejected. The end of the message is unknown then, so nothing more can be read from its connection.
+/// Clients see the text in the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
     /// The head of a request is malformed.
@@ -21,34 +21,34 @@
     /// The head of a response is malformed or too large.
     #[error("the head of the response makes no sense")]
     MalformedResponseHead,
-    /// The head is longer than [`LONGEST_HEAD`], or has too many lines.
+    /// The head is longer than [`MAX_HEAD_BYTES`], or has too many header lines.
     #[error("the head is too large")]
     HeadTooLarge,
-    /// The value of a header is not UTF-8.
+    /// A header value is not UTF-8.
     #[error("a header is not text")]
     HeaderNotText,
-    /// The body has a length and chunks, or a coding that is not known.
+    /// The body has both a length and a transfer coding, or an unsupported transfer coding.
     #[error("the framing of the body is ambiguous")]
     AmbiguousFraming,
-    /// The length of the body is no number, or two.
+    /// The length of the body is not a number, or is given twice with different values.
     #[error("the length of the body makes no sense")]
     MalformedLength,
-    /// The body is longer than it may be.
+    /// The body exceeds its size limit.
     #[error("the body is too large")]
     BodyTooLarge,
     /// The chunks of the body are malformed.
     #[error("the chunks of the body make no sense")]
     MalformedChunks,
-    /// The request was not complete in time.
+    /// The request was not received completely in time.
     #[error("the request did not come in time")]
     RequestTimeout,
-    /// A client sent too much while it waited for an answer.
+    /// The client sent too much input while it waited for a response.
     #[error("too much came ahead of an answer")]
-    TooMuchAhead,
+    TooMuchPipelinedInput,
 }
 
 impl MessageError {
-    /// The status of the answer that says so.
+    /// Returns the status of the response to such a message.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
@@ -59,7 +59,7 @@
             | Self::MalformedLength
             | Self::MalformedChunks => 400,
             Self::RequestTimeout => 408,
-            Self::BodyTooLarge | Self::TooMuchAhead => 413,
+            Self::BodyTooLarge | Self::TooMuchPipelinedInput => 413,
             Self::HeadTooLarge => 431,
         }
     }
@@ -68,20 +68,20 @@
 /// The head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The method.
+    /// The request method.
     pub method: String,
-    /// The path, without its query.
+    /// The path, without the query string.
     pub path: String,
-    /// Header lines, names in lower case.
+    /// Header names, in lower case, and values.
     pub headers: Vec<(String, String)>,
-    /// Whether the client wants the connection closed afterwards.
+    /// Whether the connection closes after the response.
     pub close: bool,
     /// Whether the client waits for `100 Continue`.
     pub expects_continue: bool,
 }
 
 impl RequestHead {
-    /// The value of a header that is given once.
+    /// Returns the value of a header; `None` if it is absent or given more than once.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut found = self.headers.iter().filter(|(key, _)| key == name);
@@ -90,49 +90,49 @@
     }
 }
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
-    /// By its length.
+    /// By the length of the body.
     Length,
-    /// By a chunk of no bytes.
+    /// By a chunk of size zero.
     Chunks,
-    /// That chunk has come: by the empty line after the trailers.
+    /// By the empty line after the trailers; the chunk of size zero has been read.
     Trailers,
 }
 
-/// Reads a body as its bytes come.
+/// Reads a body incrementally.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BodyReader {
     framing: Framing,
-    /// Bytes that are still to come, of the body or of the present chunk.
+    /// Bytes still expected of the body, or of the current chunk.
     remaining: usize,
-    /// Most bytes of the body.
+    /// Maximum size of the body, in bytes.
     limit: usize,
     data: Vec<u8>,
 }
 
-/// The values of a header that is a list.
-fn list<'a>(headers: &'a [(String, String)], name: &'a str) -> impl Iterator<Item = &'a str> {
+/// Returns the values of a comma-separated header.
+fn list_values<'a>(headers: &'a [(String, String)], name: &'a str) -> impl Iterator<Item = &'a str> {
     let lines = headers.iter().filter(move |(key, _)| key == name);
     lines.flat_map(|(_, value)| value.split(',')).map(str::trim)
 }
 
 impl BodyReader {
-    /// Reads the body that these headers announce.
+    /// Creates a reader for the body that these headers describe.
     fn new(headers: &[(String, String)], limit: usize) -> Result<Self, MessageError> {
-        let mut lengths = list(headers, "content-length").peekable();
+        let mut lengths = list_values(headers, "content-length").peekable();
         let has_coding = headers.iter().any(|(key, _)| key == "transfer-encoding");
         let (mut framing, mut remaining) = (Framing::Length, 0);
         if has_coding {
-            let mut codings = list(headers, "transfer-encoding");
+            let mut codings = list_values(headers, "transfer-encoding");
             let chunked = codings.next().is_some_and(|coding| coding.eq_ignore_ascii_case("chunked"));
             if lengths.peek().is_some() || !chunked || codings.next().is_some() {
                 return Err(MessageError::AmbiguousFraming);
             }
             framing = Framing::Chunks;
         } else if let Some(first) = lengths.next() {
-            // A sign or blank would be accepted by some readers and not by others.
+            // Parsers differ in whether they accept a sign or a space, so neither is accepted.
             if lengths.any(|other| other != first) || !first.bytes().all(|byte| byte.is_ascii_digit()) {
                 return Err(MessageError::MalformedLength);
             }
@@ -144,7 +144,7 @@
         Ok(Self { framing, remaining, limit, data: Vec::new() })
     }
 
-    /// Takes what has come off `input`; `Some` once the body is complete.
+    /// Consumes the body's bytes from `input`; `Some` once the body is complete.
     ///
     /// # Errors
     /// The body is malformed or too large.
@@ -155,7 +155,7 @@
         Ok(complete?.then(|| std::mem::take(&mut self.data)))
     }
 
-    /// Reads on from `input[*used..]`; `true` once the body is complete.
+    /// Continues reading at `input[*used..]`; `true` once the body is complete.
     fn advance(&mut self, input: &[u8], used: &mut usize) -> Result<bool, MessageError> {
         loop {
             *used += self.take_data(&input[*used..]);
@@ -165,11 +165,11 @@
             let rest = &input[*used..];
             match self.framing {
                 Framing::Length => return Ok(true),
-                Framing::Chunks => match self.open_chunk(rest)? {
+                Framing::Chunks => match self.read_chunk_size(rest)? {
                     Some(line) => *used += line,
                     None => return Ok(false),
                 },
-                Framing::Trailers => match trailer(rest)? {
+                Framing::Trailers => match trailer_length(rest)? {
                     Some(length) => {
                         *used += length + 2;
                         if length == 0 {
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Takes bytes of the body, and says how many.
+    /// Consumes bytes of the body, and returns their number.
     fn take_data(&mut self, input: &[u8]) -> usize {
         let length = self.remaining.min(input.len());
         self.data.extend_from_slice(&input[..length]);
@@ -190,16 +190,16 @@
         length
     }
 
-    /// Reads the line that opens a chunk, with the line break after the chunk before; how many bytes that were, or
-    /// `None` while they are not all there.
-    fn open_chunk(&mut self, rest: &[u8]) -> Result<Option<usize>, MessageError> {
+    /// Reads a chunk-size line, together with the line break behind the previous chunk. Returns the number of bytes read,
+    /// or `None` while the line is incomplete.
+    fn read_chunk_size(&mut self, rest: &[u8]) -> Result<Option<usize>, MessageError> {
         let skip = if self.data.is_empty() { 0 } else { 2 };
         if skip > 0 && !b"\r\n".starts_with(&rest[..rest.len().min(2)]) {
             return Err(MessageError::MalformedChunks);
         }
         let line = rest.get(skip..).unwrap_or_default();
         match httparse::parse_chunk_size(line) {
-            Ok(Status::Complete((length, size))) if length <= LONGEST_CHUNK_LINE => {
+            Ok(Status::Complete((length, size))) if length <= MAX_CHUNK_LINE_BYTES => {
                 self.remaining = usize::try_from(size).unwrap_or(usize::MAX);
                 if self.remaining > self.limit - self.data.len() {
                     return Err(MessageError::BodyTooLarge);
@@ -209,20 +209,20 @@
                 }
                 Ok(Some(skip + length))
             }
-            Ok(Status::Partial) if line.len() < LONGEST_CHUNK_LINE => Ok(None),
+            Ok(Status::Partial) if line.len() < MAX_CHUNK_LINE_BYTES => Ok(None),
             _ => Err(MessageError::MalformedChunks),
         }
     }
 }
 
-/// The length of the trailer line that comes first, without its line break; `None` while it is not all there.
-fn trailer(rest: &[u8]) -> Result<Option<usize>, MessageError> {
+/// Returns the length of the first trailer line, without its line break; `None` while the line is incomplete.
+fn trailer_length(rest: &[u8]) -> Result<Option<usize>, MessageError> {
     let Some(length) = rest.windows(2).position(|pair| pair == b"\r\n") else {
-        // The first half of its line break may be there already.
-        let too_long = rest.len() > LONGEST_CHUNK_LINE + 1;
+        // One more byte than the limit is allowed: it may be the first half of the line break.
+        let too_long = rest.len() > MAX_CHUNK_LINE_BYTES + 1;
         return if too_long { Err(MessageError::MalformedChunks) } else { Ok(None) };
     };
-    if length > LONGEST_CHUNK_LINE {
+    if length > MAX_CHUNK_LINE_BYTES {
         return Err(MessageError::MalformedChunks);
     }
     Ok(Some(length))
@@ -236,16 +236,17 @@
     headers.iter().map(line).collect()
 }
 
-/// Takes the head of a request off `input`, with the reader of its body; `None` while it is not complete.
+/// Consumes the head of a request from `input`, and returns it with a reader for the body; `None` while the head is
+/// incomplete.
 ///
 /// # Errors
 /// The head is malformed or too large.
 pub fn read_request(input: &mut Vec<u8>) -> Result<Option<(RequestHead, BodyReader)>, MessageError> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     let used = match parsed.parse(input) {
-        Ok(Status::Complete(used)) if used <= LONGEST_HEAD => used,
-        Ok(Status::Partial) if input.len() < LONGEST_HEAD => return Ok(None),
+        Ok(Status::Complete(used)) if used <= MAX_HEAD_BYTES => used,
+        Ok(Status::Partial) if input.len() < MAX_HEAD_BYTES => return Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(MessageError::HeadTooLarge),
         Err(_) => return Err(MessageError::MalformedHead),
     };
@@ -253,10 +254,10 @@
     let (method, version) = (parsed.method.unwrap_or_default().to_owned(), parsed.version.unwrap_or(0));
     let path = target.split('?').next().unwrap_or_default().to_owned();
     let headers = header_lines(parsed.headers)?;
-    let has = |name, token: &str| list(&headers, name).any(|t| t.eq_ignore_ascii_case(token));
+    let has = |name, token: &str| list_values(&headers, name).any(|t| t.eq_ignore_ascii_case(token));
     let close = has("connection", "close") || (version == 0 && !has("connection", "keep-alive"));
     let expects_continue = has("expect", "100-continue");
-    let body = BodyReader::new(&headers, LONGEST_BODY)?;
+    let body = BodyReader::new(&headers, MAX_REQUEST_BODY_BYTES)?;
     input.drain(..used);
     Ok(Some((RequestHead { method, path, headers, close, expects_continue }, body)))
 }
@@ -264,43 +265,43 @@
 /// The head of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// Its status.
+    /// The status code.
     pub status: u16,
     /// Whether the connection ends with this response.
     pub close: bool,
-    /// The body has no length: it ends with the connection, and only where that ends cleanly.
+    /// The body has no length: it extends to the end of the connection, which has to be a clean one.
     pub until_close: bool,
 }
 
 /// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
     /// Whether the connection ends with this response.
     pub close: bool,
 }
 
-/// Reads a response as its bytes come: each is read once, however small the pieces are.
+/// Reads a response incrementally. Each byte is parsed once, however small the pieces are that arrive.
 #[derive(Debug)]
 pub struct ResponseReader {
-    /// Once the head is complete.
+    /// The head and the body's reader, once the head is complete.
     head: Option<(ResponseHead, BodyReader)>,
-    /// Most bytes of the body.
+    /// Maximum size of the body, in bytes.
     limit: usize,
 }
 
 impl ResponseReader {
-    /// Takes bodies of at most `limit` bytes.
+    /// Creates a reader for a response whose body has at most `limit` bytes.
     #[must_use]
     pub fn new(limit: usize) -> Self {
         Self { head: None, limit }
     }
 
-    /// Takes what has come off `input`; `Some` once the response is complete. `ended` says that the other side has
-    /// ended the connection cleanly: a reset is no end.
+    /// Consumes bytes from `input`; `Some` once the response is complete. `ended` states that the other side has closed
+    /// the connection cleanly, not by a reset.
     ///
     /// # Errors
     /// The response is malformed or too large.
@@ -321,22 +322,22 @@
     }
 }
 
-/// Takes the head of a response off `input`; `None` while it is not complete.
+/// Consumes the head of a response from `input`; `None` while it is incomplete.
 fn read_response_head(
     input: &mut Vec<u8>,
     limit: usize,
 ) -> Result<Option<(ResponseHead, BodyReader)>, MessageError> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
     let used = match parsed.parse(input) {
-        Ok(Status::Complete(used)) if used <= LONGEST_HEAD => used,
-        Ok(Status::Partial) if input.len() < LONGEST_HEAD => return Ok(None),
+        Ok(Status::Complete(used)) if used <= MAX_HEAD_BYTES => used,
+        Ok(Status::Partial) if input.len() < MAX_HEAD_BYTES => return Ok(None),
         _ => return Err(MessageError::MalformedResponseHead),
     };
     let (status, version) = (parsed.code.unwrap_or(0), parsed.version.unwrap_or(0));
     let headers = header_lines(parsed.headers)?;
     let framed = |name: &str| headers.iter().any(|(key, _)| key == name);
-    let has = |token: &str| list(&headers, "connection").any(|t| t.eq_ignore_ascii_case(token));
+    let has = |token: &str| list_values(&headers, "connection").any(|t| t.eq_ignore_ascii_case(token));
     let close = has("close") || (version == 0 && !has("keep-alive"));
     let until_close = !framed("content-length") && !framed("transfer-encoding") && status != 204;
     let body = BodyReader::new(&headers, limit)?;
@@ -344,8 +345,8 @@
     Ok(Some((ResponseHead { status, close, until_close }, body)))
 }
 
-/// Reads a response from all that has come of it; `None` while it is not complete. `ended` says that the other side
-/// has ended the connection cleanly.
+/// Reads a response from all bytes received so far; `None` while it is incomplete. `ended` states that the other side
+/// has closed the connection cleanly.
 ///
 /// # Errors
 /// The response is malformed.
@@ -353,8 +354,8 @@
     ResponseReader::new(usize::MAX).take(&mut input.to_vec(), ended)
 }
 
-/// The reason phrase of a status.
-fn reason(status: u16) -> &'static str {
+/// Returns the reason phrase of a status code.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -370,11 +371,11 @@
     }
 }
 
-/// Writes a response: JSON if the body begins as an object does, or else plain text.
+/// Encodes a response. Its type is JSON if the body starts with `{`, otherwise plain text.
 #[must_use]
-pub fn write(status: u16, headers: &[(&str, String)], body: &str, close: bool) -> Vec<u8> {
+pub fn encode_response(status: u16, headers: &[(&str, String)], body: &str, close: bool) -> Vec<u8> {
     let kind = if body.starts_with('{') { "application/json" } else { "text/plain" };
-    let mut out = format!("HTTP/1.1 {status} {}\r\nContent-Type: {kind}\r\n", reason(status));
+    let mut out = format!("HTTP/1.1 {status} {}\r\nContent-Type: {kind}\r\n", reason_phrase(status));
     for (name, value) in headers {
         out.push_str(&format!("{name}: {value}\r\n"));
     }
--- a/crates/edge/src/front/mod.rs
+++ b/crates/edge/src/front/mod.rs
@@ -1,4 +1,5 @@
-//! The fronts: each turns its wire's requests into typed queries and final answers back into its wire.
+//! The frontends. Each translates the requests of its protocol into typed queries, and final responses back into its
+//! protocol.
 
 pub mod flight;
 pub mod http;
--- a/crates/edge/src/server/accept.rs
+++ b/crates/edge/src/server/accept.rs
@@ -114,7 +114,7 @@
     pub(super) fn accept_http(&mut self) {
         loop {
             let now = self.clock.now();
-            if !self.http.has_room(now, &mut self.core) {
+            if !self.http.ensure_capacity(now, &mut self.core) {
                 return self.listeners.pause(now, &"no room for another connection");
             }
             let Some(socket) = self.listeners.accept(now, Frontend::Http) else { return };
--- a/crates/edge/src/server/resources.rs
+++ b/crates/edge/src/server/resources.rs
@@ -39,7 +39,7 @@
             descriptors,
             memory: memory_without_flight,
             backends,
-            bytes_per_client: http::LARGEST,
+            bytes_per_client: http::MAX_INPUT_PER_CONNECTION,
         });
         if uses_flight {
             let most = memory_without_flight / 4 / BYTES_PER_FLIGHT_BACKEND;
--- a/crates/edge/tests/bad_input.rs
+++ b/crates/edge/tests/bad_input.rs
@@ -200,8 +200,8 @@
         prop_assert_eq!(whole.seen(), cut.seen());
         let piece = sizes.iter().max().copied().unwrap_or(0);
         // What is held beside the body: a head, or a line of a chunk.
-        prop_assert!(cut.bad || cut.most <= http1::LONGEST_HEAD + piece, "{} held", cut.most);
-        prop_assert!(cut.read.iter().all(|(_, body)| body.len() <= http1::LONGEST_BODY));
+        prop_assert!(cut.bad || cut.most <= http1::MAX_HEAD_BYTES + piece, "{} held", cut.most);
+        prop_assert!(cut.read.iter().all(|(_, body)| body.len() <= http1::MAX_REQUEST_BODY_BYTES));
     }
 
     #[test]
--- a/crates/mallowgauge/tests/client_crossings.rs
+++ b/crates/mallowgauge/tests/client_crossings.rs
@@ -391,7 +391,7 @@
         assert!(client.response().is_some_and(|(status, _)| status == [400, 404][i % 2]));
     }
     serves(&rig, &mut host, "other");
-    rig.expect_log("bad requests: 64 so far");
+    rig.expect_log("malformed requests: 64 so far");
     let log = rig.program.log.lock().expect("a sound lock");
-    assert_eq!(log.iter().filter(|line| line.contains("bad requests: ")).count(), 7, "{log:#?}");
+    assert_eq!(log.iter().filter(|line| line.contains("malformed requests: ")).count(), 7, "{log:#?}");
 }
