--- a/crates/edge/src/front/flight/auth.rs
+++ b/crates/edge/src/front/flight/auth.rs
@@ -1,4 +1,4 @@
-//! Who calls: users with passwords from the operator's settings, tokens that stand for them, and cookies that name a
+//! Authentication: users with passwords from the operator's settings, bearer tokens, and cookies that identify a
 //! session.
 
 use std::collections::BTreeMap;
@@ -13,10 +13,10 @@
 use mallowgauge_flight::seal::{self, Key, Token};
 use mallowgauge_router::Micros;
 
-/// The cookie that names a session, as Flight's clients keep it.
+/// The name of the session cookie, as Flight defines it.
 pub const COOKIE: &str = "arrow_flight_session_id";
 
-/// Who calls.
+/// The identity of a caller.
 #[derive(Clone, Debug, Default)]
 pub struct Identity {
     /// The user; empty where no users are configured.
@@ -46,7 +46,8 @@
         return Credentials::Token(Vec::new());
     }
     match text("auth-token-bin") {
-        // Binary lines are base64 on the wire; the token within is the text that the handshake gave.
+        // Binary headers are base64-encoded on the wire. The token inside is the base64 text that the handshake
+        // returned.
         Some(line) => {
             let token =
                 decode_base64(line).and_then(|inner| decode_base64(std::str::from_utf8(&inner).ok()?));
@@ -71,7 +72,7 @@
     u128::from_str_radix(value, 16).ok().map(SessionId)
 }
 
-/// The users that may call, and the key of their tokens.
+/// Authenticates users, and issues their tokens.
 pub struct Authenticator {
     users: Option<BTreeMap<String, String>>,
     key: Key,
@@ -79,26 +80,26 @@
 }
 
 impl Authenticator {
-    /// An authenticator for these users; with `None` everybody may call. `life`: how long a token is valid, in
+    /// Creates an authenticator for these users; with `None` no credentials are required. `token_lifetime` is in
     /// microseconds.
-    pub fn new(users: Option<BTreeMap<String, String>>, key: Key, life: Micros) -> Self {
-        Self { users, key, token_lifetime: life }
+    pub fn new(users: Option<BTreeMap<String, String>>, key: Key, token_lifetime: Micros) -> Self {
+        Self { users, key, token_lifetime }
     }
 
-    /// Replaces the users; tokens of users that are removed are no longer valid.
+    /// Replaces the users. Tokens of removed users are no longer valid.
     pub fn replace_users(&mut self, users: Option<BTreeMap<String, String>>) {
         self.users = users;
     }
 
-    /// Whether callers have to present credentials.
+    /// Returns whether callers have to be authenticated.
     pub fn is_required(&self) -> bool {
         self.users.is_some()
     }
 
-    /// Who a call is from.
+    /// Identifies the caller by the headers of a call.
     ///
     /// # Errors
-    /// `UNAUTHENTICATED`, or `RESOURCE_EXHAUSTED` where too many passwords are being checked.
+    /// `UNAUTHENTICATED` without valid credentials; `RESOURCE_EXHAUSTED` if too many passwords are being checked.
     pub fn identify(
         &self,
         now: Micros,
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Checks a password, at the rate that admission allows.
+    /// Checks a password. Admission limits the rate of checks.
     ///
     /// # Errors
     /// As [`Authenticator::identify`].
@@ -149,9 +150,10 @@
         admission.admit_handshake(now).map_err(|full| {
             Status::new(Code::ResourceExhausted, full.message).because("HANDSHAKES").retry(full.retry_after)
         })?;
-        // An unknown user takes as long as a wrong password.
-        let nobody = || users.values().next().map_or("", String::as_str);
-        let line = users.get(name).map_or_else(nobody, String::as_str);
+        // An unknown user is checked against any user's hash, so that the response time does not reveal which users
+        // exist.
+        let any_hash = || users.values().next().map_or("", String::as_str);
+        let line = users.get(name).map_or_else(any_hash, String::as_str);
         let fits = seal::password_fits(line, password);
         if fits && users.contains_key(name) {
             Ok(name.into())
@@ -160,7 +162,7 @@
         }
     }
 
-    /// A token for a user, as it stands in a header.
+    /// Issues a token for a user, encoded for a header.
     pub fn issue_token(&self, now: Micros, user: &str, session: u128) -> String {
         let token = Token {
             user: user.to_owned(),
--- a/crates/edge/src/front/flight/batch_driver.rs
+++ b/crates/edge/src/front/flight/batch_driver.rs
@@ -1,6 +1,6 @@
-//! Drives a call that carries many queries: reads them, begins those that may begin, and cancels.
+//! Drives a call that carries many queries: reads, starts and cancels them.
 //!
-//! How many may be open at once, and when the stream is over, is decided in `mallowgauge_core::query_stream`.
+//! `mallowgauge_core::query_stream` decides how many may be open at once, and when the stream ends.
 
 use std::rc::Rc;
 use std::task::Context;
@@ -8,24 +8,24 @@
 use mallowgauge_core::polled_queries::{
     CancelResult, PolledQueryKey, PolledQuerySpec, RejectReason, RunId, WaiterId,
 };
-use mallowgauge_core::query_stream::{QueryStreamPhase, QueryStreamRejection as BatchError};
+use mallowgauge_core::query_stream::{QueryStreamPhase, QueryStreamRejection};
 use mallowgauge_core::{Core, ResponseHandle};
 use mallowgauge_flight::grpc::{Code, Status};
 use mallowgauge_router::Micros;
 use serde_json::Value;
 
 use super::batch_stream::BatchMessage;
-use super::call::{Call, CallState, Read};
+use super::call::{Call, CallState, ReadResult};
 use super::command::Command;
 use super::service::FlightService;
 use super::status::{draining, rejection_status};
 use super::submission::SubmitResult;
 
-/// Stands for the query of a tag until the query has been submitted.
+/// The waiter of a tag whose query has not been submitted yet.
 const NOT_SUBMITTED: WaiterId = WaiterId(0);
 
 impl Call {
-    /// Reads messages off a batch stream and begins the queries that may begin.
+    /// Reads messages from a batch stream, and starts queries as far as the stream's limits allow.
     ///
     /// # Errors
     /// The status that the stream has to end with.
@@ -39,11 +39,11 @@
     ) -> Result<(), Status> {
         loop {
             let CallState::BatchStream(stream) = &mut self.state else { return Ok(()) };
-            if stream.can_begin() {
+            if stream.can_start() {
                 let Some(message) = stream.queue.pop_front() else { return Ok(()) };
                 match message {
                     BatchMessage::Query(tag, value) => {
-                        self.begin_query(now, id, tag, value, service, core)?;
+                        self.start_query(now, id, tag, value, service, core)?;
                     }
                     BatchMessage::Cancel(tag) => self.cancel_query(now, &tag, service, core),
                 }
@@ -53,12 +53,12 @@
                 break;
             }
             match self.read(now, context)? {
-                Read::Pending => break,
-                Read::Message(message) => {
+                ReadResult::Pending => break,
+                ReadResult::Message(message) => {
                     let CallState::BatchStream(stream) = &mut self.state else { return Ok(()) };
                     stream.receive(message)?;
                 }
-                Read::End => {
+                ReadResult::End => {
                     let CallState::BatchStream(stream) = &mut self.state else { return Ok(()) };
                     stream.input_ended();
                     break;
@@ -73,7 +73,8 @@
         Ok(())
     }
 
-    /// Cancels the query of a tag. One that may have been executed and is not idempotent goes on: its outcome will come.
+    /// Cancels the query of a tag. A non-idempotent query that was possibly executed continues, and its outcome will
+    /// be delivered.
     fn cancel_query(&mut self, now: Micros, tag: &String, service: &mut FlightService, core: &mut Core) {
         let user = Rc::clone(&self.head.identity.user);
         let CallState::BatchStream(stream) = &mut self.state else { return };
@@ -91,11 +92,11 @@
         }
     }
 
-    /// Begins one query of a batch stream. A query that cannot begin is answered under its tag.
+    /// Starts one query of a batch stream. If it cannot start, the error is sent under its tag.
     ///
     /// # Errors
-    /// The tag stands for an open query: the stream ends.
-    fn begin_query(
+    /// The tag belongs to an open query, which ends the stream.
+    fn start_query(
         &mut self,
         now: Micros,
         call: u64,
@@ -105,14 +106,14 @@
         core: &mut Core,
     ) -> Result<(), Status> {
         let CallState::BatchStream(stream) = &mut self.state else { return Ok(()) };
-        // The tag is taken first, so that its answer finds it.
+        // The tag is registered before the query is submitted, because the outcome may be known at once.
         match stream.batch.begin(tag.clone(), NOT_SUBMITTED) {
             Ok(()) => {}
-            Err(BatchError::TagInUse) => {
+            Err(QueryStreamRejection::TagInUse) => {
                 let status = Status::new(Code::AlreadyExists, "the tag stands for an open query");
                 return Err(status.because("TAG_IN_USE"));
             }
-            Err(BatchError::Closed) => {
+            Err(QueryStreamRejection::Closed) => {
                 self.deliver(now, &tag, "", Err(draining()), service, core);
                 return Ok(());
             }
@@ -151,10 +152,10 @@
         let request = command.request(self.remaining_time(now), self.head.options.timeout, core)?;
         let user = Rc::clone(&self.head.identity.user);
         let key = PolledQueryKey { user, id: command.id.as_str().into() };
-        let effect = !core.is_idempotent(command.class);
+        let non_idempotent = !core.is_idempotent(command.class);
         let spec = PolledQuerySpec {
             request_hash: command.fingerprint(),
-            non_idempotent: effect,
+            non_idempotent,
             polled: false,
             ticket_created_at: None,
         };
--- a/crates/edge/src/front/flight/batch_stream.rs
+++ b/crates/edge/src/front/flight/batch_stream.rs
@@ -1,6 +1,6 @@
-//! Batch streams: `DoPut`, a table of queries with one result a row, and `DoExchange`, queries and answers in any
-//! order, each with a tag. Which queries may begin, and when the stream is over, is decided in
-//! `mallowgauge_core::query_stream`.
+//! Batch streams: `DoPut` carries a table of queries and returns one result per row; `DoExchange` carries tagged
+//! queries and responses in any order. `mallowgauge_core::query_stream` decides which queries may start, and when the
+//! stream ends.
 
 use std::collections::VecDeque;
 
@@ -18,16 +18,18 @@
 
 use super::status::invalid_argument;
 
-/// No more queries are read while more bytes of answers than this wait for the client.
+/// No more queries are read while more bytes of responses than this wait to be sent.
 const RESPONSE_BACKLOG_BYTES: usize = 256 * 1024;
-/// Bound, in bytes, on a client's columns after decompression.
+/// Maximum size of a client's columns after decompression, in bytes.
 const MAX_INFLATED_BYTES: usize = 4 * 1024 * 1024;
-/// Bound, in bytes, on a client's dictionaries.
+/// Maximum size of a client's dictionaries, in bytes.
 const MAX_DICTIONARY_BYTES: usize = 512 * 1024;
-/// Most rows of one record batch of queries.
+/// Maximum number of rows of one record batch of queries.
 const MAX_BATCH_ROWS: u64 = 4096;
+/// Maximum length of a query's tag, in bytes.
+const MAX_TAG_BYTES: usize = 64;
 
-/// Which method the stream belongs to.
+/// The method of a batch stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchKind {
     /// `DoPut`.
@@ -36,7 +38,7 @@
     Exchange,
 }
 
-/// A message of a client on a batch stream.
+/// A client's message on a batch stream.
 #[derive(Clone, Debug)]
 pub enum BatchMessage {
     /// A query with its tag.
@@ -47,17 +49,17 @@
 
 /// The state of a batch stream.
 pub struct BatchStream {
-    /// Which method the stream belongs to.
+    /// The method of the stream.
     pub kind: BatchKind,
-    /// The queries that are open.
+    /// The open queries, by tag.
     pub batch: QueryStream<String, WaiterId>,
-    /// What was read and has not begun yet, of one message at most.
+    /// Queries and cancellations that were read but not started; those of one message at most.
     pub queue: VecDeque<BatchMessage>,
-    /// The schema that the client has been sent; one stream carries one schema.
+    /// The schema that was sent to the client; a stream carries one schema only.
     pub sent_schema: Option<Bytes>,
-    /// The status that the stream ends with once all is answered, if it is not `OK`.
+    /// The status that the stream ends with once all queries are answered; `None` stands for `OK`.
     pub final_status: Option<Status>,
-    /// Fields of the descriptor's command; they apply to every query that does not set them.
+    /// Fields of the descriptor's command: the defaults for fields that a query does not set.
     defaults: Map<String, Value>,
     started: bool,
     columns: Collector,
@@ -66,10 +68,10 @@
 }
 
 impl BatchStream {
-    /// A stream on which nothing has been received.
-    pub fn new(form: BatchKind, limits: &StreamLimits) -> Self {
+    /// Creates a stream on which nothing has been received.
+    pub fn new(kind: BatchKind, limits: &StreamLimits) -> Self {
         Self {
-            kind: form,
+            kind,
             batch: QueryStream::new(QueryStreamLimits {
                 window: limits.queries_per_stream,
                 backlog: RESPONSE_BACKLOG_BYTES,
@@ -85,27 +87,27 @@
         }
     }
 
-    /// Whether the next message may be read.
+    /// Returns whether the next message may be read.
     pub fn can_read(&self) -> bool {
         self.queue.is_empty() && self.batch.may_read()
     }
 
-    /// Whether something that was read may begin.
-    pub fn can_begin(&self) -> bool {
+    /// Returns whether a queued query or cancellation may start.
+    pub fn can_start(&self) -> bool {
         !self.queue.is_empty() && (self.batch.may_read() || self.batch.phase() != QueryStreamPhase::Open)
     }
 
-    /// The client sends nothing more.
+    /// Records that the client has ended its side of the stream.
     pub fn input_ended(&mut self) {
         if self.queue.is_empty() {
             self.batch.half_close();
         }
     }
 
-    /// Takes a message of the client.
+    /// Queues the queries of a client's message.
     ///
     /// # Errors
-    /// The message is malformed, or exceeds a bound.
+    /// The message is malformed, or exceeds a limit.
     pub fn receive(&mut self, message: Bytes) -> Result<(), Status> {
         let mut data = FlightData::decode(message).map_err(|_| invalid_argument("this is no FlightData"))?;
         if let Some(descriptor) = data.flight_descriptor.take() {
@@ -134,7 +136,7 @@
         }
     }
 
-    /// A query or a cancellation in metadata.
+    /// Queues a query or a cancellation that was sent as metadata.
     fn receive_metadata(&mut self, fields: Map<String, Value>) -> Result<(), Status> {
         if let Some(tag) = fields.get("cancel") {
             let tag = tag.as_str().ok_or_else(|| invalid_argument("the tag to cancel is no text"))?;
@@ -142,7 +144,7 @@
             return Ok(());
         }
         let tag = match fields.get("tag") {
-            Some(Value::String(tag)) if tag.len() <= 64 => tag.clone(),
+            Some(Value::String(tag)) if tag.len() <= MAX_TAG_BYTES => tag.clone(),
             None => {
                 self.next_row += 1;
                 (self.next_row - 1).to_string()
@@ -155,23 +157,23 @@
     }
 
     fn with_defaults(&self, fields: Map<String, Value>) -> Value {
-        let mut all = self.defaults.clone();
-        all.extend(fields);
-        Value::Object(all)
+        let mut merged = self.defaults.clone();
+        merged.extend(fields);
+        Value::Object(merged)
     }
 
-    /// Takes a piece of a table; each row of it is a query.
+    /// Reads a schema, dictionary or record batch. Each row of a record batch is a query.
     fn receive_columns(&mut self, data: FlightData) -> Result<(), Status> {
-        let schema = self.columns.is_empty();
+        let is_schema = self.columns.is_empty();
         let header = data.data_header.clone();
         self.columns
             .take(data)
             .map_err(|reason| invalid_argument(format!("the table makes no sense: {reason}")))?;
-        if schema {
+        if is_schema {
             self.received_schema = header;
             return Ok(());
         }
-        // Dictionaries are kept for later record batches; a record batch is dropped once its rows are queries.
+        // Dictionaries are kept for later record batches; a record batch is dropped once its rows are queued.
         let (messages, rows) = self.columns.take_batch();
         if self.columns.bytes() > MAX_DICTIONARY_BYTES {
             return Err(invalid_argument("dictionaries that are too large"));
@@ -180,9 +182,9 @@
         if rows > MAX_BATCH_ROWS {
             return Err(invalid_argument("too many rows in one batch"));
         }
-        let text = rows_of(&self.received_schema, &messages)
+        let queries = parse_rows(&self.received_schema, &messages)
             .map_err(|reason| invalid_argument(format!("the rows: {reason}")))?;
-        for fields in text {
+        for fields in queries {
             let tag = self.next_row.to_string();
             self.next_row += 1;
             let query = self.with_defaults(fields);
@@ -192,7 +194,7 @@
     }
 }
 
-fn rows_of(schema: &Bytes, messages: &[Message]) -> Result<Vec<Map<String, Value>>, String> {
+fn parse_rows(schema: &Bytes, messages: &[Message]) -> Result<Vec<Map<String, Value>>, String> {
     let text = rows::json(schema, messages)?;
     serde_json::from_str(&text).map_err(|e| e.to_string())
 }
--- a/crates/edge/src/front/flight/call.rs
+++ b/crates/edge/src/front/flight/call.rs
@@ -1,5 +1,5 @@
-//! One call of a Flight client: a stream of HTTP/2 whose messages come in, go out, and end with a status.
-//! What is done with them is in `call_driver`, `methods` and `batch_driver`.
+//! One call of a Flight client: reads and writes the messages of an HTTP/2 stream, and ends it with a status. The
+//! messages are handled in `call_driver`, `methods` and `batch_driver`.
 
 use std::collections::VecDeque;
 use std::task::{Context, Poll};
@@ -20,21 +20,23 @@
 use super::command::Command;
 use super::method::Method;
 
-/// Time for a message after its first byte, and for a request after its head, in microseconds.
+/// How long receiving a message may take after its first byte, and a request message after the call's head, in
+/// microseconds.
 pub const REQUEST_TIMEOUT: Micros = 2_000_000;
-/// How long a batch stream on which nothing moves either way is kept, in microseconds.
+/// How long a batch stream without any data in either direction is kept open, in microseconds.
 const BATCH_IDLE_TIMEOUT: Micros = 600_000_000;
-/// The core ends a query before its deadline; a call that is still open ends itself this long after, in microseconds.
+/// How long after its deadline a call that is still open ends itself, in microseconds. The core ends a query before
+/// the deadline.
 const DEADLINE_GRACE: Micros = 50_000;
 
-/// What the head of a call says.
+/// The head of a call.
 #[derive(Clone, Debug, Default)]
 pub struct CallHead {
-    /// How long the client waits, in microseconds.
+    /// The client's timeout, in microseconds.
     pub timeout: Option<Micros>,
-    /// How the client's messages are compressed.
+    /// The compression of the client's messages.
     pub encoding: Encoding,
-    /// Who calls.
+    /// The caller's identity.
     pub identity: Identity,
     /// The options of the caller's session.
     pub options: Options,
@@ -44,7 +46,7 @@
 pub struct PendingOutcome {
     /// What is done with the outcome.
     pub outcome_use: OutcomeUse,
-    /// When the call reports how far the query has come, if there is no outcome by then.
+    /// When the call reports the query's progress if there is no outcome yet.
     pub report_at: Option<Micros>,
     /// The waiter that the outcome is delivered to.
     pub waiter: Option<WaiterId>,
@@ -52,86 +54,86 @@
 
 /// What is done with an outcome.
 pub enum OutcomeUse {
-    /// It is sent as a table.
+    /// The response is sent as a table.
     Table,
-    /// How the polled query stands is sent.
+    /// The state of the polled query is sent.
     Poll(PolledQueryKey, Command),
 }
 
-/// Something to be written.
+/// An item of the outbound queue.
 pub enum OutboundItem {
-    /// Messages in gRPC's frames.
+    /// Encoded gRPC frames.
     Pieces(VecDeque<Bytes>),
     /// A table whose messages are encoded as they are written.
     Table(Box<answer::Stream>),
 }
 
-/// What a call is doing.
+/// The state of a call.
 pub enum CallState {
-    /// It reads its one request message.
+    /// Reading the one request message.
     Request(Method),
-    /// It waits for the outcome of a query.
+    /// Waiting for the outcome of a query.
     WaitingForOutcome(PendingOutcome),
-    /// It carries many queries.
+    /// Carrying many queries.
     BatchStream(Box<BatchStream>),
-    /// It reports the health status whenever it changes: the status reported last.
+    /// Reporting the health status whenever it changes; holds the last reported status.
     HealthWatch(i32),
-    /// Nothing is left to do but to write.
+    /// Writing the remaining output.
     Closing,
 }
 
-/// One call.
+/// One call of a client.
 pub struct Call {
-    /// What its head said.
+    /// The head of the call.
     pub head: CallHead,
-    /// What it is doing.
+    /// The state of the call.
     pub state: CallState,
-    /// When its head was read.
+    /// When the head was read.
     pub arrived_at: Micros,
     body: Option<RecvStream>,
     deframer: Deframer,
-    /// Received bytes that were not released to the client's flow-control window yet: those of incomplete messages.
+    /// Received bytes not yet released to the flow-control window: those of incomplete messages.
     unreleased: usize,
-    /// Since when a message has been incomplete.
+    /// When the current incomplete message started.
     partial_since: Option<Micros>,
     respond: SendResponse<Bytes>,
     stream: Option<SendStream<Bytes>>,
     outbound: VecDeque<OutboundItem>,
     trailers: Option<HeaderMap>,
-    /// Headers that go with the head of the response.
+    /// Additional headers for the head of the response.
     extra_headers: HeaderMap,
-    reader: SlowReaderDetector,
+    slow_reader: SlowReaderDetector,
     last_activity: Micros,
     send_buffer: usize,
     is_closed: bool,
 }
 
-/// The result of reading.
-pub enum Read {
-    /// Nothing more for now.
+/// The result of reading from a call.
+pub enum ReadResult {
+    /// No complete message is available yet.
     Pending,
     /// A complete message.
     Message(Bytes),
-    /// The client sends nothing more.
+    /// The client has ended its side of the stream.
     End,
 }
 
 impl Call {
-    /// A call on a stream whose head was read. The last argument: bounds, in bytes, on a message and on what is buffered
-    /// in the connection.
+    /// Creates a call for a stream whose head was read. The last argument holds two limits in bytes: on a message,
+    /// and on the data buffered in the connection.
     pub fn new(
         now: Micros,
         head: CallHead,
-        work: CallState,
+        state: CallState,
         request: Request<RecvStream>,
         respond: SendResponse<Bytes>,
-        (message, send_buffer): (usize, usize),
+        (max_message, send_buffer): (usize, usize),
     ) -> Self {
         Self {
-            state: work,
+            state,
             arrived_at: now,
             body: Some(request.into_body()),
-            deframer: Deframer::new(message).encoded(head.encoding),
+            deframer: Deframer::new(max_message).encoded(head.encoding),
             head,
             unreleased: 0,
             partial_since: None,
@@ -140,61 +142,63 @@
             outbound: VecDeque::new(),
             trailers: None,
             extra_headers: HeaderMap::new(),
-            reader: SlowReaderDetector::new(now),
+            slow_reader: SlowReaderDetector::new(now),
             last_activity: now,
             send_buffer,
             is_closed: false,
         }
     }
 
-    /// When its client's deadline passes, on the server's clock.
+    /// Returns the client's deadline, on the server's clock.
     pub fn deadline(&self) -> Option<Micros> {
-        self.head.timeout.map(|wait| self.arrived_at.saturating_add(wait))
+        self.head.timeout.map(|timeout| self.arrived_at.saturating_add(timeout))
     }
 
-    /// The time left until the client's deadline.
+    /// Returns the time left until the client's deadline.
     pub fn remaining_time(&self, now: Micros) -> Option<Micros> {
         self.deadline().map(|until| until.saturating_sub(now))
     }
 
-    /// Whether the stream has ended and the call can be dropped.
+    /// Returns whether the stream has ended and the call can be dropped.
     pub fn is_finished(&self) -> bool {
         self.is_closed
     }
 
-    /// Whether a response is expected or being written. A health watch has no final response.
+    /// Returns whether a response is expected or being written. A health watch has no final response.
     pub fn expects_response(&self) -> bool {
         !matches!(self.state, CallState::HealthWatch(_))
     }
 
-    /// When its first time-out is due.
+    /// Returns when the call's first timeout is due.
     pub fn poll_timeout(&self) -> Option<Micros> {
-        let slow = self.partial_since.map(|since| since + REQUEST_TIMEOUT);
-        let first = matches!(self.state, CallState::Request(_)).then_some(self.arrived_at + REQUEST_TIMEOUT);
-        let written = !self.outbound.is_empty() || self.trailers.is_some();
-        let stalled = written.then(|| self.reader.deadline());
-        let waits = match &self.state {
-            CallState::WaitingForOutcome(waiting) => waiting.report_at,
+        let message_timeout = self.partial_since.map(|since| since + REQUEST_TIMEOUT);
+        let request_timeout =
+            matches!(self.state, CallState::Request(_)).then_some(self.arrived_at + REQUEST_TIMEOUT);
+        let has_output = !self.outbound.is_empty() || self.trailers.is_some();
+        let stall_timeout = has_output.then(|| self.slow_reader.deadline());
+        let state_timeout = match &self.state {
+            CallState::WaitingForOutcome(pending) => pending.report_at,
             CallState::BatchStream(_) => Some(self.last_activity + BATCH_IDLE_TIMEOUT),
             _ => None,
         };
-        let time = self.deadline().map(|until| until + DEADLINE_GRACE);
-        [slow, first, stalled, waits, time].into_iter().flatten().min()
+        let deadline = self.deadline().map(|until| until + DEADLINE_GRACE);
+        [message_timeout, request_timeout, stall_timeout, state_timeout, deadline].into_iter().flatten().min()
     }
 
-    /// Ends the call if one of its time-outs is due.
+    /// Ends the call if one of its timeouts is due.
     pub fn handle_timeout(&mut self, now: Micros) {
-        let late = |at: Option<Micros>| at.is_some_and(|at| at <= now);
-        let written = !self.outbound.is_empty() || self.trailers.is_some();
-        if written && self.reader.deadline() <= now {
-            // A client that reads nothing would not read a status either.
+        let is_due = |at: Option<Micros>| at.is_some_and(|at| at <= now);
+        let has_output = !self.outbound.is_empty() || self.trailers.is_some();
+        if has_output && self.slow_reader.deadline() <= now {
+            // A client that does not read its response would not read a status either.
             return self.reset(Reason::CANCEL);
         }
-        if late(self.deadline().map(|until| until + DEADLINE_GRACE)) {
+        if is_due(self.deadline().map(|until| until + DEADLINE_GRACE)) {
             return self.finish_with_error(now, &Status::new(Code::DeadlineExceeded, "time ran out"));
         }
-        let first = matches!(self.state, CallState::Request(_)) && self.arrived_at + REQUEST_TIMEOUT <= now;
-        if first || late(self.partial_since.map(|since| since + REQUEST_TIMEOUT)) {
+        let request_timed_out =
+            matches!(self.state, CallState::Request(_)) && self.arrived_at + REQUEST_TIMEOUT <= now;
+        if request_timed_out || is_due(self.partial_since.map(|since| since + REQUEST_TIMEOUT)) {
             let status = Status::new(Code::DeadlineExceeded, "the request did not come in time");
             return self.finish_with_error(now, &status);
         }
@@ -203,22 +207,22 @@
         }
     }
 
-    /// The next message, if it is complete.
+    /// Reads the next message.
     ///
     /// # Errors
-    /// The message is malformed or too large, or the stream broke off.
-    pub fn read(&mut self, now: Micros, context: &mut Context<'_>) -> Result<Read, Status> {
+    /// The message is malformed or too large, or the stream was aborted.
+    pub fn read(&mut self, now: Micros, context: &mut Context<'_>) -> Result<ReadResult, Status> {
         loop {
             if let Some(message) = self.deframer.take().map_err(grpc::Bad::status)? {
                 let used = self.unreleased - self.deframer.len();
                 self.release(used);
                 self.partial_since = (!self.deframer.is_empty()).then_some(now);
                 self.last_activity = now;
-                return Ok(Read::Message(message));
+                return Ok(ReadResult::Message(message));
             }
-            let Some(body) = &mut self.body else { return Ok(Read::End) };
+            let Some(body) = &mut self.body else { return Ok(ReadResult::End) };
             match body.poll_data(context) {
-                Poll::Pending => return Ok(Read::Pending),
+                Poll::Pending => return Ok(ReadResult::Pending),
                 Poll::Ready(Some(Ok(bytes))) => {
                     self.unreleased += bytes.len();
                     self.deframer.push(&bytes);
@@ -235,7 +239,7 @@
                     if !self.deframer.is_empty() {
                         return Err(Status::new(Code::InvalidArgument, "the request ends within a message"));
                     }
-                    return Ok(Read::End);
+                    return Ok(ReadResult::End);
                 }
             }
         }
@@ -248,7 +252,7 @@
         }
     }
 
-    /// Whether the client has reset the stream.
+    /// Returns whether the client has reset the stream.
     pub fn is_reset(&mut self, context: &mut Context<'_>) -> bool {
         match &mut self.stream {
             Some(stream) => stream.poll_reset(context).is_ready(),
@@ -263,15 +267,15 @@
         }
     }
 
-    /// The encoding of responses: a client that compresses its requests gets compressed responses.
+    /// Returns the encoding of responses: a client that compresses its requests gets compressed responses.
     pub fn encoding(&self) -> Encoding {
         self.head.encoding
     }
 
-    /// Queues something to be written.
+    /// Queues an item to be written.
     pub fn queue_item(&mut self, now: Micros, item: OutboundItem) {
         if self.outbound.is_empty() {
-            self.reader.resumed(now);
+            self.slow_reader.resumed(now);
         }
         self.outbound.push_back(item);
     }
@@ -282,7 +286,7 @@
         self.queue_item(now, OutboundItem::Pieces(pieces.into()));
     }
 
-    /// Ends the call with this status, behind what is queued.
+    /// Ends the call with this status once the queued items are written.
     pub fn finish(&mut self, status: &Status) {
         if self.trailers.is_none() {
             self.trailers = Some(status.trailers());
@@ -290,10 +294,10 @@
         self.state = CallState::Closing;
     }
 
-    /// Ends the call with this status, and drops what is queued.
+    /// Ends the call with this status, and drops the queued items.
     pub fn finish_with_error(&mut self, now: Micros, status: &Status) {
         if self.outbound.is_empty() {
-            self.reader.resumed(now);
+            self.slow_reader.resumed(now);
         }
         self.outbound.clear();
         self.trailers = Some(status.trailers());
@@ -322,7 +326,7 @@
         response
     }
 
-    /// Writes as much as the client's flow-control window takes; returns the number of bytes.
+    /// Writes as much as the client's flow-control window allows; returns the number of bytes.
     pub fn write(&mut self, now: Micros, context: &mut Context<'_>) -> usize {
         let nothing_queued = self.outbound.is_empty() && self.trailers.is_none();
         if self.is_closed || (nothing_queued && !self.keeps_stream_open()) {
@@ -338,7 +342,7 @@
         if self.is_closed {
             return written;
         }
-        self.reader.bytes_read(now, written);
+        self.slow_reader.bytes_read(now, written);
         if written > 0 {
             self.last_activity = now;
         }
@@ -351,7 +355,7 @@
         written
     }
 
-    /// Sends the head of the response; a status without messages goes with it and closes the stream.
+    /// Sends the head of the response. Without messages the head includes the status and ends the stream.
     fn send_head(&mut self) {
         let mut response = self.response();
         if self.outbound.is_empty() && !self.keeps_stream_open() {
@@ -403,7 +407,7 @@
         matches!(self.state, CallState::HealthWatch(_) | CallState::BatchStream(_))
     }
 
-    /// The piece to be written next; tables are encoded one message at a time.
+    /// Returns the piece to be written next. Tables are encoded one message at a time.
     fn next_piece(&mut self) -> Option<Bytes> {
         loop {
             match self.outbound.front_mut()? {
@@ -430,7 +434,7 @@
 
 impl Drop for Call {
     fn drop(&mut self) {
-        // A call that ends without a status must not look complete to its client.
+        // The client must not mistake a call that ends without a status for a complete one.
         if !self.is_closed {
             self.reset(Reason::CANCEL);
         }
--- a/crates/edge/src/front/flight/call_driver.rs
+++ b/crates/edge/src/front/flight/call_driver.rs
@@ -1,4 +1,4 @@
-//! Drives a call: reads its request, starts its method, writes what goes out, and ends it.
+//! Drives a call: reads its request, starts its method, writes its output, and ends it.
 
 use std::task::Context;
 
@@ -7,13 +7,13 @@
 use mallowgauge_flight::proto::HealthCheckResponse;
 use mallowgauge_router::Micros;
 
-use super::call::{Call, CallState, PendingOutcome, Read};
+use super::call::{Call, CallState, PendingOutcome, ReadResult};
 use super::method::Method;
 use super::service::FlightService;
 use super::status::{draining, invalid_argument};
 
 impl Call {
-    /// Reads, begins and writes as far as the stream lets it.
+    /// Reads, starts queries and writes until the stream blocks.
     pub fn drive(
         &mut self,
         now: Micros,
@@ -36,8 +36,8 @@
             let written = self.write(now, context);
             let CallState::BatchStream(stream) = &mut self.state else { break };
             stream.batch.bytes_read(written);
-            // What the client has taken makes room for more queries.
-            if written == 0 || !(stream.can_read() || stream.can_begin()) {
+            // As the client reads its responses, the backlog shrinks and more queries may start.
+            if written == 0 || !(stream.can_read() || stream.can_start()) {
                 break;
             }
             self.drive_batch_or_fail(now, id, context, service, core);
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Sends the health status if it is another than the one sent last.
+    /// Sends the health status if it differs from the last one sent.
     fn report_health_change(&mut self, now: Micros, reported: i32, service: &FlightService) {
         let status = service.health_status();
         if reported == status {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Reads the one request message of a method, and starts the method once it is in.
+    /// Reads the one request message of a method, and starts the method once it is complete.
     fn read_request(
         &mut self,
         now: Micros,
@@ -82,9 +82,9 @@
         core: &mut Core,
     ) {
         let message = match self.read(now, context) {
-            Ok(Read::Pending) => return,
-            Ok(Read::Message(message)) => Ok(message),
-            Ok(Read::End) => Err(invalid_argument("the request is not one message")),
+            Ok(ReadResult::Pending) => return,
+            Ok(ReadResult::Message(message)) => Ok(message),
+            Ok(ReadResult::End) => Err(invalid_argument("the request is not one message")),
             Err(status) => Err(status),
         };
         self.state = CallState::Closing;
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Withdraws this call from every query that it waits for; a query that nobody else waits for is cancelled.
+    /// Withdraws this call from every query that it waits for. A query without other waiters is cancelled, unless it
+    /// is non-idempotent or polled.
     pub fn abandon_queries(&mut self, service: &mut FlightService, core: &mut Core) {
         match &mut self.state {
             CallState::WaitingForOutcome(PendingOutcome { waiter, .. }) => {
@@ -112,7 +113,8 @@
         }
     }
 
-    /// The server shuts down: a batch stream begins nothing new, and ends with `UNAVAILABLE` once all is answered.
+    /// Drains a batch stream when the server shuts down: it starts no more queries, and ends with `UNAVAILABLE` once
+    /// its open queries are answered.
     pub fn drain(&mut self) {
         if let CallState::BatchStream(stream) = &mut self.state {
             stream.batch.drain();
--- a/crates/edge/src/front/flight/command.rs
+++ b/crates/edge/src/front/flight/command.rs
@@ -1,5 +1,5 @@
-//! Commands: a query as Flight clients write it, as JSON with the fields of the HTTP frontend's body and headers. A row
-//! of a table on a batch stream is a command, too.
+//! Commands: queries of Flight clients, as JSON with the fields of the HTTP frontend's body and headers. Each row of a
+//! table on a batch stream is a command, too.
 
 use bytes::Bytes;
 use mallowgauge_core::{Core, QueryRequest};
@@ -12,9 +12,9 @@
 use super::status::invalid_argument;
 use crate::front::query::{self, QueryMetadata};
 
-/// The id for commands that are read without being submitted, where the client gives none.
+/// The default id of commands that are parsed but not submitted.
 pub const UNUSED_ID: &str = "x";
-/// Bound on the endpoints that a query is split over.
+/// Maximum number of endpoints that a query is split into.
 const MAX_ENDPOINTS: usize = 16;
 
 /// A valid command.
@@ -23,15 +23,15 @@
     fields: Map<String, Value>,
     /// The client's id for the query.
     pub id: String,
-    /// Its class.
+    /// The class of the query.
     pub class: ClassId,
 }
 
 impl Command {
-    /// Reads a descriptor's command; `default_id` stands in where the client gives no id.
+    /// Parses a descriptor's command. `default_id` is used if the client sets no id.
     ///
     /// # Errors
-    /// `INVALID_ARGUMENT`, also of the next two.
+    /// `INVALID_ARGUMENT` if there is no valid command.
     pub fn from_descriptor(
         descriptor: &FlightDescriptor,
         core: &Core,
@@ -43,13 +43,19 @@
         Self::from_json(&descriptor.cmd, core, default_id)
     }
 
-    /// Reads a command's text.
+    /// Parses a command's text.
+    ///
+    /// # Errors
+    /// As [`Command::from_descriptor`].
     pub fn from_json(text: &[u8], core: &Core, default_id: &str) -> Result<Self, Status> {
         let value = serde_json::from_slice(text).map_err(|_| invalid_argument("the command is not JSON"))?;
         Self::from_value(value, core, default_id)
     }
 
-    /// Takes a command from JSON that was read.
+    /// Parses a command from a JSON value.
+    ///
+    /// # Errors
+    /// As [`Command::from_descriptor`].
     pub fn from_value(value: Value, core: &Core, default_id: &str) -> Result<Self, Status> {
         let Value::Object(mut fields) = value else {
             return Err(invalid_argument("the command is no object"));
@@ -60,7 +66,7 @@
         let class = fields.get("kind").and_then(Value::as_str).and_then(|name| core.class_id(name));
         let class = class.ok_or_else(|| invalid_argument("the class is unknown"))?;
         if let Some(Value::Array(ranges)) = fields.get_mut("ranges") {
-            // Shards that are named without a portion have equal ones.
+            // Shards that are listed as plain numbers get equal portions.
             let portion = 1.0 / ranges.len().max(1) as f64;
             for range in ranges.iter_mut().filter(|range| range.is_u64()) {
                 *range = json!({"range": range.as_u64(), "portion": portion});
@@ -69,32 +75,33 @@
         Ok(Self { fields, id, class })
     }
 
-    /// The command's text, with its id.
+    /// Returns the command's text, including its id.
     pub fn text(&self) -> Bytes {
         Value::Object(self.fields.clone()).to_string().into()
     }
 
-    /// A hash of what is queried, without id, retry mark, deadline, tag and endpoints.
+    /// Returns a hash of the query without its id, retry mark, deadline, tag and endpoints.
     pub fn fingerprint(&self) -> u64 {
         let mut fields = self.fields.clone();
-        for beside in ["id", "retry", "deadline_ms", "tag", "endpoints"] {
-            fields.remove(beside);
+        for excluded in ["id", "retry", "deadline_ms", "tag", "endpoints"] {
+            fields.remove(excluded);
         }
         fingerprint(Value::Object(fields).to_string().as_bytes())
     }
 
-    /// The query. Its time is the smaller of the command's own and `remaining`, the call's; without either it is `default`,
-    /// the session's, and then its class's. All in microseconds.
+    /// Returns the query. Its deadline is the earlier of the command's and the call's, which is `remaining`; without
+    /// either it is the session's, which is `default`, or else the deadline of its class. All in microseconds from
+    /// now.
     ///
     /// # Errors
-    /// The command makes no valid query.
+    /// The command is not a valid query.
     pub fn request(
         &self,
         remaining: Option<Micros>,
         default: Option<Micros>,
         core: &Core,
     ) -> Result<QueryRequest, Status> {
-        let own = match self.fields.get("deadline_ms") {
+        let command_timeout = match self.fields.get("deadline_ms") {
             None | Some(Value::Null) => None,
             Some(value) => {
                 let ms = value
@@ -104,43 +111,43 @@
                 Some(ms.saturating_mul(1000))
             }
         };
-        let wait = own.into_iter().chain(remaining).min().or(default);
-        let expires_in = wait.unwrap_or_else(|| core.deadline(self.class));
+        let timeout = command_timeout.into_iter().chain(remaining).min().or(default);
+        let expires_in = timeout.unwrap_or_else(|| core.deadline(self.class));
         let retry = self.fields.get("retry").and_then(Value::as_bool).unwrap_or(false);
         let metadata = QueryMetadata { id: self.id.as_str().into(), class: self.class, expires_in, retry };
         query::parse(metadata, &Value::Object(self.fields.clone()))
             .map_err(|error| invalid_argument(error.to_string()))
     }
 
-    /// The command split over the endpoints that it asks for: each queries some of the parts, with their weights scaled
-    /// to 1. Only an idempotent query is split: its endpoints are queries of their own, and a client may use one of them
-    /// twice.
+    /// Splits the command into as many endpoints as it requests. Each queries some of the parts, with weights scaled
+    /// to a sum of 1. Only an idempotent query can be split: each endpoint is a separate query, and a client may use
+    /// an endpoint twice.
     ///
     /// # Errors
     /// The number of endpoints is out of range, the query is not idempotent, or its id is too long.
     pub fn split(&self, core: &Core) -> Result<Vec<Command>, Status> {
-        let wanted = match self.fields.get("endpoints") {
+        let endpoints = match self.fields.get("endpoints") {
             None | Some(Value::Null) => 1,
             Some(value) => value.as_u64().unwrap_or(0) as usize,
         };
-        if wanted == 0 || wanted > MAX_ENDPOINTS {
+        if endpoints == 0 || endpoints > MAX_ENDPOINTS {
             return Err(invalid_argument("endpoints is not a whole number from 1 to 16"));
         }
         let ranges = self.fields.get("ranges").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
-        let wanted = wanted.min(ranges.len()).max(1);
-        if wanted == 1 {
+        let endpoints = endpoints.min(ranges.len()).max(1);
+        if endpoints == 1 {
             return Ok(vec![self.clone()]);
         }
         if !core.is_idempotent(self.class) {
             return Err(invalid_argument("a query with an effect is not split over endpoints"));
         }
-        let size = ranges.len().div_ceil(wanted);
+        let size = ranges.len().div_ceil(endpoints);
         let portion = |range: &Value| range.get("portion").and_then(Value::as_f64).unwrap_or(0.0);
-        let mut all = Vec::new();
-        for (index, some) in ranges.chunks(size).enumerate() {
-            let sum: f64 = some.iter().map(portion).sum();
-            let mut some = some.to_vec();
-            for range in &mut some {
+        let mut commands = Vec::new();
+        for (index, chunk) in ranges.chunks(size).enumerate() {
+            let sum: f64 = chunk.iter().map(portion).sum();
+            let mut scaled = chunk.to_vec();
+            for range in &mut scaled {
                 range["portion"] = json!(portion(range) / sum);
             }
             let id = format!("{}.{index}", self.id);
@@ -150,9 +157,9 @@
             let mut fields = self.fields.clone();
             fields.remove("endpoints");
             fields.insert("id".to_owned(), json!(id));
-            fields.insert("ranges".to_owned(), Value::Array(some));
-            all.push(Command { fields, id, class: self.class });
+            fields.insert("ranges".to_owned(), Value::Array(scaled));
+            commands.push(Command { fields, id, class: self.class });
         }
-        Ok(all)
+        Ok(commands)
     }
 }
--- a/crates/edge/src/front/flight/connection.rs
+++ b/crates/edge/src/front/flight/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a Flight client: its HTTP/2 state, the calls on it, and how it ends.
+//! One connection of a Flight client: its HTTP/2 state, its calls, and its lingering close.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -18,56 +18,56 @@
 use super::stream_accept::accept;
 use crate::http2_socket::{Http2Socket, WakeFlag};
 
-/// Time for the handshakes of TLS and HTTP/2 together, in microseconds.
+/// Timeout of the TLS and HTTP/2 handshakes together, in microseconds.
 pub const HANDSHAKE_TIMEOUT: Micros = 2_000_000;
-/// How long a connection without a call is kept, in microseconds.
+/// How long a connection without a call is kept open, in microseconds.
 pub const CONNECTION_IDLE_TIME: Micros = 120_000_000;
-/// How long, in microseconds, what a client sends behind the end of its connection is read and dropped: a close over
-/// unread bytes would reset the connection, and the last answer could be lost with it.
+/// How long a client's input is read and dropped after the last output was written, in microseconds. Closing a socket
+/// with unread input would reset the connection, and the client could lose the last response.
 pub const LINGER_TIME: Micros = 500_000;
-/// How many bytes are dropped at most.
+/// Maximum number of bytes that are dropped in a lingering close.
 pub const LINGER_BYTES: usize = 256 * 1024;
 
 type Handshake = Pin<Box<dyn Future<Output = Result<server::Connection<Http2Socket, Bytes>, h2::Error>>>>;
 
-/// How far a connection has come.
+/// The state of a connection.
 pub enum State {
-    /// HTTP/2's preface and settings are being exchanged.
+    /// The TLS and HTTP/2 handshakes are in progress.
     Handshake(Handshake),
     /// Streams are accepted.
-    Up(Box<server::Connection<Http2Socket, Bytes>>),
+    Open(Box<server::Connection<Http2Socket, Bytes>>),
 }
 
 /// A client's connection.
 pub struct Connection {
-    /// Its socket.
+    /// The socket.
     pub stream: Rc<Stream>,
-    /// How far it has come.
+    /// The HTTP/2 state.
     pub state: State,
-    /// Set when something of it has to be driven again.
+    /// Set when the connection has to be driven again.
     pub flag: Arc<WakeFlag>,
-    /// Sets the flag.
+    /// Sets `flag`.
     pub waker: Waker,
-    /// Its open calls, by number.
+    /// The open calls, by id.
     pub calls: BTreeMap<u64, Call>,
-    /// The client was sent a GOAWAY.
+    /// A GOAWAY was sent to the client.
     pub draining: bool,
-    /// When it was accepted, or its last call ended.
+    /// When the connection was accepted, or its last call ended.
     pub idle_since: Micros,
 }
 
-/// A connection whose last bytes have been written, and whose client has not closed it yet.
+/// A connection in a lingering close: its write side is shut down, and its client has not closed it yet.
 pub struct Lingering {
-    /// Its socket.
+    /// The socket.
     pub stream: Rc<Stream>,
-    /// When it is closed whatever its client does.
+    /// When the connection is closed unconditionally.
     pub closes_at: Micros,
-    /// How many more bytes of its client are dropped.
+    /// How many more bytes from the client are dropped.
     pub remaining_bytes: usize,
 }
 
 impl Lingering {
-    /// Drops what was received; `false` once the client has closed too, or has sent too much.
+    /// Drops received bytes; `false` once the client has closed too, or has sent too much.
     pub fn discard_input(&mut self) -> bool {
         let mut dropped = Vec::new();
         match self.stream.read(&mut dropped, self.remaining_bytes) {
@@ -81,18 +81,18 @@
 }
 
 impl Connection {
-    /// When it is closed for want of a call; `None` while a call is open.
+    /// Returns when the connection is closed as idle; `None` while a call is open.
     pub fn idle_until(&self, finishing: bool) -> Option<Micros> {
         let idle_time = match self.state {
             _ if finishing => LINGER_TIME,
             State::Handshake(_) => HANDSHAKE_TIMEOUT,
-            State::Up(_) => CONNECTION_IDLE_TIME,
+            State::Open(_) => CONNECTION_IDLE_TIME,
         };
         self.calls.is_empty().then_some(self.idle_since + idle_time)
     }
 
-    /// Drives the connection and its calls as far as the socket lets them; `false` when the connection is over.
-    pub fn ready(
+    /// Drives the connection and its calls until the socket blocks; `false` when the connection has ended.
+    pub fn handle_ready(
         &mut self,
         now: Micros,
         id: u64,
@@ -127,7 +127,7 @@
                     tracing::debug!("client does not speak HTTP/2: {e}");
                     return false;
                 }
-                Poll::Ready(Ok(connection)) => self.state = State::Up(Box::new(connection)),
+                Poll::Ready(Ok(connection)) => self.state = State::Open(Box::new(connection)),
             }
         }
         let open = self.accept_streams(now, id, context, connection_of_call, service);
@@ -135,7 +135,7 @@
         open
     }
 
-    /// Accepts the streams that the client has opened; `false` when it opens no more.
+    /// Accepts the streams that the client has opened; `false` when the client cannot open more.
     fn accept_streams(
         &mut self,
         now: Micros,
@@ -144,7 +144,7 @@
         connection_of_call: &mut BTreeMap<u64, u64>,
         service: &mut FlightService,
     ) -> bool {
-        let State::Up(connection) = &mut self.state else { return true };
+        let State::Open(connection) = &mut self.state else { return true };
         loop {
             match connection.poll_accept(context) {
                 Poll::Pending => return true,
--- a/crates/edge/src/front/flight/method.rs
+++ b/crates/edge/src/front/flight/method.rs
@@ -1,8 +1,8 @@
-//! The methods of Flight and of gRPC's health service, by their paths.
+//! The RPC methods of Flight and of gRPC's health service.
 
 use mallowgauge_flight::grpc;
 
-/// A method.
+/// An RPC method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
     Handshake,
@@ -20,7 +20,7 @@
 }
 
 impl Method {
-    /// The method of a path.
+    /// Returns the method at a request path; `None` if there is none.
     pub fn from_path(path: &str) -> Option<Self> {
         if let Some(name) = path.strip_prefix(grpc::HEALTH) {
             return match name {
@@ -44,7 +44,7 @@
         })
     }
 
-    /// Whether callers have to present credentials.
+    /// Returns whether callers of this method have to be authenticated.
     pub fn requires_identity(self) -> bool {
         !matches!(self, Self::Handshake | Self::HealthCheck | Self::HealthWatch)
     }
--- a/crates/edge/src/front/flight/methods/actions.rs
+++ b/crates/edge/src/front/flight/methods/actions.rs
@@ -1,4 +1,4 @@
-//! `DoAction` and `ListActions`: cancels, renews and revokes flights, and sets a session's options.
+//! `DoAction` and `ListActions`: cancelling, renewing and revoking flights, and session options.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -24,7 +24,7 @@
 use crate::front::flight::service::{health, FlightService};
 use crate::front::flight::status::{invalid_argument, rejection_status};
 
-/// The actions, with the descriptions that clients are shown.
+/// The actions with their descriptions. Clients see both.
 const ACTIONS: [(&str, &str); 7] = [
     ("CancelFlightInfo", "Gives a flight up. In: CancelFlightInfoRequest. Out: CancelFlightInfoResult."),
     ("RenewFlightEndpoint", "Makes an endpoint count for longer. In: RenewFlightEndpointRequest. Out: FlightEndpoint."),
@@ -37,7 +37,7 @@
 
 /// `SetSessionOptionsResult.ErrorValue`: there is no such option.
 const INVALID_NAME: i32 = 1;
-/// `SetSessionOptionsResult.ErrorValue`: the option does not take that value.
+/// `SetSessionOptionsResult.ErrorValue`: the value is invalid for the option.
 const INVALID_VALUE: i32 = 2;
 /// `CloseSessionResult.Status`: the session is closed.
 const CLOSED: i32 = 1;
@@ -45,7 +45,7 @@
 const NOT_CLOSEABLE: i32 = 3;
 
 impl Call {
-    /// `ListActions`: names the actions.
+    /// `ListActions`: sends the actions.
     ///
     /// # Errors
     /// None.
@@ -58,10 +58,10 @@
         Ok(())
     }
 
-    /// `DoAction`: carries out one action, and replies with its result if it has one.
+    /// `DoAction`: performs one action, and replies with its result if it has one.
     ///
     /// # Errors
-    /// There is no such action, its body cannot be read, or it is not possible.
+    /// The action does not exist, its body cannot be decoded, or it fails.
     pub fn do_action(
         &mut self,
         now: Micros,
@@ -140,7 +140,7 @@
     decode(body, "the action's body cannot be read")
 }
 
-/// When a client that would be rejected now may come back, as JSON.
+/// Returns, as JSON, how long a client that would be rejected now should wait before a retry.
 fn retry_advice(service: &FlightService, core: &mut Core) -> String {
     let retry_after_ms = core.retry_after().div_ceil(1000);
     let serving = service.health_status() == health::SERVING;
@@ -148,7 +148,7 @@
 }
 
 impl FlightService {
-    /// Cancels the queries of a `FlightInfo`, also those that have not been run yet.
+    /// Cancels the queries of a `FlightInfo`, including those that have not been run yet.
     ///
     /// # Errors
     /// One of its tickets is not valid, or its query can no longer be revoked.
@@ -173,10 +173,10 @@
                 CancelResult::AlreadyCancelled => {}
                 CancelResult::TooLate => status = CancelStatus::NotCancellable,
                 CancelResult::Unknown => {
-                    let effect = !core.is_idempotent(command.class);
+                    let non_idempotent = !core.is_idempotent(command.class);
                     let spec = PolledQuerySpec {
                         request_hash: command.fingerprint(),
-                        non_idempotent: effect,
+                        non_idempotent,
                         polled: false,
                         ticket_created_at: Some(made),
                     };
--- a/crates/edge/src/front/flight/methods/get.rs
+++ b/crates/edge/src/front/flight/methods/get.rs
@@ -20,7 +20,7 @@
     /// `DoGet`: submits the query of a ticket, and sends its response as a table.
     ///
     /// # Errors
-    /// The ticket is not valid here, or its query is rejected, failed, cancelled or no longer remembered.
+    /// The ticket is not valid here, or its query is rejected, failed, cancelled or forgotten.
     pub fn do_get(
         &mut self,
         now: Micros,
@@ -70,7 +70,7 @@
     }
 }
 
-/// The response of a polled query; `None` while it runs. A polled ticket runs nothing.
+/// Returns the response of a polled query; `None` while it runs. The ticket of a polled query does not run it again.
 fn polled_outcome(
     now: Micros,
     key: &PolledQueryKey,
--- a/crates/edge/src/front/flight/methods/health.rs
+++ b/crates/edge/src/front/flight/methods/health.rs
@@ -9,11 +9,11 @@
 use crate::front::flight::call::{Call, CallState};
 use crate::front::flight::service::{health, FlightService};
 
-/// The service's name in health checks; the empty name stands for the whole server.
+/// The name of the service in health checks; the empty name refers to the whole server.
 const SERVICE_NAME: &str = "arrow.flight.protocol.FlightService";
 
-/// The serving status that is asked for; `None` for a service that does not exist.
-fn status_of(message: &Bytes, service: &FlightService) -> Result<Option<i32>, Status> {
+/// Returns the requested serving status; `None` if the service does not exist.
+fn requested_status(message: &Bytes, service: &FlightService) -> Result<Option<i32>, Status> {
     let request: HealthCheckRequest = decode(message, "no request")?;
     let known = matches!(request.service.as_str(), "" | SERVICE_NAME);
     Ok(known.then(|| service.health_status()))
@@ -30,7 +30,7 @@
         message: &Bytes,
         service: &FlightService,
     ) -> Result<(), Status> {
-        let status = status_of(message, service)?;
+        let status = requested_status(message, service)?;
         let status = status.ok_or_else(|| Status::new(Code::NotFound, "there is no such service"))?;
         self.reply(now, &HealthCheckResponse { status });
         Ok(())
@@ -46,7 +46,7 @@
         message: &Bytes,
         service: &FlightService,
     ) -> Result<(), Status> {
-        let status = status_of(message, service)?.unwrap_or(health::SERVICE_UNKNOWN);
+        let status = requested_status(message, service)?.unwrap_or(health::SERVICE_UNKNOWN);
         self.queue_message(now, &HealthCheckResponse { status });
         self.state = CallState::HealthWatch(status);
         Ok(())
--- a/crates/edge/src/front/flight/methods/info.rs
+++ b/crates/edge/src/front/flight/methods/info.rs
@@ -1,4 +1,4 @@
-//! `GetFlightInfo`, `GetSchema` and `ListFlights`: what can be queried, and which schema its answers have.
+//! `GetFlightInfo`, `GetSchema` and `ListFlights`: the available queries, and the schemas of their responses.
 
 use bytes::Bytes;
 use mallowgauge_core::{Core, QueryResponse, Value as QueryValue};
@@ -15,22 +15,22 @@
 use crate::front::flight::service::FlightService;
 use crate::front::flight::status::invalid_argument;
 
-/// Bound on the shared queries that one list names.
+/// Maximum number of shared queries in one list.
 const MAX_LISTED_QUERIES: usize = 1000;
 
-/// `total_records` and `total_bytes` where they are not known.
+/// `total_records` and `total_bytes` if they are unknown.
 pub const UNKNOWN_TOTAL: i64 = -1;
 
-/// The schema of a response's values, as `FlightInfo` carries it.
+/// Returns the schema of a response's values, in the encoding of `FlightInfo`.
 pub fn schema_of_values(values: &[(ShardId, QueryValue)]) -> Option<Bytes> {
     Stream::columns(values).ok().and_then(|schema| answer::schema_message(&schema).ok())
 }
 
 impl Call {
-    /// `GetFlightInfo`: the endpoints and the schema of a query.
+    /// `GetFlightInfo`: sends the endpoints and the schema of a query.
     ///
     /// # Errors
-    /// The query is invalid: it is rejected here and not when its ticket is used.
+    /// The query is invalid: it is rejected here, and not only when its ticket is used.
     pub fn get_flight_info(
         &mut self,
         now: Micros,
@@ -45,10 +45,10 @@
         Ok(())
     }
 
-    /// `GetSchema`: the schema of a query's or a class's answers.
+    /// `GetSchema`: sends the schema of the responses to a query or to a class of queries.
     ///
     /// # Errors
-    /// There is no such class, or no backend has answered it yet.
+    /// The class does not exist, or no backend has responded to a query of it yet.
     pub fn get_schema(
         &mut self,
         now: Micros,
@@ -69,7 +69,7 @@
         Ok(())
     }
 
-    /// `ListFlights`: the classes that can be queried, and the caller's shared queries.
+    /// `ListFlights`: sends the query classes, and the caller's shared queries.
     ///
     /// # Errors
     /// The criteria are malformed.
@@ -90,31 +90,31 @@
 }
 
 impl FlightService {
-    /// The schema of a class's answers, as far as it is known.
+    /// Returns the schema of a class's responses; `None` if it is unknown.
     pub fn schema(&self, class: ClassId) -> Option<Bytes> {
         let learned = self.known_schemas.get(class.0).and_then(Option::as_ref);
         learned.cloned().or_else(|| if self.custom_columns { None } else { self.text_schema.clone() })
     }
 
-    /// Takes the schema of a class from a response to a query of it.
+    /// Updates the schema of a class from a response to one of its queries.
     pub fn learn_schema(&mut self, class: ClassId, response: &QueryResponse) {
         let QueryResponse::Completed { values, .. } = response else { return };
         let Some(known) = self.known_schemas.get_mut(class.0) else { return };
-        // Comparing encoded schemas spares the decoding: nearly every response has the schema of the last one.
+        // Comparing encoded schemas avoids decoding: nearly every response has the same schema as the previous one.
         let first = values.iter().find_map(|(_, value)| match value {
             QueryValue::Table(table) => Some(&table.schema),
             QueryValue::Text(_) => None,
         });
-        let same = match (&self.seen_headers.get(class.0), first) {
+        let same = match (&self.source_schemas.get(class.0), first) {
             (Some(Some(seen)), Some(header)) => seen == header,
-            (_, None) => known.is_some() && self.seen_headers.get(class.0).is_some_and(Option::is_none),
+            (_, None) => known.is_some() && self.source_schemas.get(class.0).is_some_and(Option::is_none),
             _ => false,
         };
         if same || values.is_empty() {
             return;
         }
         *known = schema_of_values(values);
-        if let Some(seen) = self.seen_headers.get_mut(class.0) {
+        if let Some(seen) = self.source_schemas.get_mut(class.0) {
             *seen = first.cloned();
         }
     }
@@ -144,7 +144,7 @@
         })
     }
 
-    /// The classes that can be queried, and the caller's shared queries, as far as the criteria let them pass.
+    /// Returns the query classes and the caller's shared queries that match the criteria.
     fn matching_flights(
         &self,
         expression: &[u8],
@@ -190,7 +190,7 @@
     }
 }
 
-/// Which flights a client wants to see: a JSON object with `kind` and `state`, both optional.
+/// A filter for flights: a JSON object with `kind` and `state`, both optional.
 struct ListCriteria(Map<String, Value>);
 
 impl ListCriteria {
--- a/crates/edge/src/front/flight/methods/mod.rs
+++ b/crates/edge/src/front/flight/methods/mod.rs
@@ -1,4 +1,4 @@
-//! What each method with one request message does, a module a method or concern.
+//! The methods with one request message.
 
 mod actions;
 mod get;
@@ -20,7 +20,7 @@
 use super::status::invalid_argument;
 
 impl Call {
-    /// Starts the method of a call whose request message is in. `id` is the call's number.
+    /// Starts the method of a call whose request message has been received. `id` is the id of the call.
     ///
     /// # Errors
     /// The status that the call ends with.
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Sends a message, and ends the call with `OK` behind it.
+    /// Sends a message, and ends the call with `OK` after it.
     pub(super) fn reply(&mut self, now: Micros, message: &impl Message) {
         self.queue_message(now, message);
         self.finish_ok();
@@ -71,10 +71,10 @@
     }
 }
 
-/// Reads a request message.
+/// Decodes a request message.
 ///
 /// # Errors
-/// `INVALID_ARGUMENT` with these words.
+/// `INVALID_ARGUMENT` with the text `error`.
 fn decode<M: Message + Default>(message: &Bytes, error: &'static str) -> Result<M, Status> {
     M::decode(message.clone()).map_err(|_| invalid_argument(error))
 }
--- a/crates/edge/src/front/flight/methods/poll.rs
+++ b/crates/edge/src/front/flight/methods/poll.rs
@@ -1,4 +1,4 @@
-//! `PollFlightInfo`: a query that runs on between calls, and reports how far it has come.
+//! `PollFlightInfo`: a query that continues between calls and reports its progress.
 
 use std::rc::Rc;
 
@@ -21,11 +21,11 @@
 use crate::front::flight::tickets::timestamp;
 use crate::front::query;
 
-/// A poll is answered after this long at the latest, in microseconds.
+/// Maximum time until a poll is answered, in microseconds.
 const POLL_WAIT: Micros = 1_000_000;
 
 impl Call {
-    /// `PollFlightInfo`: submits a polled query, or waits a while for the outcome of one that runs.
+    /// `PollFlightInfo`: submits a polled query, or waits a limited time for the outcome of a running one.
     ///
     /// # Errors
     /// The query is invalid, or its outcome is a rejection or failure.
@@ -41,19 +41,19 @@
         let command = Command::from_descriptor(&descriptor, core, &service.generate_query_id())?;
         let key =
             PolledQueryKey { user: Rc::clone(&self.head.identity.user), id: command.id.as_str().into() };
-        let first = service.polled_queries.state(now, &key).is_none();
-        // The query runs on between calls: its deadline is its class's, not the call's.
+        let is_first = service.polled_queries.state(now, &key).is_none();
+        // The query continues between calls: its deadline is its own, its session's or its class's, not the call's.
         let request = command.request(None, self.head.options.timeout, core)?;
-        let effect = !core.is_idempotent(command.class);
+        let non_idempotent = !core.is_idempotent(command.class);
         let spec = PolledQuerySpec {
             request_hash: command.fingerprint(),
-            non_idempotent: effect,
+            non_idempotent,
             polled: true,
             ticket_created_at: None,
         };
         match service.submit(now, core, id, "", key.clone(), spec, request) {
-            SubmitResult::Pending(waiter) if first => {
-                // The first call is answered at once, so that the client knows its descriptor.
+            SubmitResult::Pending(waiter) if is_first => {
+                // The first call is answered at once, so that the client learns the descriptor to poll with.
                 service.remove_waiter(waiter, core);
                 self.send_poll_info(now, &key, &command, service, core);
             }
@@ -73,7 +73,7 @@
         Ok(())
     }
 
-    /// Reports how a polled query stands if the call has waited for long enough.
+    /// Reports the state of a polled query if the wait of the call is over.
     pub fn handle_poll_timeout(&mut self, now: Micros, service: &mut FlightService, core: &mut Core) {
         let CallState::WaitingForOutcome(pending) = &mut self.state else { return };
         if pending.report_at.is_none_or(|report_at| report_at > now) {
@@ -90,7 +90,7 @@
         self.send_poll_info(now, &key, &command, service, core);
     }
 
-    /// Sends how a polled query stands, and ends the call.
+    /// Sends the state of a polled query, and ends the call.
     pub fn send_poll_info(
         &mut self,
         now: Micros,
@@ -108,7 +108,7 @@
 }
 
 impl FlightService {
-    /// How a polled query stands: running with its progress, or complete with an endpoint for its outcome.
+    /// Returns the state of a polled query: running with its progress, or complete with an endpoint for its outcome.
     fn poll_info(
         &mut self,
         now: Micros,
@@ -155,7 +155,7 @@
     }
 }
 
-/// Sets schema, totals and metadata of a response.
+/// Sets schema, totals and metadata from a response.
 fn describe_response(info: &mut FlightInfo, response: &QueryResponse) {
     match response {
         QueryResponse::Ranked(ranked) => {
@@ -164,7 +164,7 @@
             info.schema = answer::schema_message(&answer::ranked_schema()).unwrap_or_default();
         }
         QueryResponse::Completed { complete, values } => {
-            info.total_records = values.iter().map(|(_, value)| rows_of(value)).sum();
+            info.total_records = values.iter().map(|(_, value)| row_count(value)).sum();
             info.total_bytes = values.iter().map(|(_, value)| value.bytes() as i64).sum();
             info.app_metadata = json!({ "total": complete }).to_string().into();
             info.schema = schema_of_values(values).unwrap_or_default();
@@ -173,7 +173,7 @@
     }
 }
 
-fn rows_of(value: &Value) -> i64 {
+fn row_count(value: &Value) -> i64 {
     match value {
         Value::Text(_) => 1,
         Value::Table(table) => table.rows as i64,
--- a/crates/edge/src/front/flight/methods/sessions.rs
+++ b/crates/edge/src/front/flight/methods/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions: the cookie that names one, and its options on the wire.
+//! Sessions: the session cookie, and the wire format of session options.
 
 use mallowgauge_core::sessions::{SessionId, Setting};
 use mallowgauge_flight::proto::{OptionValue, SessionOptionValue};
@@ -8,7 +8,7 @@
 use crate::front::flight::service::FlightService;
 
 impl Call {
-    /// The call's session, or a new one, which its client keeps as a cookie.
+    /// Returns the call's session. Without one, creates a new session and sets its cookie.
     pub fn session_or_new(&mut self, service: &mut FlightService) -> SessionId {
         if let Some(id) = self.head.identity.session {
             return id;
@@ -19,7 +19,7 @@
     }
 }
 
-/// The value of an option; `None` for a type that no option has.
+/// Converts an option's value from the wire; `None` for a type that no option has.
 pub fn option_from_wire(value: SessionOptionValue) -> Option<Setting> {
     Some(match value.option_value {
         None => Setting::Unset,
@@ -30,7 +30,7 @@
     })
 }
 
-/// The value of an option as Flight's messages carry it.
+/// Converts an option's value to the wire.
 pub fn option_to_wire(value: Setting) -> SessionOptionValue {
     let option_value = match value {
         Setting::Unset => None,
--- a/crates/edge/src/front/flight/mod.rs
+++ b/crates/edge/src/front/flight/mod.rs
@@ -1,17 +1,18 @@
-//! The Flight frontend: clients that speak Arrow Flight, which is gRPC over HTTP/2.
+//! The Flight frontend: serves clients over Arrow Flight, which is gRPC over HTTP/2.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `connection`, `stream_accept` | a client's connection; the head of a new call |
-//! | `call`, `call_driver` | one call: its messages in and out; what is done with them |
-//! | `method`, `methods` | the methods with one request message, a module each |
+//! | `connection`, `stream_accept` | a client's connection; accepting new calls on it |
+//! | `call`, `call_driver` | one call: reading and writing messages; driving the call's state |
+//! | `method`, `methods` | the methods with one request message |
 //! | `batch_stream`, `batch_driver` | `DoPut` and `DoExchange`: many queries on one stream |
-//! | `submission`, `response`, `status` | queries to the core; outcomes back to calls, as tables, metadata or statuses |
-//! | `auth`, `tickets`, `command` | who calls; sealed tickets; how a query is written |
+//! | `submission`, `response`, `status` | submitting queries to the core; encoding outcomes as tables, metadata or statuses |
+//! | `auth`, `tickets`, `command` | authentication; sealed tickets; parsing of queries |
 //! | `service` | the state that all calls share |
 //!
-//! Decisions are taken in `mallowgauge_core`: who is admitted (`stream_admission`), what becomes of a ticket and of a
-//! polled query (`polled_queries`), what a batch stream may begin (`query_stream`), which sessions are kept (`sessions`).
+//! Decisions are taken in `mallowgauge_core`: admission of connections and calls (`stream_admission`), the state of
+//! tickets and polled queries (`polled_queries`), when a batch stream may read and start queries (`query_stream`), and
+//! which sessions are kept (`sessions`).
 
 mod auth;
 mod batch_driver;
@@ -46,13 +47,13 @@
 use self::auth::Authenticator;
 use self::call::Call;
 use self::connection::{Connection, Lingering, State, LINGER_BYTES, LINGER_TIME};
-use self::service::{random, FlightService, ABANDONED_POLL_TIME, OUTCOME_RETENTION, SESSION_IDLE_TIME};
+use self::service::{random_bytes, FlightService, ABANDONED_POLL_TIME, OUTCOME_RETENTION, SESSION_IDLE_TIME};
 use self::submission::Delivery;
 use crate::http2_socket::{Http2Socket, WakeFlag};
 use crate::tls::{self, Acceptor, TlsError};
 use crate::token::SocketKind;
 
-/// The Flight frontend: its connections, and what their calls share.
+/// The Flight frontend: its connections, and the state that their calls share.
 pub struct FlightFrontend {
     connections: BTreeMap<u64, Connection>,
     lingering: BTreeMap<u64, Lingering>,
@@ -60,13 +61,13 @@
     connection_of_call: BTreeMap<u64, u64>,
     service: FlightService,
     acceptor: Option<Acceptor>,
-    /// No more connections are accepted, and those without a call end soon.
+    /// No more connections are accepted, and idle ones are closed soon.
     finishing: bool,
 }
 
-/// What a frontend is made of.
+/// The parameters of a frontend.
 pub struct Setup<'a> {
-    /// Its limits.
+    /// Limits on connections, calls and buffers.
     pub limits: StreamLimits,
     /// The operator's settings.
     pub settings: &'a Settings,
@@ -74,28 +75,28 @@
     pub classes: usize,
 }
 
-/// Why changed settings of the Flight frontend are not taken without a restart.
+/// Why changed settings of the Flight frontend cannot be applied.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
     /// The certificate or key cannot be used.
     #[error(transparent)]
     Tls(#[from] TlsError),
-    /// A listener with TLS cannot become one without, or the reverse.
-    #[error("flight.tls is turned on or off by a restart alone")]
+    /// TLS cannot be enabled or disabled on an open listener.
+    #[error("enabling or disabling flight.tls requires a restart")]
     TlsNeedsRestart,
 }
 
 impl FlightFrontend {
-    /// A frontend without connections.
+    /// Creates a frontend without connections.
     ///
     /// # Errors
     /// The certificate or key cannot be used.
     pub fn new(setup: &Setup<'_>) -> Result<Self, TlsError> {
         let Setup { limits, settings, classes } = setup;
-        // Without an operator's key, tickets and tokens are valid until this process ends.
-        let secret: [u8; 32] = random();
+        // Without a configured key, tickets and tokens are valid only until this process exits.
+        let secret: [u8; 32] = random_bytes();
         let key = seal::Key::new(settings.key.as_deref().unwrap_or(&secret));
-        let bounds = polled_queries::PolledQueryLimits {
+        let query_limits = polled_queries::PolledQueryLimits {
             queries: limits.polled_queries,
             outcome_bytes: limits.outcome_bytes,
             retention: OUTCOME_RETENTION,
@@ -103,21 +104,21 @@
         };
         let service = FlightService {
             admission: StreamAdmission::new(*limits),
-            polled_queries: PolledQueries::new(bounds),
+            polled_queries: PolledQueries::new(query_limits),
             runs: BTreeMap::new(),
             waiters: BTreeMap::new(),
             sessions: Sessions::new(limits.sessions, SESSION_IDLE_TIME),
             authenticator: Authenticator::new(settings.users.clone(), key.clone(), settings.token_lifetime),
             seal_key: key,
-            issuer: u64::from_le_bytes(random()),
+            issuer: u64::from_le_bytes(random_bytes()),
             ticket_lifetime: settings.ticket_lifetime,
             abandoned_poll_time: ABANDONED_POLL_TIME,
             custom_columns: settings.every_backend || !settings.backends.is_empty(),
             text_schema: schema_message(&text_schema()).ok(),
             known_schemas: vec![None; *classes],
-            seen_headers: vec![None; *classes],
+            source_schemas: vec![None; *classes],
             outbox: Vec::new(),
-            next_number: 0,
+            last_id: 0,
             draining: false,
         };
         let acceptor = settings.tls.as_ref().map(Acceptor::new).transpose()?;
@@ -131,10 +132,10 @@
         })
     }
 
-    /// Takes certificate, key and users from settings that were read again; open connections stay.
+    /// Applies certificate, key and users from reloaded settings. Open connections are kept.
     ///
     /// # Errors
-    /// The settings cannot be used; nothing has changed then.
+    /// The settings cannot be applied; the previous ones stay in use.
     pub fn reload(&mut self, settings: &Settings) -> Result<(), ReloadError> {
         let acceptor = settings.tls.as_ref().map(Acceptor::new).transpose()?;
         if acceptor.is_some() != self.acceptor.is_some() {
@@ -147,9 +148,9 @@
         Ok(())
     }
 
-    /// Whether one more connection may be accepted. Closes a lingering connection, or the one that has been idle for
-    /// longest, to make room.
-    pub fn has_room(&mut self) -> bool {
+    /// Makes capacity for one more connection if needed, by closing a lingering connection, or else the one that has
+    /// been idle for longest. Returns whether there is capacity.
+    pub fn ensure_capacity(&mut self) -> bool {
         if !self.service.admission.has_capacity() && self.lingering.pop_first().is_some() {
             self.service.admission.disconnected();
         }
@@ -192,7 +193,7 @@
         self.service.admission.connected();
     }
 
-    /// A connection's socket is ready, or something has to be written to it.
+    /// Handles readiness of a connection's socket, or new output for it.
     pub fn handle_ready(&mut self, now: Micros, id: u64, core: &mut Core) {
         self.drive_connection(now, id, core);
         self.deliver_outcomes(now, core);
@@ -206,12 +207,12 @@
             }
         }
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        if !connection.ready(now, id, &mut self.connection_of_call, &mut self.service, core) {
+        if !connection.handle_ready(now, id, &mut self.connection_of_call, &mut self.service, core) {
             self.close(now, id, core);
         }
     }
 
-    /// Delivers queued outcomes to their calls, until none is left.
+    /// Delivers queued outcomes to their calls until the queue is empty.
     fn deliver_outcomes(&mut self, now: Micros, core: &mut Core) {
         while !self.service.outbox.is_empty() {
             let mut active = BTreeSet::new();
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Ends a connection: its calls no longer wait for their queries.
+    /// Closes a connection, and withdraws its calls from their queries.
     fn close(&mut self, now: Micros, id: u64, core: &mut Core) {
         let Some(connection) = self.connections.remove(&id) else { return };
         for (call_id, mut call) in connection.calls {
@@ -246,16 +247,16 @@
         }
     }
 
-    /// The core's final response to a run.
-    pub fn respond(&mut self, now: Micros, run: u64, answer: QueryResponse, core: &mut Core) {
-        let answer = Rc::new(answer);
-        let waiters = self.service.run_completed(now, RunId(run), &answer);
-        self.service.queue_outcome(waiters, &Ok(answer));
+    /// Delivers the core's final response to a run.
+    pub fn respond(&mut self, now: Micros, run: u64, response: QueryResponse, core: &mut Core) {
+        let response = Rc::new(response);
+        let waiters = self.service.run_completed(now, RunId(run), &response);
+        self.service.queue_outcome(waiters, &Ok(response));
         self.deliver_outcomes(now, core);
     }
 
-    /// Whether a response is expected or being written, or a polled query runs that nobody waits for just now. What h2
-    /// buffers of a response is on its way for as long as its connection is open.
+    /// Returns whether a call expects a response or writes one, or a polled query runs without a waiter. Every open
+    /// connection without a call counts as busy, because h2 may still buffer part of a response.
     #[must_use]
     pub fn is_busy(&self) -> bool {
         let expects_response =
@@ -265,15 +266,15 @@
             || self.connections.values().any(expects_response)
     }
 
-    /// Sends every client a GOAWAY; batch streams end once what is open on them is answered.
+    /// Sends a GOAWAY to every client. Batch streams end once their open queries are answered.
     pub fn drain(&mut self, now: Micros, core: &mut Core) {
         self.service.draining = true;
         let ids: Vec<u64> = self.connections.keys().copied().collect();
         for id in ids {
             if let Some(connection) = self.connections.get_mut(&id) {
-                if let State::Up(up) = &mut connection.state {
+                if let State::Open(open) = &mut connection.state {
                     if !std::mem::replace(&mut connection.draining, true) {
-                        up.graceful_shutdown();
+                        open.graceful_shutdown();
                     }
                 }
                 connection.calls.values_mut().for_each(Call::drain);
@@ -282,13 +283,13 @@
         }
     }
 
-    /// No more connections are accepted; those without a call end soon.
+    /// Drains, and closes idle connections soon; no more connections are accepted.
     pub fn finish(&mut self, now: Micros, core: &mut Core) {
         self.finishing = true;
         self.drain(now, core);
     }
 
-    /// When the first time-out of a client, connection or polled query is due.
+    /// Returns when the first timeout of a call, connection or polled query is due.
     #[must_use]
     pub fn poll_timeout(&self) -> Option<Micros> {
         let calls = self.connections.values().flat_map(|c| c.calls.values());
@@ -302,7 +303,7 @@
             .min()
     }
 
-    /// Ends the calls, connections and polled queries whose time-outs are due.
+    /// Ends the calls, connections and polled queries whose timeouts are due.
     pub fn handle_timeout(&mut self, now: Micros, core: &mut Core) {
         for run in self.service.polled_queries.handle_timeout(now) {
             self.service.cancel_run(run, core);
@@ -330,7 +331,7 @@
             }
         }
         idle.into_iter().for_each(|id| self.close(now, id, core));
-        // What these calls were told has to be written.
+        // The statuses of these calls have to be written.
         active.into_iter().for_each(|id| self.handle_ready(now, id, core));
     }
 }
--- a/crates/edge/src/front/flight/response.rs
+++ b/crates/edge/src/front/flight/response.rs
@@ -1,4 +1,4 @@
-//! Turns an outcome into what a call sends: a table, metadata on a batch stream, or a status.
+//! Encodes an outcome for its call: as a table, as metadata on a batch stream, or as a status.
 
 use std::rc::Rc;
 
@@ -18,11 +18,12 @@
 use super::status::{failure_status, internal_error};
 use crate::front::query;
 
-/// Bytes that a message takes in the backlog beside its rows or metadata.
+/// Bytes that a message counts in the response backlog in addition to its rows or metadata.
 const MESSAGE_OVERHEAD: usize = 256;
 
 impl Call {
-    /// The response, unless it is a rejection or failure, or partial where the session accepts complete ones only.
+    /// Checks that a response can be sent: that it is not a rejection or failure, and not partial if the session
+    /// accepts complete responses only.
     ///
     /// # Errors
     /// The status that the client gets instead.
@@ -32,7 +33,7 @@
         }
         let partial = match &**response {
             QueryResponse::Completed { complete, .. } => !complete,
-            // Rows that are proved not to belong to the answer are not missing.
+            // Rows that provably do not belong to the result are not missing.
             QueryResponse::Ranked(ranked) => !ranked.exact,
             _ => false,
         };
@@ -42,13 +43,13 @@
         Ok(Rc::clone(response))
     }
 
-    /// How tables to this client are encoded.
+    /// Returns the encoding of tables sent to this client.
     fn table_style(&self) -> Style {
         let compression = self.head.options.compression;
         Style { compression, encoding: self.encoding(), ..Style::default() }
     }
 
-    /// Takes the outcome of one of this call's queries.
+    /// Sends the outcome of one of this call's queries.
     pub fn deliver(
         &mut self,
         now: Micros,
@@ -59,8 +60,8 @@
         core: &Core,
     ) {
         match &mut self.state {
-            CallState::WaitingForOutcome(waiting) => {
-                match std::mem::replace(&mut waiting.outcome_use, OutcomeUse::Table) {
+            CallState::WaitingForOutcome(pending) => {
+                match std::mem::replace(&mut pending.outcome_use, OutcomeUse::Table) {
                     OutcomeUse::Table => {
                         match outcome.and_then(|response| self.checked_response(&response)) {
                             Ok(response) => self.send_table(now, &response),
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Sends a response as a table, and ends the call behind it.
+    /// Sends a response as a table, and ends the call after it.
     pub fn send_table(&mut self, now: Micros, response: &QueryResponse) {
         let style = self.table_style();
         let stream = match response {
@@ -101,10 +102,10 @@
         }
     }
 
-    /// An outcome on a batch stream: metadata that name the query, and on an exchange the rows.
+    /// Sends an outcome on a batch stream: metadata that identify the query, and on a `DoExchange` its rows.
     fn deliver_to_batch(&mut self, now: Micros, tag: &str, id: &str, outcome: Outcome) {
         let outcome = outcome.and_then(|response| match failure_status(&response) {
-            // The metadata of a rejection or failure say more than its status would.
+            // The metadata of a rejection or failure are more detailed than its status.
             Some(_) => Ok(response),
             None => self.checked_response(&response),
         });
@@ -123,27 +124,27 @@
     }
 }
 
-/// The values of a response, if they are no ranked rows.
-fn values_of(response: Option<&QueryResponse>) -> &[(ShardId, QueryValue)] {
+/// Returns the values of a response; empty for a response of ranked rows.
+fn response_values(response: Option<&QueryResponse>) -> &[(ShardId, QueryValue)] {
     match response {
         Some(QueryResponse::Completed { values, .. }) => values,
         _ => &[],
     }
 }
 
-fn ranked_of(response: Option<&QueryResponse>) -> Option<&Ranked> {
+fn response_ranking(response: Option<&QueryResponse>) -> Option<&Ranked> {
     match response {
         Some(QueryResponse::Ranked(ranked)) => Some(ranked),
         _ => None,
     }
 }
 
-/// The result of one row of a `DoPut`, and its size in bytes: all of the outcome stands in its metadata.
+/// Returns the result of one row of a `DoPut`, and its size in bytes. The metadata hold the complete outcome.
 fn put_result(mut metadata: Value, response: Option<&QueryResponse>, style: &Style) -> (OutboundItem, usize) {
-    if let Some(ranked) = ranked_of(response) {
+    if let Some(ranked) = response_ranking(response) {
         metadata["rows"] = query::write_ranked(ranked)["rows"].take();
     }
-    let values = values_of(response);
+    let values = response_values(response);
     if !values.is_empty() {
         metadata["answers"] = values.iter().map(value_json).collect();
     }
@@ -154,8 +155,8 @@
     (OutboundItem::Pieces(pieces.into()), bytes)
 }
 
-/// The answer to one query of a `DoExchange`, and its size in bytes: its rows if they have the stream's schema,
-/// otherwise its metadata alone.
+/// Returns the response to one query of a `DoExchange`, and its size in bytes: the rows if they have the stream's
+/// schema, otherwise the metadata alone.
 fn exchange_item(
     stream: &mut BatchStream,
     tag: &str,
@@ -163,12 +164,12 @@
     response: Option<&QueryResponse>,
     style: Style,
 ) -> (OutboundItem, usize) {
-    let (values, ranked) = (values_of(response), ranked_of(response));
+    let (values, ranked) = (response_values(response), response_ranking(response));
     let header = match ranked {
         Some(_) => Some(Stream::ranked_header()),
         None => Stream::header(values).ok().filter(|_| !values.is_empty()),
     };
-    let fits = match (&header, &stream.sent_schema) {
+    let has_stream_schema = match (&header, &stream.sent_schema) {
         (Some(header), Some(sent)) => header == sent,
         (header, _) => header.is_some(),
     };
@@ -183,7 +184,7 @@
         Some(ranked) => Stream::ranked(&ranked.rows, style),
         None => Stream::new(values, style),
     };
-    if let Some(table) = table.ok().filter(|_| fits) {
+    if let Some(table) = table.ok().filter(|_| has_stream_schema) {
         stream.sent_schema = stream.sent_schema.take().or(header);
         let texts = ranked.iter().flat_map(|ranked| &ranked.rows).map(|row| row.text.len());
         let size = values.iter().map(|(_, value)| value.bytes()).chain(texts).sum::<usize>();
@@ -197,7 +198,7 @@
     (OutboundItem::Pieces(pieces.into()), MESSAGE_OVERHEAD)
 }
 
-/// A value as metadata carry it: a text in full, of a table only its number of rows.
+/// Returns a value for the metadata: a text in full, but only the number of rows of a table.
 fn value_json((shard, value): &(ShardId, QueryValue)) -> Value {
     match value {
         QueryValue::Text(text) => json!({"range": shard.0, "blob": **text}),
@@ -205,7 +206,7 @@
     }
 }
 
-/// The metadata of an outcome on a batch stream. The words of its status are part of the wire.
+/// Returns the metadata of an outcome on a batch stream. The texts of `status` are part of the protocol.
 fn outcome_metadata(kind: BatchKind, tag: &str, id: &str, outcome: &Outcome) -> Value {
     let mut metadata = match outcome {
         Ok(response) => response_metadata(response),
@@ -265,7 +266,7 @@
     metadata
 }
 
-/// Whole milliseconds, rounded up.
+/// Converts microseconds to milliseconds, rounded up.
 fn millis(micros: Micros) -> u64 {
     micros.div_ceil(1000)
 }
--- a/crates/edge/src/front/flight/service.rs
+++ b/crates/edge/src/front/flight/service.rs
@@ -1,4 +1,4 @@
-//! The state that all calls of the Flight front share.
+//! The state that all calls of the Flight frontend share.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,23 +17,24 @@
 
 /// The values of `HealthCheckResponse.ServingStatus`, from gRPC's health checking protocol.
 pub mod health {
-    /// The service takes calls.
+    /// The service accepts calls.
     pub const SERVING: i32 = 1;
-    /// The service takes no new calls.
+    /// The service accepts no new calls.
     pub const NOT_SERVING: i32 = 2;
-    /// There is no such service; only a watch reports it.
+    /// The requested service does not exist. Sent by `Watch` only.
     pub const SERVICE_UNKNOWN: i32 = 3;
 }
 
-/// How long the outcome of a shared query is kept, in microseconds.
+/// How long the outcome of a shared query is retained, in microseconds.
 pub const OUTCOME_RETENTION: Micros = 600_000_000;
 /// How long a session is kept after its last call, in microseconds.
 pub const SESSION_IDLE_TIME: Micros = 3_600_000_000;
-/// A polled query that nobody polls for this long is cancelled, in microseconds.
+/// A polled query without a poll for this long is cancelled, in microseconds.
 pub const ABANDONED_POLL_TIME: Micros = 30_000_000;
 
-/// Unpredictable bytes that no two instances share: from the operating system, not from the configured seed.
-pub fn random<const N: usize>() -> [u8; N] {
+/// Returns unpredictable bytes that differ between instances: they come from the operating system, not from the
+/// configured seed.
+pub fn random_bytes<const N: usize>() -> [u8; N] {
     let mut bytes = [0; N];
     if let Err(e) = getrandom::fill(&mut bytes) {
         tracing::error!("system random numbers unavailable: {e}");
@@ -41,71 +42,71 @@
     bytes
 }
 
-/// What a query came to: a response of the core, or the status of a query that never reached it.
+/// The outcome of a query: the core's response, or the status of a query that was not submitted to the core.
 pub type Outcome = Result<Rc<QueryResponse>, Status>;
 
 /// The state that all calls share. The decisions behind it are taken in `mallowgauge_core`.
 pub struct FlightService {
     /// Counts connections, calls and handshakes against their limits.
     pub admission: StreamAdmission,
-    /// Queries that several calls may share: polled ones, and those that must run once.
+    /// Queries that several calls may share: polled ones, and those that must be run once only.
     pub polled_queries: PolledQueries<Rc<QueryResponse>>,
-    /// Queries in the core.
+    /// Queries submitted to the core.
     pub runs: BTreeMap<RunId, ActiveRun>,
-    /// Which call each waiter stands for.
+    /// The call behind each waiter.
     pub waiters: BTreeMap<WaiterId, OutcomeTarget>,
-    /// Options that clients have set.
+    /// Sessions with the options that clients have set.
     pub sessions: Sessions,
-    /// Users and tokens.
+    /// Authenticates callers and issues tokens.
     pub authenticator: Authenticator,
-    /// Seals tickets and tokens.
+    /// The key that tickets and tokens are sealed with.
     pub seal_key: seal::Key,
-    /// Names this process in the tickets that it issues.
+    /// Identifies this process in the tickets that it issues.
     pub issuer: u64,
-    /// In microseconds.
+    /// How long a ticket is valid, in microseconds.
     pub ticket_lifetime: Micros,
-    /// A polled query that nobody polls for this long is cancelled, in microseconds.
+    /// A polled query without a poll for this long is cancelled, in microseconds.
     pub abandoned_poll_time: Micros,
-    /// Some backends may answer with tables of their own columns.
+    /// Whether some backends may respond with tables of other columns than the text schema's.
     pub custom_columns: bool,
-    /// The schema of an answer of plain texts, as `FlightInfo` carries it.
+    /// The schema of responses that consist of texts, in the encoding of `FlightInfo`.
     pub text_schema: Option<Bytes>,
-    /// The last schema of each class's answers, as `FlightInfo` carries it.
+    /// The latest schema of each class's responses, in the encoding of `FlightInfo`.
     pub known_schemas: Vec<Option<Bytes>>,
-    /// The same, as the first backend encoded it.
-    pub seen_headers: Vec<Option<Bytes>>,
-    /// Outcomes on their way to calls.
+    /// The backend's encoding of each schema in `known_schemas`; `None` for texts.
+    pub source_schemas: Vec<Option<Bytes>>,
+    /// Outcomes to be delivered to calls.
     pub outbox: Vec<Delivery>,
-    /// The last number given out by [`FlightService::next_id`].
-    pub next_number: u64,
-    /// The server shuts down.
+    /// The last id returned by [`FlightService::next_id`].
+    pub last_id: u64,
+    /// The server is shutting down.
     pub draining: bool,
 }
 
 impl FlightService {
-    /// A number for a connection, call, run or waiter; never given out twice.
+    /// Returns a unique id for a connection, call, run or waiter.
     pub fn next_id(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
+        self.last_id += 1;
+        self.last_id
     }
 
-    /// An id for a query whose client gives none.
+    /// Generates an id for a query whose client sets none.
     pub fn generate_query_id(&self) -> String {
-        format!("{:016x}", u64::from_le_bytes(random()))
+        format!("{:016x}", u64::from_le_bytes(random_bytes()))
     }
 
-    /// An id for a new session.
+    /// Generates an id for a new session.
     pub fn generate_session_id(&self) -> SessionId {
-        SessionId(u128::from_le_bytes(random()))
+        SessionId(u128::from_le_bytes(random_bytes()))
     }
 
-    /// A bearer token for a user, with a session of its own.
+    /// Issues a bearer token for a user, with a new session.
     pub fn issue_token(&mut self, now: Micros, user: &str) -> String {
         let session = self.generate_session_id();
         self.authenticator.issue_token(now, user, session.0)
     }
 
-    /// The serving status of gRPC's health checks.
+    /// Returns the serving status for gRPC's health checks.
     pub fn health_status(&self) -> i32 {
         if self.draining {
             health::NOT_SERVING
--- a/crates/edge/src/front/flight/status.rs
+++ b/crates/edge/src/front/flight/status.rs
@@ -1,4 +1,4 @@
-//! The statuses of gRPC for what a call or a query can come to.
+//! The gRPC statuses of rejected and failed calls and queries.
 
 use std::borrow::Cow;
 
@@ -7,30 +7,30 @@
 use mallowgauge_flight::grpc::{Code, Status};
 use mallowgauge_router::Micros;
 
-/// When a client whose query finds no place may come back, in microseconds.
+/// How long a client should wait before a retry when too many queries are open, in microseconds.
 const FULL_RETRY_AFTER: Micros = 250_000;
 
-/// The request is malformed.
-pub fn invalid_argument(words: impl Into<Cow<'static, str>>) -> Status {
-    Status::new(Code::InvalidArgument, words)
+/// Returns the status of a malformed request.
+pub fn invalid_argument(message: impl Into<Cow<'static, str>>) -> Status {
+    Status::new(Code::InvalidArgument, message)
 }
 
-/// A response could not be encoded.
+/// Returns the status of a query whose response cannot be encoded.
 pub fn internal_error() -> Status {
     Status::new(Code::Internal, "the answer could not be written")
 }
 
-/// The server shuts down and begins nothing new.
+/// Returns the status of a query that arrives during a graceful shutdown.
 pub fn draining() -> Status {
     Status::new(Code::Unavailable, "this gatherer ends").because("DRAINING").retry(1)
 }
 
-/// The status of a query that was rejected or failed; `None` for one that was answered.
+/// Returns the status of a query that was rejected or failed; `None` if it was answered.
 ///
-/// Standard clients may repeat a call that ends with `UNAVAILABLE`, so that code is only used where nothing can have
-/// been executed.
-pub fn failure_status(answer: &QueryResponse) -> Option<Status> {
-    Some(match answer {
+/// Standard clients may retry a call that ends with `UNAVAILABLE`, so that code is used only if the query was not
+/// executed.
+pub fn failure_status(response: &QueryResponse) -> Option<Status> {
+    Some(match response {
         QueryResponse::Completed { .. } | QueryResponse::Ranked(_) => return None,
         QueryResponse::Rejected { retry_after, not_executed } => {
             let code = if *not_executed { Code::Unavailable } else { Code::ResourceExhausted };
@@ -47,7 +47,7 @@
     })
 }
 
-/// Why a query under an id is not run.
+/// Returns the status of a query that is rejected because of the state of its id.
 pub fn rejection_status(reason: RejectReason) -> Status {
     match reason {
         RejectReason::DifferentBody => {
--- a/crates/edge/src/front/flight/stream_accept.rs
+++ b/crates/edge/src/front/flight/stream_accept.rs
@@ -1,4 +1,4 @@
-//! Accepts a new HTTP/2 stream: reads the head of the call, and answers at once where no call can be made of it.
+//! Accepts a new HTTP/2 stream: reads the head of its call, and responds at once to a stream that is not a valid call.
 
 use bytes::Bytes;
 use h2::server::SendResponse;
@@ -14,10 +14,10 @@
 use super::service::FlightService;
 use super::status::invalid_argument;
 
-/// The call that a new stream is; `None` if the stream was answered at once.
+/// Returns the call of a new stream; `None` if the stream was ended at once.
 ///
-/// What is not gRPC gets HTTP status 415. An unknown method, a malformed head, an unknown caller, or a full call table
-/// get a gRPC status without a body.
+/// A request that is not gRPC gets HTTP status 415. An unknown method, a malformed head, an unauthenticated caller or
+/// too many open calls get a gRPC status without a body.
 pub fn accept(
     now: Micros,
     request: Request<RecvStream>,
@@ -44,9 +44,9 @@
         }
         method => CallState::Request(method),
     };
-    // A handshake by header lines alone is answered at once: its client may keep its side open.
-    let by_header = method == Method::Handshake && request.headers().contains_key("authorization");
-    let basic_headers = by_header.then(|| request.headers().clone());
+    // A handshake by headers alone is answered at once, because its client may not end its side of the stream.
+    let is_header_handshake = method == Method::Handshake && request.headers().contains_key("authorization");
+    let basic_headers = is_header_handshake.then(|| request.headers().clone());
     let mut call = Call::new(now, head, state, request, respond, (limits.message_bytes, limits.send_buffer));
     if let Some(headers) = basic_headers {
         answer_header_handshake(now, &headers, &mut call, service);
@@ -65,10 +65,10 @@
         && suffix.is_some_and(|rest| rest.is_empty() || rest.starts_with(['+', ';']))
 }
 
-/// Reads method, time-out, encoding and identity of a call, and counts it as open.
+/// Reads method, timeout, encoding and identity of a call, and admits it.
 ///
 /// # Errors
-/// The status that the stream ends with; the call is not counted then.
+/// The status that the stream ends with; the call is not counted as open then.
 fn read_head(
     now: Micros,
     request: &Request<RecvStream>,
@@ -97,7 +97,7 @@
     Ok((method, head))
 }
 
-/// Ends a stream with a status alone.
+/// Ends a stream with a status and no messages.
 fn end_stream(status: &Status, mut respond: SendResponse<Bytes>) {
     let mut response = Response::new(());
     let headers = response.headers_mut();
@@ -107,7 +107,7 @@
     let _ = respond.send_response(response, true);
 }
 
-/// Answers a handshake whose credentials stand in its header lines with a bearer token.
+/// Responds with a bearer token to a handshake whose credentials are in its headers.
 fn answer_header_handshake(now: Micros, headers: &HeaderMap, call: &mut Call, service: &mut FlightService) {
     match service.authenticator.identify(now, headers, &mut service.admission) {
         Ok(identity) => {
--- a/crates/edge/src/front/flight/submission.rs
+++ b/crates/edge/src/front/flight/submission.rs
@@ -1,7 +1,7 @@
-//! Submits the queries of calls to the core, and routes their outcomes to the calls that wait.
+//! Submits the queries of calls to the core, and routes their outcomes to the waiting calls.
 //!
-//! A query that must run once, or that is polled, is shared: every call that submits it under the same key waits for the
-//! same run. Any other query has a run, and one waiter, of its own.
+//! A non-idempotent or polled query is shared: all calls that submit it under the same key wait for the same run. Any
+//! other query gets a separate run with one waiter.
 
 use std::rc::Rc;
 
@@ -11,50 +11,50 @@
 use mallowgauge_core::{Core, Failure, QueryRequest, QueryResponse, ResponseHandle};
 use mallowgauge_router::{ClassId, Micros};
 
-use super::service::{random, FlightService, Outcome};
+use super::service::{random_bytes, FlightService, Outcome};
 use super::status::rejection_status;
 
-/// Characters of a query's id that are kept where it is made unique.
-const UNIQUE_ID_PREFIX: usize = 40;
+/// How many characters of a query's id are kept when it is made unique.
+const UNIQUE_ID_PREFIX_CHARS: usize = 40;
 
-/// What came of a query that a call has submitted.
+/// The result of submitting a query.
 pub enum SubmitResult {
-    /// Its outcome will come for this waiter.
+    /// The outcome will be delivered to this waiter.
     Pending(WaiterId),
-    /// It has its outcome already.
+    /// The outcome is already known.
     Completed(Outcome),
 }
 
-/// A query in the core.
+/// A query submitted to the core.
 pub struct ActiveRun {
-    /// Its class.
+    /// The class of the query.
     pub class: ClassId,
-    /// What it is known by.
+    /// The user and id of the query.
     pub key: PolledQueryKey,
-    /// Who waits for a run that is not shared.
+    /// The waiter of a run that is not shared.
     pub only_waiter: Option<WaiterId>,
 }
 
-/// Where an outcome goes.
+/// The destination of an outcome.
 pub struct OutcomeTarget {
-    /// The call.
+    /// The id of the call.
     pub call: u64,
-    /// Which of the call's queries; empty where a call has one.
+    /// Identifies the query within its call; empty if the call has one query only.
     pub tag: Rc<str>,
     /// The client's id of the query.
     pub id: Rc<str>,
 }
 
-/// An outcome on its way to a call.
+/// An outcome to be delivered to a call.
 pub struct Delivery {
-    /// Where it goes.
+    /// The destination.
     pub target: OutcomeTarget,
     /// The outcome.
     pub outcome: Outcome,
 }
 
 impl FlightService {
-    /// Submits a query. One that is not idempotent, and a polled one, has one outcome whoever submits it.
+    /// Submits a query. A non-idempotent or polled one has one outcome, however many calls submit it.
     #[allow(clippy::too_many_arguments)] // All of them describe one query of one call.
     pub fn submit(
         &mut self,
@@ -75,7 +75,7 @@
                     self.add_waiter(waiter, call, tag, &key);
                     return SubmitResult::Pending(waiter);
                 }
-                Submission::Replay(answer) => return SubmitResult::Completed(Ok(answer)),
+                Submission::Replay(response) => return SubmitResult::Completed(Ok(response)),
                 Submission::Reject(reason) => {
                     return SubmitResult::Completed(Err(rejection_status(reason)));
                 }
@@ -89,20 +89,21 @@
         let request = Self::with_unique_id(request, core);
         match core.submit(now, ResponseHandle::Flight(run.0), request) {
             Ok(()) => SubmitResult::Pending(waiter),
-            Err(answer) => {
+            Err(response) => {
                 self.waiters.remove(&waiter);
-                let answer = Rc::new(answer);
-                self.run_completed(now, run, &answer);
-                SubmitResult::Completed(Ok(answer))
+                let response = Rc::new(response);
+                self.run_completed(now, run, &response);
+                SubmitResult::Completed(Ok(response))
             }
         }
     }
 
-    /// Backends tell queries apart by their ids: a ticket that is used twice at a time gets another id.
+    /// Replaces the id of a query if a query with that id is open. Backends distinguish queries by their ids, and a
+    /// ticket may be used twice at the same time.
     fn with_unique_id(mut request: QueryRequest, core: &Core) -> QueryRequest {
         if core.is_open(&request.id) {
-            let prefix: String = request.id.chars().take(UNIQUE_ID_PREFIX).collect();
-            request.id = format!("{prefix}~{:08x}", u32::from_le_bytes(random())).into();
+            let prefix: String = request.id.chars().take(UNIQUE_ID_PREFIX_CHARS).collect();
+            request.id = format!("{prefix}~{:08x}", u32::from_le_bytes(random_bytes())).into();
         }
         request
     }
@@ -112,14 +113,14 @@
         self.waiters.insert(waiter, OutcomeTarget { call, tag: tag.into(), id });
     }
 
-    /// Takes the final response of a run, and returns who waits for it.
-    pub fn run_completed(&mut self, now: Micros, run: RunId, answer: &Rc<QueryResponse>) -> Vec<WaiterId> {
+    /// Records the final response of a run, and returns its waiters.
+    pub fn run_completed(&mut self, now: Micros, run: RunId, response: &Rc<QueryResponse>) -> Vec<WaiterId> {
         let Some(completed) = self.runs.remove(&run) else { return Vec::new() };
-        self.learn_schema(completed.class, answer);
+        self.learn_schema(completed.class, response);
         if let Some(waiter) = completed.only_waiter {
             return vec![waiter];
         }
-        let (bytes, not_executed) = match &**answer {
+        let (bytes, not_executed) = match &**response {
             QueryResponse::Completed { values, .. } => {
                 (values.iter().map(|(_, value)| value.bytes()).sum(), false)
             }
@@ -127,10 +128,10 @@
                 (ranked.rows.iter().map(|row| row.text.len() + row.id.len()).sum(), false)
             }
             QueryResponse::Rejected { not_executed, .. } => (0, *not_executed),
-            // An invalid query has not been executed.
+            // Of the failures, only an invalid query is certain not to have been executed.
             QueryResponse::Failed(failure) => (0, matches!(failure, Failure::Invalid(_))),
         };
-        self.polled_queries.complete(now, run, Rc::clone(answer), bytes, not_executed)
+        self.polled_queries.complete(now, run, Rc::clone(response), bytes, not_executed)
     }
 
     /// Queues an outcome for the calls of these waiters.
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Cancels a run that nobody waits for.
+    /// Cancels a run.
     pub fn cancel_run(&mut self, run: RunId, core: &mut Core) {
         if self.runs.remove(&run).is_some() {
             core.client_disconnected(ResponseHandle::Flight(run.0));
@@ -160,7 +161,8 @@
         }
     }
 
-    /// A call no longer waits for an outcome.
+    /// Removes the waiter of a call. A run that is not shared is cancelled; a non-idempotent or polled query
+    /// continues.
     pub fn remove_waiter(&mut self, waiter: WaiterId, core: &mut Core) {
         self.waiters.remove(&waiter);
         let unshared = self.runs.iter().find(|(_, run)| run.only_waiter == Some(waiter)).map(|(&id, _)| id);
--- a/crates/edge/src/front/flight/tickets.rs
+++ b/crates/edge/src/front/flight/tickets.rs
@@ -1,7 +1,7 @@
-//! Tickets and endpoints: sealed for a user, read back, renewed and revoked.
+//! Tickets and endpoints: issuing them for a user, reading, renewing and revoking them.
 //!
-//! A ticket carries its query. One of a query that is not idempotent is valid only at the instance that issued it, which
-//! remembers whether the query was run.
+//! A ticket contains its query. The ticket of a non-idempotent query is valid only at the instance that issued it,
+//! because only that instance knows whether the query was run.
 
 use std::rc::Rc;
 
@@ -18,14 +18,14 @@
 use super::service::FlightService;
 use super::status::{invalid_argument, rejection_status};
 
-/// A point of the server's clock, in microseconds since the Unix epoch, as Flight's messages carry it.
+/// Converts a time in microseconds since the Unix epoch to a timestamp of Flight's messages.
 pub fn timestamp(at: Micros) -> Timestamp {
     Timestamp { seconds: (at / 1_000_000) as i64, nanos: (at % 1_000_000) as i32 * 1000 }
 }
 
 impl FlightService {
-    /// An endpoint whose ticket stands for a command. `made` is when the query was first issued a ticket; `polled`: the
-    /// ticket fetches the outcome of a polled query and runs nothing.
+    /// Issues an endpoint with a ticket for a command. `made` is when the first ticket for the query was issued. With
+    /// `polled` the ticket fetches the outcome of a polled query, and runs nothing.
     pub fn issue_endpoint(
         &self,
         now: Micros,
@@ -47,7 +47,7 @@
         FlightEndpoint { ticket, expiration_time: Some(timestamp(expires)), ..FlightEndpoint::default() }
     }
 
-    /// Reads a sealed ticket.
+    /// Opens a sealed ticket.
     ///
     /// # Errors
     /// The ticket has expired, is forged, or belongs to another user.
@@ -69,10 +69,11 @@
         Ok(ticket)
     }
 
-    /// The commands of a `FlightInfo`'s tickets, or else of its descriptor, each with when its ticket was made.
+    /// Returns the commands of a `FlightInfo`'s tickets, or else of its descriptor, each with the time of its first
+    /// ticket.
     ///
     /// # Errors
-    /// There is neither, or one of them cannot be read.
+    /// There is neither ticket nor descriptor, or one of them is not valid.
     pub fn commands_of(
         &self,
         now: Micros,
@@ -96,8 +97,8 @@
         Ok(commands)
     }
 
-    /// The endpoint with a ticket that is valid for longer. The query's age stays: what may have been forgotten of it does
-    /// not become new.
+    /// Renews the ticket of an endpoint. The time of the first ticket is kept: a query whose outcome may have been
+    /// forgotten must not look like a new one.
     ///
     /// # Errors
     /// The ticket is not valid, was cancelled, or is valid at another instance only.
@@ -124,7 +125,7 @@
         Ok(FlightEndpoint { app_metadata: endpoint.app_metadata, location: endpoint.location, ..renewed })
     }
 
-    /// Makes an endpoint's ticket invalid.
+    /// Revokes the ticket of an endpoint.
     ///
     /// # Errors
     /// The ticket is not valid, or its query can no longer be revoked.
@@ -139,10 +140,10 @@
         let ticket = self.open_ticket(now, &sealed.ticket, identity)?;
         let command = Command::from_json(&ticket.command, core, UNUSED_ID)?;
         let key = PolledQueryKey { user: Rc::clone(&identity.user), id: command.id.as_str().into() };
-        let effect = !core.is_idempotent(command.class);
+        let non_idempotent = !core.is_idempotent(command.class);
         let spec = PolledQuerySpec {
             request_hash: command.fingerprint(),
-            non_idempotent: effect,
+            non_idempotent,
             polled: false,
             ticket_created_at: Some(ticket.made),
         };
--- a/crates/edge/src/front/http.rs
+++ b/crates/edge/src/front/http.rs
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Starts a lingering close: shuts down the write side first, and then reads and drops the input. A request in that
-    /// input gets no response, so its client can send it again on another connection.
+    /// Starts a lingering close: shuts down the write side first, and then reads and drops the input. A request in
+    /// that input gets no response, so its client can send it again on another connection.
     fn linger(&mut self, now: Micros, id: u64, core: &mut Core) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.linger(now);
@@ -177,8 +177,8 @@
         self.handle_ready(now, id, core);
     }
 
-    /// Returns whether any client is still connected. Every wait for a client is bounded, and idle clients are not waited
-    /// for in [`Phase::Finishing`].
+    /// Returns whether any client is still connected. Every wait for a client is bounded, and idle clients are not
+    /// waited for in [`Phase::Finishing`].
     #[must_use]
     pub fn is_busy(&self) -> bool {
         !self.connections.is_empty()
--- a/crates/edge/src/front/http/connection.rs
+++ b/crates/edge/src/front/http/connection.rs
@@ -13,9 +13,9 @@
 
 /// Maximum buffered input, in bytes: a whole head fits, and body bytes are consumed as they arrive.
 const MAX_INPUT: usize = http1::MAX_HEAD_BYTES;
-/// Maximum buffered input while the client waits for its response, in bytes. One pipelined request of maximum size fits,
-/// so that the end of the stream behind it is noticed and the client counts as disconnected. A client that sends more is
-/// rejected.
+/// Maximum buffered input while the client waits for its response, in bytes. One pipelined request of maximum size
+/// fits, so that the end of the stream behind it is noticed and the client counts as disconnected. A client that
+/// sends more is rejected.
 const MAX_PIPELINED_INPUT: usize = MAX_INPUT + http1::MAX_REQUEST_BODY_BYTES;
 /// Maximum memory for one client's input, in bytes: a head or the last read, and a body; or input pipelined behind a
 /// query.
@@ -214,7 +214,8 @@
         Some(consumed)
     }
 
-    /// Starts the request timeout at the first bytes of a request. For the first request it starts with the connection.
+    /// Starts the request timeout at the first bytes of a request. For the first request it starts with the
+    /// connection.
     fn track_request_start(&mut self, now: Micros) {
         let started = match self.state {
             State::ReadingBody(..) => true,
@@ -284,7 +285,8 @@
         }
     }
 
-    /// Rejects malformed input. The start of the next request is unknown then, so nothing more is read from this client.
+    /// Rejects malformed input. The start of the next request is unknown then, so nothing more is read from this
+    /// client.
     pub(super) fn reject_input(&mut self, now: Micros, error: MessageError) {
         tracing::debug!("malformed request: {error}");
         self.count_malformed_request(error.status());
--- a/crates/edge/src/front/http1.rs
+++ b/crates/edge/src/front/http1.rs
@@ -190,8 +190,8 @@
         length
     }
 
-    /// Reads a chunk-size line, together with the line break behind the previous chunk. Returns the number of bytes read,
-    /// or `None` while the line is incomplete.
+    /// Reads a chunk-size line, together with the line break behind the previous chunk. Returns the number of bytes
+    /// read, or `None` while the line is incomplete.
     fn read_chunk_size(&mut self, rest: &[u8]) -> Result<Option<usize>, MessageError> {
         let skip = if self.data.is_empty() { 0 } else { 2 };
         if skip > 0 && !b"\r\n".starts_with(&rest[..rest.len().min(2)]) {
@@ -300,8 +300,8 @@
         Self { head: None, limit }
     }
 
-    /// Consumes bytes from `input`; `Some` once the response is complete. `ended` states that the other side has closed
-    /// the connection cleanly, not by a reset.
+    /// Consumes bytes from `input`; `Some` once the response is complete. `ended` states that the other side has
+    /// closed the connection cleanly, not by a reset.
     ///
     /// # Errors
     /// The response is malformed or too large.
--- a/crates/edge/src/server/accept.rs
+++ b/crates/edge/src/server/accept.rs
@@ -130,7 +130,7 @@
         }
         loop {
             let now = self.clock.now();
-            if !self.flight.has_room() {
+            if !self.flight.ensure_capacity() {
                 return self.listeners.pause(now, &"no room for another Flight connection");
             }
             let Some(socket) = self.listeners.accept(now, Frontend::Flight) else { return };
