--- a/crates/edge/src/front/flight/methods/actions.rs
+++ b/crates/edge/src/front/flight/methods/actions.rs
@@ -160,7 +160,7 @@
         core: &mut Core,
     ) -> Result<CancelStatus, Status> {
         let mut status = CancelStatus::Cancelled;
-        for (command, made) in self.commands_of(now, info, identity, core)? {
+        for (command, issued_at) in self.commands_of(now, info, identity, core)? {
             let key = PolledQueryKey { user: Rc::clone(&identity.user), id: command.id.as_str().into() };
             let result = self
                 .polled_queries
@@ -178,7 +178,7 @@
                         request_hash: command.fingerprint(),
                         non_idempotent,
                         polled: false,
-                        ticket_created_at: Some(made),
+                        ticket_created_at: Some(issued_at),
                     };
                     self.cancel_unshared_runs(&key, core);
                     self.polled_queries.revoke(now, &key, spec).map_err(rejection_status)?;
