--- a/crates/router/src/admission.rs
+++ b/crates/router/src/admission.rs
@@ -1,17 +1,17 @@
 //! Which queries are rejected on arrival, before any of their parts is sent.
 //!
-//! A query is rejected by one of these:
+//! A query is rejected for one of these reasons:
 //! - its class is not configured;
-//! - its latency objective has passed already ([`QueryArrival::expires_in`], and whether it is a client's
-//!   retry), and its class pays nothing for late answers or sheds load;
-//! - at random, with the drop rate of its class. [`Admission`] raises that rate by a fixed step in each control
-//!   interval in which too few of the class's recent queries met their latency objective, and lowers it by
-//!   the same step in every other. Queries that miss only because of outliers do not count
-//!   (`excluded_from_objective`);
-//! - so many of its parts have no replica that answers in time that it [`cannot_meet_objective`].
+//! - its latency objective has already passed ([`QueryArrival::expires_in`], and whether it is a client's
+//!   retry), and late answers of its class have no value or the class sheds load;
+//! - load shedding drops it at random, with the drop rate of its class. [`Admission`] raises that rate by a
+//!   fixed step in each control interval in which too few of the class's recent queries met their latency
+//!   objective, and lowers it by the same step in every other. Queries that miss only because of outliers do
+//!   not count (`excluded_from_objective`);
+//! - the parts that no replica is expected to answer in time weigh so much that it [`cannot_meet_objective`].
 //!
-//! Which parts of an admitted query are sent, and when it is rejected later after all, is in [`crate::completion`]. A
-//! rejected client is told when it may come back by `retry_after`.
+//! [`crate::completion`] decides which parts of an admitted query are sent, and when an admitted query is
+//! rejected after all. `retry_after` is the delay that a rejected client is advised to wait.
 
 use crate::events::{Outcome, QueryArrival};
 use crate::ids::{BackendId, ClassId, Micros};
@@ -19,22 +19,23 @@
 use crate::random::Random;
 use crate::settings::{Class, DeploymentLimits, ROUNDING};
 
-/// How often the drop rates move, in microseconds.
+/// Interval at which drop rates are adjusted, in microseconds.
 pub(crate) const CONTROL_INTERVAL_US: Micros = 20_000;
-/// How far a drop rate moves in one control interval.
+/// Change of a drop rate per control interval.
 const DROP_RATE_STEP: f64 = 0.003;
-/// Some queries have to be admitted to show whether the overload is over.
+/// Upper bound of a drop rate: some queries have to be admitted to show whether the overload is over.
 const MAX_DROP_RATE: f64 = 0.99;
 /// Fraction of a class's recent queries that must meet their latency objective.
 const OBJECTIVE_FRACTION: f64 = 0.85;
-/// What is left of the counts after one control interval: after two seconds, about a third.
+/// Decay factor of the counts per control interval: about a third is left after two seconds.
 const COUNT_DECAY: f64 = 0.99;
-/// With lower counts too little was seen to judge by: queries are taken to meet their objective.
+/// Below this count there is too little evidence: queries are assumed to meet their objective.
 const MIN_COUNT: f64 = 0.3;
-/// A part that is expected to take more than this fraction of the time to the objective is taken to miss it.
+/// A part that is expected to take more than this fraction of the time to the objective is assumed to miss
+/// it.
 const MAX_PART_OBJECTIVE_FRACTION: f64 = 0.3;
 
-/// The state of one class.
+/// Load-shedding state of one class.
 #[derive(Clone, Debug, Default)]
 struct ClassState {
     /// Probability of rejection, from 0 to [`MAX_DROP_RATE`].
@@ -43,7 +44,7 @@
     met_objective: f64,
     /// Recent queries that missed it, decaying.
     missed_objective: f64,
-    /// The longest time that a client gave its first attempt.
+    /// Longest timeout that a client set on the first attempt of a query, in microseconds.
     longest_client_timeout: Micros,
 }
 
@@ -61,9 +62,10 @@
 /// A query's own latency objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Objective {
-    /// Time left to meet it, in microseconds; 0 where it has passed.
+    /// Time left to meet it, in microseconds; 0 if it has passed.
     pub time_left: Micros,
-    /// Whether the query is not counted: it came with so little time that a miss says nothing of the load.
+    /// Whether the query is not counted: it arrived with so little time left that a miss does not indicate
+    /// overload.
     pub excluded: bool,
 }
 
@@ -75,12 +77,12 @@
 }
 
 impl Admission {
-    /// So many classes, none of which sheds load.
+    /// Creates the state of this number of classes, with every drop rate at 0.
     pub fn new(classes: usize) -> Self {
         Self { classes: vec![ClassState::default(); classes], last_control_step: None }
     }
 
-    /// Moves the drop rates, one step for each control interval that has passed.
+    /// Adjusts the drop rates by one step for each control interval that has passed.
     pub fn advance(&mut self, now: Micros) {
         let last = *self.last_control_step.get_or_insert(now);
         let steps = now.saturating_sub(last) / CONTROL_INTERVAL_US;
@@ -90,12 +92,12 @@
         }
     }
 
-    /// The drop rate of a class, from 0 to 1, if there is such a class.
+    /// Returns the drop rate of a class, from 0 to 1, or `None` for an unknown class.
     pub fn drop_rate(&self, class: ClassId) -> Option<f64> {
         self.classes.get(class.0).map(|class| class.drop_rate)
     }
 
-    /// Whether queries of a class are rejected at random.
+    /// Returns whether queries of a class are rejected at random.
     pub fn is_shedding(&self, class: ClassId) -> bool {
         self.classes[class.0].drop_rate > 0.0
     }
@@ -110,8 +112,10 @@
         }
     }
 
-    /// The objective of a query that arrives now. A client's retry has what its first attempt has left: it
-    /// comes with all that remains of the class's deadline, unless clients give each attempt less than that.
+    /// Returns the objective of a query that arrives now. A client's retry has only the time that its first
+    /// attempt left: its `expires_in` is taken as the rest of the class's deadline. If it is no shorter than
+    /// the timeouts of first attempts, clients set a timeout per attempt, and the retry gets the full
+    /// objective.
     pub fn objective(&mut self, class: &Class, arrival: &QueryArrival) -> Objective {
         let by_work = class.objective_per_work * arrival.work_hint.unwrap_or(0) as f64;
         let objective = (class.latency_objective + by_work as Micros).min(class.deadline);
@@ -125,9 +129,9 @@
         Objective { time_left, excluded: time_left.min(arrival.expires_in) < objective / 2 }
     }
 
-    /// Whether load shedding rejects a query: its objective has passed and its answer is worth nothing, or
-    /// little beside those that are rejected for it, or the draw goes against it. Draws only where the class
-    /// sheds load.
+    /// Returns whether load shedding rejects a query. It is rejected if its objective has passed and a late
+    /// answer has no value, or less value than the queries that would be rejected in its place, or if a
+    /// random draw with the drop rate selects it. Draws only if the class sheds load.
     pub fn sheds(&self, id: ClassId, class: &Class, objective_passed: bool, random: &mut Random) -> bool {
         let shedding = self.is_shedding(id);
         if objective_passed && (shedding || class.late_value == 0.0) {
@@ -137,20 +141,21 @@
     }
 }
 
-/// A part on arrival, for [`cannot_meet_objective`].
+/// A part of an arriving query, as [`cannot_meet_objective`] sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExpectedPart {
     /// Its share of the query's weight, from 0 to 1.
     pub weight: f64,
-    /// Shortest time that any of its replicas is expected to take, in microseconds: infinite where each one
-    /// is warming up and can take no more, `None` where the shard has no replica.
+    /// Shortest time that any of its replicas is expected to take, in microseconds: infinite if all of them
+    /// are warming up and cannot take another part, `None` if the shard has no replica.
     pub wait: Option<f64>,
 }
 
-/// Whether a query's objective is lost before its start: parts whose replicas are all expected to take too
-/// long weigh so much that the rest cannot make an answer. The drop rate would learn of it only when the
-/// objective has passed. One slow answer may be held against all replicas of a shard, but it fades within
-/// seconds. `time_left` is the time to the objective or the end of the query, in microseconds.
+/// Returns whether a query is certain to miss its objective: the parts whose replicas are all expected to
+/// take too long weigh so much that the rest is not enough for an answer. The drop rate would react only
+/// after the objective has passed. One slow answer may count against all replicas of a shard, but its effect
+/// fades within seconds. `time_left` is the time to the objective or to the end of the query, in
+/// microseconds.
 pub fn cannot_meet_objective(
     class: &Class,
     time_left: Micros,
@@ -162,9 +167,9 @@
     late_weight > 1.0 - class.minimum_completeness + ROUNDING
 }
 
-/// Whether a query that misses its objective says nothing of the load: each part that it lacks waits for a
-/// backend that it may be sent to (but not because a full one rejected it), or is in flight at an ejected
-/// backend or overdue.
+/// Returns whether a missed objective does not indicate overload: each missing part waits for a backend that
+/// it may be sent to (but not because a full backend rejected it), or is in flight at an ejected backend or
+/// overdue.
 pub(crate) fn excluded_from_objective<'a>(
     parts: impl Iterator<Item = &'a Part>,
     is_ejected: impl Fn(BackendId) -> bool,
@@ -179,8 +184,8 @@
     missing.peek().is_some() && missing.all(|part| is_unsent(part) || is_stuck(part))
 }
 
-/// When a rejected client may come back, in microseconds from now: spread at random, or clients that heed it
-/// would come back together.
+/// Returns the delay that a rejected client is advised to wait before a retry, in microseconds. It is random,
+/// so that clients that follow it do not retry at the same time.
 pub(crate) fn retry_after(limits: &DeploymentLimits, random: &mut Random) -> Micros {
     random.up_to(limits.max_retry_after)
 }
--- a/crates/router/src/backend.rs
+++ b/crates/router/src/backend.rs
@@ -1,4 +1,4 @@
-//! What a router knows of one backend.
+//! State of one backend, as seen by this router.
 
 use std::collections::BTreeMap;
 
@@ -9,13 +9,13 @@
 use crate::query::CallId;
 use crate::slow_start::{Candidate, RecentWork};
 
-/// One backend. Each rule's part of the state is of that rule's own type.
+/// One backend. Each rule keeps its part of the state in a type of its own module.
 #[derive(Debug, Default)]
 pub(crate) struct Backend {
     pub(crate) ring_position: u32,
     pub(crate) zone: Option<ZoneId>,
     pub(crate) state: EndpointState,
-    /// When it last started; `None` for long ago.
+    /// Time of its last start; `None` if that was long ago.
     pub(crate) started_at: Option<Micros>,
     /// This router's calls in flight, oldest first.
     pub(crate) calls: BTreeMap<CallId, Call>,
@@ -36,13 +36,13 @@
         self.calls.values().map(|call| call.parts_in_flight).sum()
     }
 
-    /// Counts a part that is sent with this call.
+    /// Adds a part that is sent with this call.
     pub(crate) fn add_part(&mut self, call: CallId, now: Micros) {
         let call = self.calls.entry(call).or_insert(Call { sent_at: now, parts_in_flight: 0 });
         call.parts_in_flight += 1;
     }
 
-    /// Counts off a part of a call; the call ends with its last one.
+    /// Removes a part of a call; the call ends with its last part.
     pub(crate) fn remove_part(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.parts_in_flight -= 1;
@@ -51,13 +51,14 @@
         }
     }
 
-    /// How long a part would take here, in microseconds: as of late, after the oldest call in flight.
+    /// Returns the expected latency of a part sent now, in microseconds: the recent latency plus the age of
+    /// the oldest call in flight.
     pub(crate) fn expected_wait(&self, now: Micros, fade_time: f64) -> f64 {
         let oldest = self.calls.values().next().map_or(0, |call| now - call.sent_at);
         self.latency.faded(now, fade_time) + oldest as f64
     }
 
-    /// What slow start needs to know of it.
+    /// Returns the data that slow start needs.
     pub(crate) fn as_candidate(&self) -> Candidate<'_> {
         Candidate { started_at: self.started_at, recent_work: &self.recent_work }
     }
--- a/crates/router/src/completion.rs
+++ b/crates/router/src/completion.rs
@@ -1,67 +1,68 @@
-//! When a query ends, and how: complete, partial, late, rejected or failed.
+//! When a query ends, and with what result: complete, partial, late, rejected or failed.
 //!
-//! - It is answered as soon as the answer is complete: with the class's required share of the weight, or all
-//!   parts of a second step.
-//! - Shortly before the latency objective, a partial answer is given if it earns more than a late one would; a
-//!   query whose late answer earns nothing ends there.
-//! - Shortly before its end it gets a partial answer, if one is allowed, or none.
-//! - When a part can never be answered and the rest cannot make an answer, it ends at once.
+//! - It is answered as soon as the answer is complete: with the class's required fraction of the weight, or
+//!   all parts of a second step.
+//! - Shortly before the latency objective, a partial answer is given if it has more value than a late one; a
+//!   query whose late answer has no value ends there.
+//! - Shortly before its deadline it gets a partial answer, if one is allowed, or none.
+//! - If a part can no longer be answered and the rest is not enough for an answer, it ends at once.
 //! - Without an answer it is rejected if nothing of it can have taken effect, and failed otherwise.
 //!
-//! Planned queries are answered by whoever planned them; they too end at their deadline.
+//! Planned queries are answered by the caller that planned them; they too end at their deadline.
 
 use crate::ids::Micros;
 use crate::query::{Part, Query, Step};
 use crate::settings::{Class, Idempotency, ROUNDING};
 
-/// An answer has to leave this long before the objective or the end to count, in microseconds: it covers the
-/// way to the client.
+/// How long before the objective or the deadline an answer is sent, in microseconds: covers the transfer to
+/// the client.
 const RESPONSE_MARGIN_US: Micros = 15_000;
 
-/// When to look at a query before one of its limits, not earlier than now.
+/// Returns when to end a query that has to be answered by `limit`; not earlier than now.
 pub(crate) fn response_time(now: Micros, limit: Micros) -> Micros {
     limit.saturating_sub(RESPONSE_MARGIN_US).max(now)
 }
 
-/// How long an attempt that is sent now is waited for, in microseconds: until its answer has no value any more.
+/// Returns the timeout of an attempt that is sent now, in microseconds: until its answer has no value any
+/// more.
 pub(crate) fn attempt_timeout(now: Micros, query: &Query, class: &Class) -> Micros {
     let has_late_value = class.late_value > 0.0;
     let useful_until = if has_late_value { query.ends_at } else { query.objective_at.min(query.ends_at) };
     useful_until.saturating_sub(now).max(1)
 }
 
-/// What is to become of a query when one of its limits is near.
+/// What to do with a query shortly before its objective or deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Answer with the parts that are in.
+    /// Answer with the parts that are answered.
     RespondPartially,
     /// End it without an answer.
     GiveUp,
-    /// Go on.
+    /// Keep waiting.
     Continue,
 }
 
 /// How a query ends without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unanswered {
-    /// Nothing of it has taken effect, or its effect may be repeated: the client may try again.
+    /// Nothing of it has taken effect, or its effect may be repeated: the client may retry.
     Rejected,
     /// It may have taken effect.
     Failed,
 }
 
-/// How far a query has come.
+/// Progress of a query.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Progress {
-    /// The step that it is in.
+    /// Its current step.
     pub step: Step,
-    /// Whether somebody else decides when it is answered.
+    /// Whether the caller decides when it is answered.
     pub planned: bool,
     /// Number of parts of this step.
     pub parts: usize,
-    /// How many of them are answered.
+    /// Number of these that are answered.
     pub answered_parts: usize,
-    /// The weight of the answered ones, from 0 to 1.
+    /// Weight of the answered parts, from 0 to 1.
     pub answered_weight: f64,
 }
 
@@ -76,7 +77,7 @@
         Self { step, planned, parts, answered_parts, answered_weight }
     }
 
-    /// Whether the query is to be answered now; if so, whether that answer is complete.
+    /// Returns the complete answer that can be given now, if any.
     pub fn answer(&self, class: &Class) -> Option<Answer> {
         if self.planned || self.parts == 0 {
             return None;
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Whether an answer may be given that is not complete.
+    /// Returns whether a partial answer may be given.
     pub fn allows_partial(&self, class: &Class) -> bool {
         !self.planned
             && self.parts > 0
@@ -100,7 +101,7 @@
             && self.answered_weight >= class.minimum_completeness - ROUNDING
     }
 
-    /// What to do shortly before the latency objective.
+    /// Returns what to do shortly before the latency objective.
     pub fn at_objective(&self, class: &Class) -> Ending {
         let completeness = self.answered_weight / class.required_completeness.max(ROUNDING);
         if self.allows_partial(class) && class.partial_value * completeness > class.late_value {
@@ -112,7 +113,8 @@
         }
     }
 
-    /// What to do shortly before the end. A first step whose answer would only bring a second one ends there.
+    /// Returns what to do shortly before the deadline. A first step that has a second one to follow gets no
+    /// partial answer: there is no time for the second.
     pub fn at_deadline(&self, class: &Class) -> Ending {
         let is_last_step = self.step != Step::First || class.second_step_parts == 0;
         if is_last_step && self.allows_partial(class) {
@@ -122,8 +124,9 @@
         }
     }
 
-    /// Whether the parts that are answered or still can be, of this weight together, make no answer.
-    pub fn is_hopeless(&self, class: &Class, reachable_weight: f64) -> bool {
+    /// Returns whether no answer is possible any more. `reachable_weight` is the weight of the parts that are
+    /// answered or still can be.
+    pub fn is_unanswerable(&self, class: &Class, reachable_weight: f64) -> bool {
         let least = if self.step == Step::First { class.minimum_completeness } else { 1.0 };
         reachable_weight < least - ROUNDING
     }
@@ -136,9 +139,9 @@
     pub complete: bool,
 }
 
-/// How a query ends that gets no answer: it is rejected, which says that sending it again does no harm, where
-/// that holds, and failed otherwise. In its second step it can no longer be rejected, since the answer of the
-/// first step has been given.
+/// Returns how a query without an answer ends: rejected, which promises that a retry does no harm, if that is
+/// true, and failed otherwise. In its second step it can no longer be rejected, since the answer of the first
+/// step has been given.
 pub(crate) fn unanswered<'a>(
     class: &Class,
     query: &Query,
@@ -153,8 +156,9 @@
     }
 }
 
-/// How many of these parts, in the order in which they are to be sent, a complete answer needs, and one to
-/// spare. The others are held back until one is late or lost: they would be work that nobody needs.
+/// Returns how many parts are sent at once, given the weights of all parts in sending order: those that a
+/// complete answer needs, and one spare. The others are deferred until one is late or lost, because their
+/// work would probably not be needed.
 pub fn parts_to_send(class: &Class, weights: impl Iterator<Item = f64>) -> usize {
     let mut weight = 0.0;
     let needed = weights.take_while(|part| {
--- a/crates/router/src/endpoints.rs
+++ b/crates/router/src/endpoints.rs
@@ -1,7 +1,7 @@
-//! The endpoint list: which backends there are, which shards each holds, and when the list is watched again.
+//! The endpoint list: the known backends, the shards that each holds, and when the list is watched again.
 //!
-//! Ring positions are numbered from 0. Shard `s` is held by the backends of as many positions as the
-//! replication factor, from position `s` on, around the ring.
+//! Ring positions are numbered from 0. Shard `s` is held by the backends at `replication_factor` consecutive
+//! positions around the ring, starting at position `s`.
 
 use std::collections::BTreeMap;
 
@@ -11,20 +11,21 @@
 use crate::random::Random;
 use crate::settings::{Discovery, Settings};
 
-/// First and longest pause before the list is watched again after a failure, in microseconds; up to as much
-/// is added at random. A watch that fails and the next one's answer have to fit into the 6 s after which
-/// every router is expected to act on a change.
-const FIRST_BACKOFF_US: Micros = 700_000;
+/// Backoff before the list is watched again after the first failure, in microseconds; a random delay of up to
+/// the same length is added. It doubles with each further failure.
+const INITIAL_BACKOFF_US: Micros = 700_000;
+/// Longest backoff, in microseconds, without the random delay. A watch that fails and the response to the
+/// next one have to fit into the 6 s after which every router is expected to act on a change.
 const MAX_BACKOFF_US: Micros = 1_290_000;
 
-/// The backends that a router knows, by the last endpoint update.
+/// The known backends, as of the last endpoint update.
 #[derive(Debug)]
 pub(crate) struct Endpoints {
     backends: BTreeMap<BackendId, Backend>,
     /// The ready backends of each ring position.
     positions: Vec<Vec<BackendId>>,
     replication_factor: usize,
-    /// The number of ready backends: at least one, but 0 before the first update.
+    /// Number of ready backends, counted as at least 1; 0 before the first update.
     ready: f64,
     discovery: Discovery,
     watching: bool,
@@ -41,12 +42,13 @@
             ready: 0.0,
             discovery: settings.discovery,
             watching: false,
-            backoff: FIRST_BACKOFF_US,
+            backoff: INITIAL_BACKOFF_US,
         }
     }
 
-    /// Takes an endpoint update. `window` is how long the work sent to a backend is remembered. Returns how
-    /// long from now the list is to be watched again, in microseconds, if it has to be.
+    /// Applies an endpoint update. `window` is the time for which work sent to a backend is remembered.
+    /// Returns the delay after which the list has to be watched again, in microseconds, or `None` if it need
+    /// not be.
     pub(crate) fn update(
         &mut self,
         update: EndpointUpdate,
@@ -64,26 +66,26 @@
                 self.replace(endpoints);
             }
         }
-        self.forget_removed(now, window);
+        self.evict_removed(now, window);
         self.index_positions();
         if cached && self.discovery == Discovery::Poll {
             return Some(0);
         }
         self.watching = true;
-        self.backoff = FIRST_BACKOFF_US;
+        self.backoff = INITIAL_BACKOFF_US;
         None
     }
 
-    /// Whether updates arrive without another watch.
+    /// Returns whether updates arrive without another watch.
     pub(crate) fn is_watching(&self) -> bool {
         self.watching
     }
 
     fn watch_failed(&mut self, random: &mut Random) -> Micros {
         self.watching = false;
-        let pause = self.backoff + random.up_to(self.backoff);
+        let delay = self.backoff + random.up_to(self.backoff);
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF_US);
-        pause
+        delay
     }
 
     fn replace(&mut self, endpoints: Vec<Endpoint>) {
@@ -106,9 +108,9 @@
         }
     }
 
-    /// Drops removed backends once nothing is in flight there and no sent work is remembered, so that memory
+    /// Evicts removed backends once nothing is in flight there and no sent work is remembered, so that memory
     /// stays bounded while backends are replaced.
-    fn forget_removed(&mut self, now: Micros, window: Micros) {
+    fn evict_removed(&mut self, now: Micros, window: Micros) {
         self.backends.retain(|_, backend| {
             backend.recent_work.advance(now, window);
             let is_used = !backend.calls.is_empty() || backend.recent_work.len() > 0;
@@ -126,14 +128,14 @@
         self.ready = self.positions.iter().map(Vec::len).sum::<usize>().max(1) as f64;
     }
 
-    /// The ready backends that hold a shard.
+    /// Returns the ready backends that hold a shard.
     pub(crate) fn replicas(&self, shard: ShardId) -> impl Iterator<Item = (BackendId, &Backend)> {
         (0..self.replication_factor)
             .flat_map(move |offset| &self.positions[(shard.0 as usize + offset) % self.positions.len()])
             .filter_map(|id| Some((*id, self.backends.get(id)?)))
     }
 
-    /// How many backends are ready.
+    /// Returns the number of ready backends.
     pub(crate) fn ready(&self) -> f64 {
         self.ready
     }
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -1,15 +1,15 @@
-//! What a router is told and what it asks for: events in, actions out. All times are in microseconds.
+//! The router's interface: events in, actions out. All times are in microseconds.
 
 use crate::ids::{BackendId, ClassId, Micros, PartId, QueryId, ShardId, ZoneId};
 
-/// What the endpoint list says of a backend.
+/// State of a backend in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes parts.
+    /// Accepts parts.
     Ready,
-    /// Finishes what it has; nothing new may be sent.
+    /// Finishes the parts that it has; no new ones may be sent.
     Draining,
-    /// Withdrawn.
+    /// Withdrawn from service.
     #[default]
     Removed,
 }
@@ -19,30 +19,30 @@
 pub struct Endpoint {
     /// The backend.
     pub backend: BackendId,
-    /// Its ring position, which says what shards it holds.
+    /// Its ring position, which determines the shards that it holds.
     pub ring_position: u32,
     /// Its state.
     pub state: EndpointState,
-    /// When it last started; `None` for long ago.
+    /// Time of its last start; `None` if that was long ago.
     pub started_at: Option<Micros>,
-    /// Its zone, where that is known.
+    /// Its zone, if known.
     pub zone: Option<ZoneId>,
 }
 
 /// An update of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointUpdate {
-    /// The whole list; a backend that is missing is removed.
+    /// The complete list; a backend that is missing from it is removed.
     Snapshot(Vec<Endpoint>),
     /// Changed entries only.
     Delta(Vec<Endpoint>),
-    /// The whole list as last seen before this router started; it may be stale.
+    /// The complete list as last seen before this router started; it may be stale.
     CachedSnapshot(Vec<Endpoint>),
-    /// A poll or a watch failed; the old list holds.
+    /// A poll or a watch failed; the previous list stays in force.
     Failed,
 }
 
-/// A query arrives. Its parts follow in the same batch as [`Event::PartArrived`].
+/// An arriving query. Its parts follow in the same batch as [`Event::PartArrived`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryArrival {
     /// The query.
@@ -51,13 +51,13 @@
     pub class: ClassId,
     /// Time until its client gives up.
     pub expires_in: Micros,
-    /// Expected work of all parts, where known.
+    /// Expected work of all parts, if known.
     pub work_hint: Option<Micros>,
-    /// Marked as a client's retry; `false` where clients do not mark them.
+    /// Whether the client marked it as a retry; `false` where clients do not mark retries.
     pub retry: bool,
-    /// Somebody else decides which parts it needs and when it is answered: parts come one by one
-    /// ([`Event::PartArrived`]), each that fails is reported ([`Action::PartFailed`]), and its end comes as
-    /// [`Event::QueryCompleted`].
+    /// Whether the caller decides which parts it needs and when it is answered: parts arrive one by one
+    /// ([`Event::PartArrived`]), each that fails is reported ([`Action::PartFailed`]), and the caller reports
+    /// the end with [`Event::QueryCompleted`].
     pub planned: bool,
 }
 
@@ -72,7 +72,7 @@
     pub shard: ShardId,
     /// Its weight; those of a step sum to 1.
     pub weight: f64,
-    /// It may be repeated whatever its class says.
+    /// Whether it may be repeated regardless of its class.
     pub idempotent: bool,
 }
 
@@ -81,43 +81,43 @@
 pub enum Outcome {
     /// Answered.
     Succeeded,
-    /// The backend reported an error; the part may have run.
+    /// The backend reported an error; the part was possibly executed.
     BackendError,
-    /// Rejected by a full backend; the part never ran.
+    /// Rejected by a full backend; the part was not executed.
     Rejected,
-    /// No answer in time; the part may have run.
+    /// No answer in time; the part was possibly executed.
     TimedOut,
-    /// No connection in time; the part never ran.
+    /// No connection in time; the part was not executed.
     ConnectFailed,
-    /// The connection dropped; the part may have run.
+    /// The connection was lost; the part was possibly executed.
     ConnectionLost,
-    /// Cancelled; the part may have run.
+    /// Cancelled; the part was possibly executed.
     Cancelled,
-    /// Never sent; the part never ran.
+    /// Never sent; the part was not executed.
     NotSent,
 }
 
-/// One thing that happened.
+/// An event that the router handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The endpoint list changed, or could not be had.
+    /// The endpoint list changed, or could not be fetched.
     EndpointUpdate(EndpointUpdate),
     /// A query arrived.
     QueryArrived(QueryArrival),
     /// A part arrived.
     PartArrived(PartArrival),
-    /// The wake-up that [`Action::SetTimer`] asked for is due.
+    /// The timer set by [`Action::SetTimer`] expired.
     TimerExpired,
-    /// Nobody needs this part of a planned query any more.
+    /// A part of a planned query is no longer needed.
     PartCancelled(PartId),
-    /// A planned query has had its final answer.
+    /// A planned query has ended.
     QueryCompleted {
         /// The query.
         query: QueryId,
-        /// It was answered; otherwise it was rejected or failed.
+        /// Whether it was answered; otherwise it was rejected or failed.
         answered: bool,
     },
-    /// Nobody waits for a query any more: its client disconnected, or the caller has ended it otherwise.
+    /// A query is no longer needed: its client disconnected, or the caller has ended it for another reason.
     ClientDisconnected(QueryId),
     /// An attempt ended.
     AttemptCompleted {
@@ -130,19 +130,19 @@
         /// Time since it was sent.
         latency: Micros,
     },
-    /// A health check came back.
+    /// A health check completed.
     HealthCheckCompleted {
-        /// The backend checked.
+        /// The checked backend.
         backend: BackendId,
         /// Whether it passed.
         passed: bool,
     },
 }
 
-/// One thing to do, in the order given.
+/// An action for the caller. Actions are carried out in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// A part of a planned query can never be answered.
+    /// Report that a part of a planned query can no longer be answered.
     PartFailed {
         /// The part.
         part: PartId,
@@ -151,12 +151,12 @@
     Send {
         /// The part.
         part: PartId,
-        /// Where to.
+        /// The backend that it is sent to.
         backend: BackendId,
-        /// How long its answer is waited for.
+        /// How long to wait for its answer.
         timeout: Micros,
-        /// It must not begin later than this from now, however long it waits for a connection; at most the
-        /// time-out.
+        /// Time from now within which the attempt must begin, however long it waits for a connection; at most
+        /// `timeout`.
         begin_within: Micros,
     },
     /// Cancel an attempt.
@@ -166,19 +166,19 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Answer a query with the parts that are in. In a class with a second step, the first answer
-    /// brings that step's parts.
+    /// Answer a query with the parts that are answered. In a class with a second step, the parts of that step
+    /// arrive after the first answer.
     Respond {
         /// The query.
         query: QueryId,
         /// Whether the answer is complete.
         complete: bool,
     },
-    /// Reject a query; the client may safely try again.
+    /// Reject a query; the client may safely retry.
     Reject {
         /// The query.
         query: QueryId,
-        /// Advice on when to come back, from now; 0 for none.
+        /// Advised delay before a retry; 0 for none.
         retry_after: Micros,
     },
     /// Fail a query; it may have taken effect.
@@ -186,29 +186,29 @@
         /// The query.
         query: QueryId,
     },
-    /// Send [`Event::TimerExpired`] after this time.
+    /// Deliver [`Event::TimerExpired`] after this time.
     SetTimer(Micros),
-    /// Watch the endpoint list from now on.
+    /// Start watching the endpoint list.
     WatchEndpoints,
-    /// Send a backend a health check.
+    /// Send a health check to a backend.
     HealthCheck(BackendId),
-    /// Log that a backend is an outlier from now on.
+    /// Log that a backend was ejected.
     BackendEjected(BackendId),
-    /// Log that a backend is no outlier any more.
+    /// Log that an ejected backend recovered.
     BackendRecovered(BackendId),
 }
 
-/// What a router makes of one backend.
+/// The router's view of one backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendView {
     /// The backend.
     pub backend: BackendId,
-    /// What the endpoint list says of it.
+    /// Its state in the endpoint list.
     pub state: EndpointState,
-    /// Whether it is an outlier, and gets parts only where no other replica can take them.
+    /// Whether it is ejected: it is sent parts only if no other replica can take them.
     pub ejected: bool,
     /// Whether it may still be warming up.
     pub warming_up: bool,
-    /// This router's parts in flight there.
+    /// Number of this router's parts in flight there.
     pub parts_in_flight: u32,
 }
--- a/crates/router/src/hash.rs
+++ b/crates/router/src/hash.rs
@@ -1,18 +1,18 @@
-//! Hashes that are the same on every build and every run, for choices that must not need a random draw.
+//! Hashes that are stable across builds and runs, for choices that must not use a random draw.
 
 use crate::ids::{QueryId, ShardId};
 
-/// A hash as a number from 0 to below 1.
+/// Maps a hash to a number from 0 to below 1.
 pub(crate) fn unit_interval(hash: u64) -> f64 {
     (hash >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-/// A hash of a query and a shard.
+/// Hashes a query and a shard.
 pub(crate) fn hash_query_shard(query: QueryId, shard: ShardId) -> u64 {
     combine((query.0 >> 64) as u64 ^ combine(query.0 as u64, shard.0), shard.0)
 }
 
-/// Mixes one more value into a hash, by the finalizer of SplitMix64.
+/// Mixes a value into a hash with the finalizer of SplitMix64.
 pub(crate) fn combine(hash: u64, value: u32) -> u64 {
     let mut x = hash ^ u64::from(value).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/router/src/ids.rs
+++ b/crates/router/src/ids.rs
@@ -1,25 +1,25 @@
-//! Names of the things that a router deals with, and its unit of time.
+//! Identifiers of queries, parts, backends, shards, zones and classes, and the unit of time.
 
-/// A length of time, or an instant of the caller's clock, in microseconds.
+/// A duration, or an instant of the caller's clock, in microseconds.
 pub type Micros = u64;
 
-/// Names one query. The value is the caller's; it never repeats.
+/// Identifies a query. Assigned by the caller and never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueryId(pub u128);
 
-/// Names one part of a query. Never repeats, and is distinct over all queries.
+/// Identifies a part of a query. Unique over all queries and never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartId(pub u128);
 
-/// Names one backend, a machine that holds replicas of some shards.
+/// Identifies a backend: a server that holds replicas of some shards.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendId(pub u32);
 
-/// Number of a shard, from 0.
+/// Shard number, from 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ShardId(pub u32);
 
-/// Names one zone, a place with its own backends and routers.
+/// Identifies a zone: a location with its own backends and routers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,20 +1,20 @@
-//! The decisions of a co-ordinator of queries over replicated shards.
+//! Routing decisions for queries over replicated shards.
 //!
-//! A [`Router`] is told what happened ([`Event`]) and says what to do ([`Action`]). It has no clock, no threads,
-//! no I/O and no global state; the same seed and the same events give the same actions.
+//! A [`Router`] takes [`Event`]s and returns [`Action`]s. It has no clock, no threads, no I/O and no global
+//! state: the same seed and the same events give the same actions.
 //!
-//! | question | module |
+//! | decision | module |
 //! | --- | --- |
-//! | Which queries are rejected on arrival? | [`admission`] |
-//! | Which backends hold a shard, and when is the endpoint list watched again? | `endpoints` |
-//! | Which replica is a part sent to? | `replica_selection` |
-//! | What is a backend sent that warms up? | [`slow_start`] |
-//! | Which backends are ejected, and how do they come back? | [`outlier`] |
-//! | When is a part retried or hedged, and when never? | [`retry`], [`overdue`] |
-//! | When does a query end, and how? | [`completion`] |
+//! | Which queries are rejected on arrival | [`admission`] |
+//! | Which backends hold a shard, and when the endpoint list is watched again | `endpoints` |
+//! | Which replica a part is sent to | `replica_selection` |
+//! | How much work a warming backend is sent | [`slow_start`] |
+//! | Which backends are ejected, and how they recover | [`outlier`] |
+//! | When a part is retried or hedged, and when never | [`retry`], [`overdue`] |
+//! | When a query ends, and with what result | [`completion`] |
 //!
-//! `router` dispatches events and timers to the steps that pass facts to these rules and carry out what they
-//! decide.
+//! `router` dispatches events and timers to handlers, which pass facts to these rules and carry out their
+//! decisions.
 //!
 //! ```
 //! use mallowgauge_router::{
@@ -52,7 +52,7 @@
 //! let mut router = Router::new(42, settings)?;
 //! let mut actions = Vec::new();
 //!
-//! // The endpoint list, then a query of one part.
+//! // An endpoint list and a query with one part arrive.
 //! let endpoint = |backend, ring_position| Endpoint {
 //!     backend: BackendId(backend),
 //!     ring_position,
--- a/crates/router/src/outlier.rs
+++ b/crates/router/src/outlier.rs
@@ -1,55 +1,56 @@
-//! Which backends are outliers, and how an ejected one comes back.
+//! Outlier detection: which backends are ejected, and how they recover.
 //!
-//! Each backend has a failure score from 0 to 1 that every health signal moves: errors, broken and failed
-//! connections, rejections, time-outs and overdue attempts towards 1, answers towards 0. Above a threshold the
-//! backend is ejected: others are preferred, as long as there are any. After a wait that doubles with each
-//! unsuccessful try, an ejected backend is tried with one part (after a health check, where health checks are
-//! allowed), and the answer to it counts for more than an ordinary one.
+//! Each backend has a failure score from 0 to 1 that every health signal moves: errors, lost and failed
+//! connections, rejections, timeouts and overdue attempts towards 1, answers towards 0. Above a threshold the
+//! backend is ejected: other replicas are preferred, as long as there are any. After a wait that doubles with
+//! each unsuccessful recovery attempt, an ejected backend is sent one part (after a health check, where
+//! health checks are allowed), and the answer to it counts for more than an ordinary one.
 
 use crate::events::Outcome;
 use crate::ids::Micros;
 use crate::settings::Settings;
 use crate::traffic::MAX_FADE_TIME_US;
 
-/// A backend with a higher failure score is ejected.
+/// Failure score above which a backend is ejected.
 const EJECTION_THRESHOLD: f64 = 0.5;
-/// Below this score, earlier recovery attempts that failed are forgotten.
+/// Failure score below which earlier failed recovery attempts are forgotten.
 const RECOVERED_THRESHOLD: f64 = 0.1;
-/// Ejected backends whose scores fall into the same of so many grades count as alike.
+/// Number of grades of the failure score. Ejected backends in the same grade rank equally.
 const SCORE_GRADES: f64 = 8.0;
-/// How far a signal moves the score: one that leaves little doubt, an error or a failed connection ...
+/// Weight of an error or a failed connection, which leave little doubt.
 const STRONG_FAILURE_WEIGHT: f64 = 0.6;
-/// ... one that chance also gives, a time-out, a full queue or a broken connection ...
+/// Weight of a timeout, a rejection by a full queue or a lost connection, which can also occur by chance.
 const WEAK_FAILURE_WEIGHT: f64 = 0.35;
-/// ... the answer to a recovery attempt ...
+/// Weight of the answer to a recovery attempt.
 const RECOVERY_SUCCESS_WEIGHT: f64 = 0.35;
-/// ... and any other answer. One failure in eight attempts outweighs the answers to the others.
+/// Weight of any other answer. One failure in eight attempts outweighs the answers to the others.
 const SUCCESS_WEIGHT: f64 = 0.05;
-/// The first wait before a recovery attempt: this fraction of the shortest latency objective ...
+/// Least first wait before a recovery attempt, as a fraction of the shortest latency objective.
 const RECOVERY_WAIT_OBJECTIVE_FRACTION: f64 = 0.5;
-/// ... or of the time in which this router comes by every backend once, whichever is longer.
+/// Least first wait before a recovery attempt, as a fraction of the time in which this router sends something
+/// to every backend once. The longer of the two waits applies.
 const RECOVERY_WAIT_COVERAGE_FRACTION: f64 = 0.5;
-/// How often that wait doubles.
+/// Maximum number of times that this wait doubles.
 const MAX_RECOVERY_DOUBLINGS: u32 = 3;
-/// Stands in for the shortest latency objective where there is no class, in microseconds.
+/// Used in place of the shortest latency objective if there is no class, in microseconds.
 const DEFAULT_OBJECTIVE_US: Micros = 1_000_000;
 
-/// What an ended or overdue attempt says of its backend.
+/// What an ended or overdue attempt indicates about its backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthSignal {
-    /// Almost certainly at fault.
+    /// The backend is almost certainly at fault.
     StrongFailure,
-    /// Perhaps at fault, perhaps unlucky.
+    /// The backend may be at fault, or the failure may be chance.
     WeakFailure,
-    /// Answered.
+    /// The backend answered.
     Success,
-    /// Answered what was sent after its ejection.
+    /// The backend answered an attempt that was sent after its ejection.
     RecoverySuccess,
 }
 
 impl HealthSignal {
-    /// What the end of an attempt says of its backend, if anything. An attempt that was overdue has counted
-    /// against its backend already. `is_recovery`: it was sent after the backend's ejection.
+    /// Returns the signal of an ended attempt, if any. An attempt that was overdue has already counted
+    /// against its backend. `is_recovery` is set if it was sent after the backend's ejection.
     pub fn of(outcome: Outcome, was_overdue: bool, is_recovery: bool) -> Option<Self> {
         match outcome {
             Outcome::BackendError | Outcome::ConnectFailed => Some(Self::StrongFailure),
@@ -62,9 +63,10 @@
         }
     }
 
-    /// What an overdue attempt says of its backend: a strong failure if nothing was heard from it since.
-    pub fn of_overdue(is_silent: bool) -> Self {
-        if is_silent {
+    /// Returns the signal of an overdue attempt: a strong failure if the backend has not responded since the
+    /// attempt was sent.
+    pub fn of_overdue(is_unresponsive: bool) -> Self {
+        if is_unresponsive {
             Self::StrongFailure
         } else {
             Self::WeakFailure
@@ -75,7 +77,7 @@
         matches!(self, Self::StrongFailure | Self::WeakFailure)
     }
 
-    /// How far it moves the score, from 0 (not at all) to 1 (all the way).
+    /// Returns how far the signal moves the score, from 0 (not at all) to 1 (all the way).
     fn weight(self) -> f64 {
         match self {
             Self::StrongFailure => STRONG_FAILURE_WEIGHT,
@@ -86,16 +88,16 @@
     }
 }
 
-/// A change that a signal brought about.
+/// A change of a backend's state that a signal caused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthChange {
-    /// The backend is an outlier from now on.
+    /// The backend was ejected.
     Ejected,
-    /// The backend is no outlier any more.
+    /// The backend recovered.
     Recovered,
 }
 
-/// The health of one backend, as this router sees it.
+/// Health of one backend, as seen by this router.
 #[derive(Clone, Debug, Default)]
 pub struct BackendHealth {
     failure_score: f64,
@@ -103,20 +105,20 @@
     last_failure_at: Micros,
     /// Whether an ejected backend may be sent one part as a recovery attempt.
     recovery_allowed: bool,
-    /// How often the wait for a recovery attempt has doubled.
+    /// Number of times that the wait for a recovery attempt has doubled.
     recovery_doublings: u32,
 }
 
 impl BackendHealth {
-    /// Whether the backend is an outlier.
+    /// Returns whether the backend is ejected.
     pub fn is_ejected(&self) -> bool {
         self.failure_score > EJECTION_THRESHOLD
     }
 
-    /// How much other backends are preferred: 0 for one in good health or whose recovery attempt is due, else
-    /// higher the higher the failure score. Among ejected backends the one that fails least comes first; the
-    /// fewest parts in flight alone would prefer the one that fails fastest.
-    pub fn avoidance(&self) -> u32 {
+    /// Returns the backend's penalty in replica selection: 0 if it is healthy or its recovery attempt is
+    /// allowed, otherwise a grade that grows with the failure score. Among ejected backends the one that
+    /// fails least is preferred; the fewest parts in flight alone would prefer the one that fails fastest.
+    pub fn selection_penalty(&self) -> u32 {
         if self.is_ejected() && !self.recovery_allowed {
             (self.failure_score * SCORE_GRADES) as u32
         } else {
@@ -124,24 +126,24 @@
         }
     }
 
-    /// Whether an answer to an attempt that was sent then is a recovery attempt's.
+    /// Returns whether an attempt sent at `sent_at` counts as a recovery attempt.
     pub fn is_recovery(&self, sent_at: Micros) -> bool {
         self.is_ejected() && sent_at > self.ejected_at
     }
 
-    /// Uses up the recovery attempt that is allowed, if any; whether the part now sent is one.
+    /// Uses up the allowed recovery attempt, if any. Returns whether the part that is sent now is one.
     pub fn start_recovery_attempt(&mut self) -> bool {
         std::mem::take(&mut self.recovery_allowed) && self.is_ejected()
     }
 
-    /// Forgets what was held against an earlier process of the backend.
+    /// Resets the health after a restart of the backend: its earlier process's failures no longer count.
     pub fn reset(&mut self) {
         self.failure_score = 0.0;
         self.recovery_doublings = 0;
     }
 }
 
-/// The rule that ejects backends and lets them recover; each backend's state is its [`BackendHealth`].
+/// Ejects backends and lets them recover. The state of each backend is its [`BackendHealth`].
 #[derive(Debug)]
 pub struct OutlierDetector {
     shortest_objective: Micros,
@@ -149,15 +151,15 @@
 }
 
 impl OutlierDetector {
-    /// Takes the classes' shortest latency objective, and whether health checks are allowed.
+    /// Creates a detector from the classes' shortest latency objective and whether health checks are allowed.
     pub fn new(settings: &Settings) -> Self {
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
         let shortest_objective = objectives.min().unwrap_or(DEFAULT_OBJECTIVE_US);
         Self { shortest_objective, health_checks: settings.limits.health_checks }
     }
 
-    /// Moves a backend's failure score by a signal. One batch counts one failure at most: a connection that
-    /// breaks ends many attempts, but it broke once.
+    /// Applies a signal to a backend's failure score. At most one failure per batch counts: a lost connection
+    /// ends many attempts at once, but is one failure.
     pub fn record(
         &self,
         health: &mut BackendHealth,
@@ -183,24 +185,24 @@
         }
     }
 
-    /// How long to wait before the next recovery attempt, in microseconds. `coverage_time` is how long this
-    /// router needs to send something to every backend once: with hundreds of routers, one recovery attempt
-    /// of each would be all the traffic that a healthy backend gets.
+    /// Returns the wait before the next recovery attempt, in microseconds. `coverage_time` is the time in
+    /// which this router sends something to every backend once: with hundreds of routers, one recovery
+    /// attempt from each would add up to the whole traffic of a healthy backend.
     pub fn recovery_wait(&self, health: &BackendHealth, coverage_time: f64) -> Micros {
         let by_objective = self.shortest_objective as f64 * RECOVERY_WAIT_OBJECTIVE_FRACTION;
         let by_coverage = (RECOVERY_WAIT_COVERAGE_FRACTION * coverage_time).min(MAX_FADE_TIME_US);
         (by_objective.max(by_coverage) as Micros) << health.recovery_doublings
     }
 
-    /// The wait is over: a recovery attempt is allowed, after a health check where these are allowed. Whether
-    /// to send that check.
+    /// Handles the end of the wait: allows a recovery attempt, unless a health check has to pass first.
+    /// Returns whether to send that health check.
     pub fn recovery_due(&self, health: &mut BackendHealth) -> bool {
         health.recovery_allowed = !self.health_checks;
         self.health_checks
     }
 
-    /// A health check came back; it says something of an ejected backend only. Whether the wait for the next
-    /// recovery attempt begins anew.
+    /// Handles the result of a health check, which counts for an ejected backend only. Returns whether the
+    /// wait for the next recovery attempt starts again.
     pub fn health_check_completed(&self, health: &mut BackendHealth, passed: bool) -> bool {
         if !health.is_ejected() {
             return false;
--- a/crates/router/src/query.rs
+++ b/crates/router/src/query.rs
@@ -1,11 +1,11 @@
-//! The open queries, their parts, and the attempts of each part. Facts only; the rules stand elsewhere.
+//! State of the open queries, their parts and the parts' attempts. The rules are in other modules.
 
 use std::collections::BTreeMap;
 
 use crate::events::Outcome;
 use crate::ids::{BackendId, ClassId, Micros, PartId, QueryId, ShardId};
 
-/// How far a query has come.
+/// Step of a query.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Step {
     /// The only step, or the first of two.
@@ -25,17 +25,17 @@
     pub(crate) arrived_at: Micros,
     /// An answer after this instant has missed the latency objective.
     pub(crate) objective_at: Micros,
-    /// When the client gives up.
+    /// Time at which the client gives up.
     pub(crate) ends_at: Micros,
-    /// The parts of the present step.
+    /// The parts of the current step.
     pub(crate) parts: Vec<PartId>,
-    /// Parts that are not sent yet: the answer can be complete without them.
-    pub(crate) held_back: Vec<PartId>,
+    /// Parts that are not sent yet, because the answer can be complete without them.
+    pub(crate) deferred_parts: Vec<PartId>,
     pub(crate) step: Step,
     pub(crate) admitted: bool,
-    /// Whether admission control has counted it, or is never to.
+    /// Whether admission control has counted it, or must not count it.
     pub(crate) counted: bool,
-    /// Whoever planned it decides which parts it needs and when it is answered.
+    /// Whether the caller decides which parts it needs and when it is answered.
     pub(crate) planned: bool,
 }
 
@@ -54,11 +54,11 @@
     /// Its share of the step's weight, from 0 to 1.
     pub(crate) weight: f64,
     pub(crate) attempts: Vec<Attempt>,
-    /// Its answer is in.
+    /// Whether it has been answered.
     pub(crate) answered: bool,
-    /// Nobody needs it any more.
+    /// Whether it is no longer needed.
     pub(crate) abandoned: bool,
-    /// It may be repeated whatever its class says.
+    /// Whether it may be repeated regardless of its class.
     pub(crate) idempotent: bool,
 }
 
@@ -67,11 +67,11 @@
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    pub(crate) fn is_wanted(&self) -> bool {
+    pub(crate) fn is_needed(&self) -> bool {
         !self.abandoned && !self.answered
     }
 
-    /// Proved never to have run anywhere.
+    /// Returns whether it is certain that no attempt was executed.
     pub(crate) fn was_not_executed(&self) -> bool {
         self.attempts.iter().all(Attempt::was_not_executed)
     }
@@ -85,7 +85,7 @@
     pub(crate) sent_at: Micros,
     /// How it ended; `None` while it is in flight.
     pub(crate) outcome: Option<Outcome>,
-    /// It was found to be overdue.
+    /// Whether it was found to be overdue.
     pub(crate) overdue: bool,
 }
 
@@ -94,17 +94,17 @@
         self.outcome.is_none()
     }
 
-    /// Proved never to have run.
+    /// Returns whether it is certain that the attempt was not executed.
     pub(crate) fn was_not_executed(&self) -> bool {
         matches!(self.outcome, Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent))
     }
 }
 
-/// Names a call, which carries one or more parts to one backend.
+/// Identifies a call, which carries one or more parts to one backend.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CallId(pub(crate) u64);
 
-/// Every part that is still of use or in flight.
+/// All parts that are still needed or in flight.
 #[derive(Debug, Default)]
 pub(crate) struct PartTable(BTreeMap<PartId, Part>);
 
@@ -125,7 +125,7 @@
         self.0.remove(&id);
     }
 
-    /// The parts of the present step of a query.
+    /// Returns the parts of a query's current step.
     pub(crate) fn of<'a>(&'a self, query: &'a Query) -> impl Iterator<Item = &'a Part> {
         query.parts.iter().filter_map(|id| self.0.get(id))
     }
@@ -135,7 +135,7 @@
     }
 }
 
-/// The weight of the parts that are answered, from 0 to 1.
+/// Returns the weight of the answered parts, from 0 to 1.
 pub(crate) fn answered_weight<'a>(parts: impl Iterator<Item = &'a Part>) -> f64 {
     parts.filter(|part| part.answered).map(|part| part.weight).sum()
 }
--- a/crates/router/src/replica_selection.rs
+++ b/crates/router/src/replica_selection.rs
@@ -1,12 +1,12 @@
 //! Which replica a part is sent to.
 //!
-//! Among the ready backends that hold the shard, that have no attempt of the part in flight, and that slow
-//! start lets take one more part, the first by this order is chosen:
-//! 1. healthy before ejected, and of ejected ones the one with the lowest failure score;
+//! The candidates are the ready backends that hold the shard, have no attempt of the part in flight, and may
+//! be sent one more part by the slow-start rule. They are ordered by these criteria, and the first is chosen:
+//! 1. healthy before ejected, and among ejected ones the lowest failure score;
 //! 2. not tried for this part before;
-//! 3. fewest of this router's own calls (or parts, where a call carries one) in flight;
-//! 4. in the router's own zone, where traffic between zones costs;
-//! 5. by a hash of query, shard and backend, weighted by the capacity that a backend has while it warms up.
+//! 3. fewest of this router's own calls (or parts, where a call carries only one) in flight;
+//! 4. in the router's own zone, if traffic between zones costs;
+//! 5. a hash of query, shard and backend, weighted by the capacity that a backend has while it warms up.
 
 use std::collections::BTreeMap;
 
@@ -16,18 +16,18 @@
 use crate::query::{CallId, Part};
 use crate::settings::Settings;
 
-/// The order of replicas; the lowest is chosen. Fields are compared from first to last.
+/// Sort key of a replica; the lowest is chosen. Fields are compared from first to last.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
-    /// See [`crate::outlier::BackendHealth::avoidance`].
-    avoidance: u32,
+    /// See [`crate::outlier::BackendHealth::selection_penalty`].
+    selection_penalty: u32,
     already_tried: bool,
     in_flight: usize,
     other_zone: bool,
     tie_break: u64,
 }
 
-/// The calls that the present batch opens.
+/// The calls that the current batch opens.
 #[derive(Debug, Default)]
 pub(crate) struct BatchCalls(BTreeMap<BackendId, OpenCall>);
 
@@ -38,22 +38,22 @@
 }
 
 impl BatchCalls {
-    /// Whether the batch has a call to a backend.
+    /// Returns whether the batch has a call to a backend.
     pub(crate) fn has_call(&self, backend: BackendId) -> bool {
         self.0.contains_key(&backend)
     }
 
-    /// Whether one more part fits into the batch's last call to a backend.
+    /// Returns whether one more part fits into the batch's last call to a backend.
     pub(crate) fn has_space(&self, backend: BackendId, parts_per_call: u32) -> bool {
         self.0.get(&backend).is_some_and(|call| call.parts < parts_per_call)
     }
 
-    /// Opens a call to a backend; parts join it from now on.
+    /// Opens a call to a backend; further parts join it.
     pub(crate) fn open(&mut self, backend: BackendId, id: CallId) {
         self.0.insert(backend, OpenCall { id, parts: 0 });
     }
 
-    /// Adds a part to the batch's last call to a backend.
+    /// Adds a part to the batch's last call to a backend and returns the call's id.
     pub(crate) fn join(&mut self, backend: BackendId) -> Option<CallId> {
         let call = self.0.get_mut(&backend)?;
         call.parts += 1;
@@ -61,7 +61,7 @@
     }
 }
 
-/// The rule that orders replicas.
+/// Ranks replicas by the order given in the module's documentation.
 #[derive(Debug)]
 pub(crate) struct ReplicaSelector {
     count_calls: bool,
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Chooses among the backends that may be sent a part. `warm_up_fraction` says of each what fraction of
-    /// its capacity it has.
+    /// Chooses a backend among those that may be sent a part. `warm_up_fraction` returns the fraction of its
+    /// capacity that a backend has.
     pub(crate) fn choose<'a>(
         &self,
         part: &Part,
@@ -108,19 +108,20 @@
             backend.parts_in_flight() as usize
         };
         Rank {
-            avoidance: backend.health.avoidance(),
+            selection_penalty: backend.health.selection_penalty(),
             already_tried: part.attempts.iter().any(|attempt| attempt.backend == id),
             in_flight,
-            // One call a backend and batch: a query's neighbouring parts would all meet at the few near ones.
+            // Only the first call of a batch to a backend counts as near: otherwise the neighbouring parts of
+            // a query would all go to the few near backends.
             other_zone: self.prefer_own_zone && (in_batch || backend.zone != self.own_zone),
             tie_break,
         }
     }
 }
 
-/// A number that is lowest at each backend as often as its capacity stands to that of the others: an
-/// exponential variate with the capacity as its rate, made from the hash.
+/// Returns a number that is lowest at each backend in proportion to its capacity: an exponential variate with
+/// the capacity as its rate, derived from the hash.
 fn tie_break(hash: u64, backend: BackendId, capacity: f64) -> u64 {
     let variate = -(-unit_interval(combine(hash, backend.0))).ln_1p() / capacity;
-    variate.to_bits() // The order of bits is the order of numbers that are not negative.
+    variate.to_bits() // The bits of non-negative floating-point numbers have the same order as the numbers.
 }
--- a/crates/router/src/retry.rs
+++ b/crates/router/src/retry.rs
@@ -1,8 +1,8 @@
 //! When one more attempt of a part is allowed, and when never.
 //!
-//! Three questions, each answered in one place: would a repeat be harmless and within the limits
-//! ([`RetryPolicy`])? Is there budget for it ([`RetryBudget`])? Does the query seem to bring its backends down
-//! (`is_poison_query`)? When an attempt that is in flight calls for another is in [`crate::overdue`].
+//! [`RetryPolicy`] decides whether a repeat is safe and within the deployment's limits, [`RetryBudget`]
+//! whether there is budget for it, and `is_poison_query` whether the query seems to crash its backends. When
+//! an attempt in flight needs another one is decided in [`crate::overdue`].
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -11,24 +11,25 @@
 use crate::query::{answered_weight, Attempt, Part};
 use crate::settings::{DeploymentLimits, Idempotency, RetryBudgetSettings};
 
-/// The retry budget where the settings state none: while everything is slow, repeats only add load.
+/// Retry budget where the settings state none. It is small: while all backends are slow, repeats only add
+/// load.
 const DEFAULT_RETRY_BUDGET: RetryBudgetSettings =
     RetryBudgetSettings { min_retries: 4.0, retry_ratio: 0.1, window: 5_000_000 };
-/// Fraction of the retry budget that hedges may use; the rest is kept for attempts that failed.
+/// Fraction of the retry budget that hedges may use; the rest is reserved for attempts that failed.
 const HEDGE_BUDGET_FRACTION: f64 = 0.5;
-/// A query on whose parts so many backends dropped the connection is not sent to another.
+/// A query is not retried once this number of backends dropped the connection on its parts.
 const POISON_BACKENDS: usize = 2;
 
-/// What the policy needs to know of a part.
+/// The attempts of a part, as [`RetryPolicy`] sees them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartHistory {
-    /// What a repeat of the part may do.
+    /// Whether a repeat of the part has an effect.
     pub idempotency: Idempotency,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: usize,
     /// Whether one of them is in flight.
     pub in_flight: bool,
-    /// When the first attempt was sent that may have run.
+    /// When the first possibly executed attempt was sent.
     pub possibly_executed_at: Option<Micros>,
 }
 
@@ -47,15 +48,15 @@
 /// What to do about an overdue attempt of a part that may have one more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverdueResponse {
-    /// Send another attempt beside it.
+    /// Send another attempt in parallel.
     Hedge,
-    /// Cancel it; the part is sent elsewhere once that is confirmed, so that never two are in flight.
+    /// Cancel it. The part is sent elsewhere once that is confirmed, so that two are never in flight.
     Cancel,
-    /// Leave it, and look at it again later.
+    /// Keep waiting and check it again later.
     CheckAgain,
 }
 
-/// Which repeats are harmless and within the deployment's limits.
+/// Decides which repeats are safe and within the deployment's limits.
 #[derive(Debug)]
 pub struct RetryPolicy {
     max_attempts: usize,
@@ -64,33 +65,35 @@
 }
 
 impl RetryPolicy {
-    /// Takes the most attempts of a part, and whether two may be in flight at once and one be cancelled.
+    /// Creates a policy from the deployment's limits.
     pub fn new(limits: &DeploymentLimits) -> Self {
         let DeploymentLimits { hedging, cancellation, .. } = *limits;
         Self { max_attempts: limits.max_attempts as usize, hedging, cancellation }
     }
 
-    /// Whether one more attempt may begin now. `after_cancelling`: the one in flight is cancelled first.
+    /// Returns whether one more attempt may begin now. `after_cancelling` is set if the one in flight is
+    /// cancelled first.
     pub fn may_repeat(&self, now: Micros, part: &PartHistory, after_cancelling: bool) -> bool {
         let blocked = part.in_flight && !self.hedging && !after_cancelling;
         !blocked && part.attempts < self.max_attempts && now < self.repeat_by(part)
     }
 
-    /// What to do about an overdue attempt. Without hedging, only a backend that was ejected before and is silent
-    /// loses the part: one that still answers, if slowly, does the work in any case, and moving it does it twice.
-    pub fn overdue_response(&self, was_ejected: bool, is_silent: bool) -> OverdueResponse {
+    /// Returns what to do about an overdue attempt. Without hedging, the part is moved only if its backend
+    /// was ejected before and is unresponsive: a backend that still answers, if slowly, does the work in any
+    /// case, and moving the part would do it twice.
+    pub fn overdue_response(&self, was_ejected: bool, is_unresponsive: bool) -> OverdueResponse {
         if self.hedging {
             OverdueResponse::Hedge
-        } else if was_ejected && is_silent && self.cancellation {
+        } else if was_ejected && is_unresponsive && self.cancellation {
             OverdueResponse::Cancel
         } else {
             OverdueResponse::CheckAgain
         }
     }
 
-    /// Until when one more attempt may begin without taking effect a second time: without limit for an
-    /// idempotent part, inside the dedup window for one with an idempotency key, and never for another,
-    /// unless no attempt can have run.
+    /// Returns the time until which one more attempt may begin without taking effect a second time: no limit
+    /// for an idempotent part, the end of the dedup window for one with an idempotency key, and 0 for a
+    /// non-idempotent part. There is no limit if no attempt was possibly executed.
     pub fn repeat_by(&self, part: &PartHistory) -> Micros {
         match (part.idempotency, part.possibly_executed_at) {
             (Idempotency::Keyed { dedup_window }, Some(first)) => first + dedup_window,
@@ -100,17 +103,17 @@
     }
 }
 
-/// How many attempts beyond the first of their parts are allowed in a sliding window.
+/// Limits the attempts beyond the first of their parts in a sliding window.
 #[derive(Debug)]
 pub struct RetryBudget {
     limits: RetryBudgetSettings,
-    /// Whether the deployment states the budget.
+    /// Whether the settings state the budget.
     configured: bool,
     recent_retries: VecDeque<Micros>,
 }
 
 impl RetryBudget {
-    /// Takes the deployment's budget, or the default where there is none.
+    /// Creates the configured budget, or the default one if there is none.
     pub fn new(configured: Option<&RetryBudgetSettings>) -> Self {
         Self {
             limits: configured.unwrap_or(&DEFAULT_RETRY_BUDGET).clone(),
@@ -119,31 +122,32 @@
         }
     }
 
-    /// Length of the window, in microseconds.
+    /// Returns the length of the window, in microseconds.
     pub fn window(&self) -> Micros {
         self.limits.window
     }
 
-    /// Forgets the retries that have left the window.
+    /// Removes the retries that have left the window.
     pub fn advance(&mut self, now: Micros) {
         let from = now.saturating_sub(self.limits.window);
         self.recent_retries.retain(|&at| at >= from);
     }
 
-    /// Whether one more attempt of a part draws on the budget: every retry and hedge, except that the default
-    /// budget leaves out parts that were only rejected or never sent, while their class sheds no load. No
-    /// work is done twice for these, and a wide query needs each of its parts.
+    /// Returns whether one more attempt of a part draws on the budget. Every retry and hedge does, except
+    /// that the default budget exempts parts that were only rejected or never sent, while their class sheds
+    /// no load: no work is done twice for these, and a query with many parts needs each of them.
     pub fn applies_to(&self, attempts: usize, not_executed: bool, shedding: bool) -> bool {
         let exempt = !self.configured && not_executed && !shedding;
         attempts > 0 && !exempt
     }
 
-    /// Whether one more retry fits, with so many queries and parts that arrived within the window.
+    /// Returns whether the budget allows one more retry. `arrivals` is the number of queries and parts that
+    /// arrived within the window.
     pub fn allows_retry(&self, arrivals: usize) -> bool {
         self.fits(1.0, arrivals)
     }
 
-    /// Whether one more hedge fits.
+    /// Returns whether the budget allows one more hedge.
     pub fn allows_hedge(&self, arrivals: usize) -> bool {
         self.fits(HEDGE_BUDGET_FRACTION, arrivals)
     }
@@ -158,15 +162,15 @@
         self.recent_retries.push_back(now);
     }
 
-    /// How many instants are kept.
+    /// Returns the number of retries kept.
     pub(crate) fn len(&self) -> usize {
         self.recent_retries.len()
     }
 }
 
-/// Whether a query seems to bring down the backends that take it: several dropped the connection on its parts,
-/// and no part was answered. It may hit a sound query whose backends died of something else; its client may
-/// come back.
+/// Returns whether a query seems to crash the backends that process it: several dropped the connection on its
+/// parts, and no part was answered. This may also match a harmless query whose backends failed for another
+/// reason; its client may retry.
 pub(crate) fn is_poison_query<'a, P: Iterator<Item = &'a Part>>(parts: impl Fn() -> P) -> bool {
     let lost = |attempt: &&Attempt| attempt.outcome == Some(Outcome::ConnectionLost);
     let attempts = parts().flat_map(|part| &part.attempts).filter(lost);
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -1,5 +1,5 @@
-//! The router: its state, and which step answers which event and timer. The rules that decide stand in the
-//! modules that this one holds; the steps pass facts to them and carry out what they say.
+//! The router: its state, and the dispatch of events and timers to their handlers. The handlers, in the
+//! submodules, pass facts to the rules and carry out their decisions.
 
 mod arrivals;
 mod attempts;
@@ -26,8 +26,8 @@
 use crate::timers::{Timer, TimerQueue};
 use crate::traffic::Traffic;
 
-/// The decisions of one router. It sees only its own events. The default knows no class and rejects every
-/// query.
+/// Decides how queries are routed. It sees only its own events, none of other routers. The default has no
+/// class and rejects every query.
 #[derive(Debug)]
 pub struct Router {
     settings: Settings,
@@ -42,7 +42,7 @@
     retries: RetryPolicy,
     retry_budget: RetryBudget,
 
-    // What is known.
+    // Queries, backends and measurements.
     endpoints: Endpoints,
     queries: BTreeMap<QueryId, Query>,
     parts: PartTable,
@@ -52,7 +52,7 @@
     timers: TimerQueue,
     calls_made: u64,
 
-    // Of the present batch of events.
+    // The current batch of events.
     arrived: Vec<QueryId>,
     to_send: Vec<PartId>,
     /// Parts of earlier batches that were not sent yet.
@@ -67,10 +67,10 @@
 }
 
 impl Router {
-    /// Makes a router that knows nothing yet.
+    /// Creates a router without endpoints or queries.
     ///
     /// # Errors
-    /// Settings that make no sense are rejected with the field's name.
+    /// Returns the first invalid field of the settings.
     pub fn new(seed: u64, settings: Settings) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(Self::with(Random::with_seed(seed), settings))
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Takes what happened up to `now`, in microseconds of the caller's clock, and appends what to do about it
-    /// to `actions`, in the order in which it is to be done.
+    /// Handles the events up to `now`, in microseconds of the caller's clock, and appends the resulting
+    /// actions to `actions`, in the order in which they are to be carried out.
     pub fn handle(&mut self, now: Micros, events: Vec<Event>, actions: &mut Vec<Action>) {
         self.now = now;
         self.admission.advance(now);
@@ -126,14 +126,14 @@
             Event::EndpointUpdate(update) => self.update_endpoints(update),
             Event::QueryArrived(arrival) => self.query_arrived(&arrival),
             Event::PartArrived(arrival) => self.part_arrived(&arrival),
-            Event::AttemptCompleted { part, attempt, outcome, latency: took } => {
-                self.attempt_completed(part, attempt, outcome, took);
+            Event::AttemptCompleted { part, attempt, outcome, latency } => {
+                self.attempt_completed(part, attempt, outcome, latency);
             }
             Event::ClientDisconnected(query) => self.end_query(query),
             Event::PartCancelled(part) => self.abandon_parts(&[part]),
             Event::QueryCompleted { query, answered } => self.planned_query_completed(query, answered),
             Event::HealthCheckCompleted { backend, passed } => self.health_check_completed(backend, passed),
-            Event::TimerExpired => {} // What is due is handled after the events of every batch.
+            Event::TimerExpired => {} // Due timers are handled after the events of every batch.
         }
     }
 
@@ -151,19 +151,19 @@
 
     fn update_endpoints(&mut self, update: EndpointUpdate) {
         let window = self.slow_start.window();
-        if let Some(pause) = self.endpoints.update(update, self.now, window, &mut self.random) {
-            self.timers.set(self.now + pause, Timer::WatchEndpoints);
+        if let Some(delay) = self.endpoints.update(update, self.now, window, &mut self.random) {
+            self.timers.set(self.now + delay, Timer::WatchEndpoints);
         }
     }
 
-    /// Parts of admitted queries that no attempt was made of, without those that are held back.
+    /// Counts the parts of admitted queries without any attempt, except deferred parts.
     fn count_waiting_parts(&self) -> usize {
         let unsent = |query: &Query| self.parts.of(query).filter(|part| part.attempts.is_empty()).count();
         let admitted = self.queries.values().filter(|query| query.admitted);
-        admitted.map(|query| unsent(query).saturating_sub(query.held_back.len())).sum()
+        admitted.map(|query| unsent(query).saturating_sub(query.deferred_parts.len())).sum()
     }
 
-    // ---- facts that several steps pass to the rules ----
+    // ---- facts that several handlers pass to the rules ----
 
     fn class(&self, class: ClassId) -> &Class {
         &self.settings.classes[class.0]
@@ -173,37 +173,37 @@
         PartHistory::of(part, self.class(part.class).idempotency)
     }
 
-    /// Work that one more part is counted as.
+    /// Returns the estimated work of one more part.
     fn part_work(&self, class: ClassId, joins_call: bool) -> PartWork {
         let call = self.settings.layout.call_work as f64;
         PartWork { part: self.base_latency.of(class), call, joins_call }
     }
 
-    /// How long this router needs to send something to each backend once, in microseconds.
+    /// Returns the time in which this router sends something to each backend once, in microseconds.
     fn coverage_time(&self) -> f64 {
         self.traffic.coverage_time(self.endpoints.ready())
     }
 
-    /// How long knowledge of a backend is kept, in microseconds.
+    /// Returns the time in which measurements of a backend fade, in microseconds.
     fn fade_time(&self) -> f64 {
         self.traffic.fade_time(self.endpoints.ready())
     }
 
-    // ---- what a caller can read ----
+    // ---- state that a caller can read ----
 
-    /// When a client may come back that the caller rejects by itself, in microseconds from now: spread at
-    /// random, as that of the router's own rejections.
+    /// Returns the advised delay before a retry for a client that the caller itself rejects, in microseconds.
+    /// It is random, like that of the router's rejections.
     pub fn retry_after(&mut self) -> Micros {
         admission::retry_after(&self.settings.limits, &mut self.random)
     }
 
-    /// The present drop rate of a class, from 0 to 1, if there is such a class.
+    /// Returns the current drop rate of a class, from 0 to 1, or `None` for an unknown class.
     pub fn drop_rate(&self, class: ClassId) -> Option<f64> {
         self.admission.drop_rate(class)
     }
 
-    /// How many items are kept, for tests that look for leaks: queries, parts, backends, calls in flight,
-    /// remembered sends, remembered answers, timers, and instants in sliding windows.
+    /// Returns the number of items kept, for tests that look for leaks: queries, parts, backends, calls in
+    /// flight, remembered sends, remembered answers, timers, and entries of sliding windows.
     pub fn resource_counts(&self) -> [usize; 8] {
         let backends = || self.endpoints.iter().map(|(_, backend)| backend);
         [
@@ -218,7 +218,7 @@
         ]
     }
 
-    /// What this router makes of each backend that it knows.
+    /// Returns this router's view of each known backend.
     pub fn backends(&self) -> impl Iterator<Item = BackendView> + '_ {
         self.endpoints.iter().map(|(id, backend)| BackendView {
             backend: *id,
--- a/crates/router/src/router/arrivals.rs
+++ b/crates/router/src/router/arrivals.rs
@@ -1,4 +1,5 @@
-//! The steps of a query that arrives: its objective, admission, and which of its parts are sent at once.
+//! Handlers for arriving queries: their objective, their admission, and which of their parts are sent at
+//! once.
 
 use super::Router;
 use crate::admission::{self, cannot_meet_objective, ExpectedPart, Objective};
@@ -56,7 +57,8 @@
                 self.reject(id);
                 continue;
             }
-            // Also of a query that finds no capacity: slow start has to know what it could not send.
+            // Also counts a query that is rejected below for lack of capacity: slow start has to know the
+            // demand that it could not meet.
             self.traffic.record_admitted_parts(self.now, query.parts.len());
             if !query.planned && self.cannot_meet_objective(query) {
                 self.reject(id);
@@ -76,10 +78,10 @@
     fn admit(&mut self, id: QueryId) {
         let Some(query) = self.queries.get(&id) else { return };
         let mut parts = query.parts.clone();
-        let held_back = self.take_spare_parts(query, &mut parts);
+        let deferred_parts = self.take_deferrable_parts(query, &mut parts);
         let Some(query) = self.queries.get_mut(&id) else { return };
         query.admitted = true;
-        query.held_back = held_back;
+        query.deferred_parts = deferred_parts;
         self.to_send.extend(parts);
         let objective = response_time(self.now, query.objective_at);
         let deadline = response_time(self.now, query.ends_at);
@@ -89,8 +91,9 @@
         self.timers.set(deadline, Timer::Deadline(id));
     }
 
-    /// Takes out the parts that a complete answer can do without: those that are expected to take longest.
-    fn take_spare_parts(&self, query: &Query, parts: &mut Vec<PartId>) -> Vec<PartId> {
+    /// Removes and returns the parts that a complete answer does not need: those that are expected to take
+    /// longest.
+    fn take_deferrable_parts(&self, query: &Query, parts: &mut Vec<PartId>) -> Vec<PartId> {
         let class = self.class(query.class);
         if class.required_completeness >= 1.0 || query.planned {
             return Vec::new();
@@ -110,8 +113,8 @@
         self.endpoints.replicas(part.shard).all(|(_, backend)| backend.health.is_ejected())
     }
 
-    /// The shortest wait to expect at any replica, in microseconds: infinite where slow start lets none take
-    /// the part, `None` where there is none.
+    /// Returns the shortest expected latency at any replica, in microseconds: infinite if slow start allows
+    /// none to take the part, `None` if there is no replica.
     fn shortest_expected_wait(&self, part: &Part) -> Option<f64> {
         let fade_time = self.fade_time();
         let waits = self.endpoints.replicas(part.shard).map(|(_, backend)| {
@@ -124,9 +127,9 @@
         waits.min_by(f64::total_cmp)
     }
 
-    /// Sends one more of the parts that were held back, if any are left.
-    pub(super) fn send_spare_part(&mut self, id: QueryId) {
-        let part = self.queries.get_mut(&id).and_then(|query| query.held_back.pop());
+    /// Sends one of the deferred parts, if any are left.
+    pub(super) fn send_deferred_part(&mut self, id: QueryId) {
+        let part = self.queries.get_mut(&id).and_then(|query| query.deferred_parts.pop());
         self.to_send.extend(part);
     }
 
--- a/crates/router/src/router/attempts.rs
+++ b/crates/router/src/router/attempts.rs
@@ -1,4 +1,4 @@
-//! The steps of an attempt that ends or is overdue: what it says of its backend, and what comes next.
+//! Handlers for attempts that end or are overdue: what they indicate about the backend, and what follows.
 
 use super::Router;
 use crate::admission::CONTROL_INTERVAL_US;
@@ -9,27 +9,27 @@
 use crate::retry::{is_poison_query, OverdueResponse};
 use crate::timers::Timer;
 
-/// An attempt that has ended, with what is needed of its part.
+/// An ended attempt, with the data needed of its part.
 struct EndedAttempt {
     backend: BackendId,
     call: CallId,
     sent_at: Micros,
     was_overdue: bool,
     outcome: Outcome,
-    took: Micros,
+    latency: Micros,
     query: QueryId,
     class: ClassId,
-    /// Whether the part is idempotent by itself.
+    /// Whether the part is idempotent regardless of its class.
     idempotent: bool,
-    /// Whether it brought the part's answer.
+    /// Whether it answered the part.
     answered: bool,
     /// Whether the part still needs an answer and has no other attempt in flight.
     unanswered: bool,
 }
 
 impl Router {
-    pub(super) fn attempt_completed(&mut self, id: PartId, number: u32, outcome: Outcome, took: Micros) {
-        let Some(ended) = self.end_attempt(id, number, outcome, took) else { return };
+    pub(super) fn attempt_completed(&mut self, id: PartId, number: u32, outcome: Outcome, latency: Micros) {
+        let Some(ended) = self.end_attempt(id, number, outcome, latency) else { return };
         self.update_backend(&ended);
         self.record_latency(&ended);
         self.record_health(&ended);
@@ -40,28 +40,28 @@
             self.cancel_attempts(id);
             self.answer_if_complete(query);
         } else if ended.unanswered {
-            self.send_spare_part(query);
+            self.send_deferred_part(query);
             self.to_send.push(id);
         }
     }
 
-    /// Marks an attempt as ended; `None` where it is not known or has ended before.
+    /// Marks an attempt as ended. Returns `None` if it is unknown or has ended before.
     fn end_attempt(
         &mut self,
         id: PartId,
         number: u32,
         outcome: Outcome,
-        took: Micros,
+        latency: Micros,
     ) -> Option<EndedAttempt> {
         let part = self.parts.get_mut(id)?;
         let attempt = part.attempts.get_mut(number as usize).filter(|attempt| attempt.is_in_flight())?;
         attempt.outcome = Some(outcome);
         let Attempt { backend, call, sent_at, overdue: was_overdue, .. } = *attempt;
-        let answered = outcome == Outcome::Succeeded && part.is_wanted();
+        let answered = outcome == Outcome::Succeeded && part.is_needed();
         part.answered |= answered;
         let is_last = !part.is_in_flight();
         let Part { query, class, idempotent, abandoned, .. } = *part;
-        let unanswered = is_last && part.is_wanted();
+        let unanswered = is_last && part.is_needed();
         if abandoned && is_last {
             self.parts.remove(id);
         }
@@ -71,7 +71,7 @@
             sent_at,
             was_overdue,
             outcome,
-            took,
+            latency,
             query,
             class,
             idempotent,
@@ -84,7 +84,7 @@
         let fade_time = self.fade_time();
         let Some(backend) = self.endpoints.get_mut(ended.backend) else { return };
         match ended.outcome {
-            Outcome::Succeeded => backend.latency.record_answer(self.now, fade_time, ended.took),
+            Outcome::Succeeded => backend.latency.record_answer(self.now, fade_time, ended.latency),
             Outcome::Rejected => {
                 let objective = self.settings.classes[ended.class.0].latency_objective;
                 backend.latency.record_rejection(self.now, fade_time, objective);
@@ -94,12 +94,12 @@
         backend.remove_part(ended.call);
     }
 
-    /// Parts that are idempotent by themselves are quicker than the parts that follow them, which would look
-    /// overdue beside them: they do not count.
+    /// Records the latency of an answered attempt. Parts that are idempotent regardless of their class are
+    /// not counted: they are faster than the parts that follow them, which would then look overdue.
     fn record_latency(&mut self, ended: &EndedAttempt) {
         if ended.outcome == Outcome::Succeeded && !ended.idempotent {
-            self.recent_answers.record(self.now, ended.took);
-            self.base_latency.record(ended.class, ended.took);
+            self.recent_answers.record(self.now, ended.latency);
+            self.base_latency.record(ended.class, ended.latency);
         }
     }
 
@@ -115,41 +115,41 @@
         self.queries.get(&id).is_some_and(|query| is_poison_query(|| self.parts.of(query)))
     }
 
-    /// An attempt has been in flight for long: if it is overdue, it counts against its backend and one more
-    /// attempt is considered.
+    /// Checks an attempt that has been in flight for long: if it is overdue, it counts against its backend,
+    /// and one more attempt is considered.
     pub(super) fn overdue_check_due(&mut self, id: PartId, number: u32) {
         let Some(part) = self.parts.get(id) else { return };
         let Some(attempt) = part.attempts.get(number as usize).filter(|a| a.is_in_flight()) else { return };
         let Attempt { backend, sent_at, .. } = *attempt;
         let query = part.query;
-        // Looked at again once it has been in flight for twice as long.
+        // The next check is due once it has been in flight for twice as long.
         let next_check = self.now + (self.now - sent_at).max(CONTROL_INTERVAL_US);
         if !self.recent_answers.is_overdue(self.now, sent_at, self.settings.batch_interval) {
             self.timers.set(next_check, Timer::Overdue(id, number));
             return;
         }
-        let is_silent = self.endpoints.get(backend).is_some_and(|b| !b.latency.heard_since(sent_at));
+        let is_unresponsive = self.endpoints.get(backend).is_some_and(|b| !b.latency.updated_since(sent_at));
         let was_ejected = self.endpoints.is_ejected(backend);
-        self.record_health_signal(backend, HealthSignal::of_overdue(is_silent));
-        self.send_spare_part(query);
+        self.record_health_signal(backend, HealthSignal::of_overdue(is_unresponsive));
+        self.send_deferred_part(query);
         if let Some(attempt) = self.parts.get_mut(id).and_then(|p| p.attempts.get_mut(number as usize)) {
             attempt.overdue = true;
         }
-        // Where it may not be replaced now, it is left to its time-out.
+        // If it may not be replaced now, it stays in flight until its timeout.
         if !self.may_replace_overdue(id) {
             return;
         }
-        match self.retries.overdue_response(was_ejected, is_silent) {
+        match self.retries.overdue_response(was_ejected, is_unresponsive) {
             OverdueResponse::Hedge => self.to_send.push(id),
             OverdueResponse::Cancel => self.actions.push(Action::Cancel { part: id, attempt: number }),
             OverdueResponse::CheckAgain => self.timers.set(next_check, Timer::Overdue(id, number)),
         }
     }
 
-    /// Whether a part with an overdue attempt may have one more, beside it or in its place. While its class sheds
-    /// load there is no capacity to do work twice.
+    /// Returns whether a part with an overdue attempt may have one more, in parallel or as a replacement.
+    /// While its class sheds load there is no capacity to do work twice.
     fn may_replace_overdue(&self, id: PartId) -> bool {
-        let Some(part) = self.parts.get(id).filter(|part| part.is_wanted()) else { return false };
+        let Some(part) = self.parts.get(id).filter(|part| part.is_needed()) else { return false };
         let in_flight = part.attempts.iter().filter(|attempt| attempt.is_in_flight()).count();
         in_flight <= 1
             && !self.admission.is_shedding(part.class)
@@ -157,7 +157,7 @@
             && self.retries.may_repeat(self.now, &self.history(part), true)
     }
 
-    /// Cancels the attempts of a part that are in flight, where attempts may be cancelled.
+    /// Cancels the attempts of a part that are in flight, if attempts may be cancelled.
     pub(super) fn cancel_attempts(&mut self, id: PartId) {
         let Some(part) = self.parts.get(id).filter(|_| self.settings.limits.cancellation) else { return };
         let in_flight = part.attempts.iter().enumerate().filter(|(_, attempt)| attempt.is_in_flight());
--- a/crates/router/src/router/endings.rs
+++ b/crates/router/src/router/endings.rs
@@ -1,4 +1,4 @@
-//! The steps of a query's end: answered, rejected, failed, or left by its client.
+//! Handlers for the end of a query: answered, rejected, failed, or its client disconnected.
 
 use super::Router;
 use crate::admission::excluded_from_objective;
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Answers a query. It ends with that, unless a second step follows.
+    /// Answers a query, and ends it unless a second step follows.
     fn respond(&mut self, id: QueryId, complete: bool) {
         let Some(query) = self.queries.get_mut(&id) else { return };
         self.actions.push(Action::Respond { query: id, complete });
@@ -80,8 +80,8 @@
         }
     }
 
-    /// A part can never be answered. Whoever planned the query decides what that means; any other query ends
-    /// unless an answer can do without the part.
+    /// Handles a part that can no longer be answered. For a planned query the caller decides what follows;
+    /// any other query ends, unless an answer is possible without the part.
     pub(super) fn part_failed(&mut self, id: PartId) {
         let Some(part) = self.parts.get(id) else { return };
         let query_id = part.query;
@@ -96,7 +96,7 @@
                 || self.retries.may_repeat(self.now, &self.history(part), false)
         };
         let reachable: f64 = self.parts.of(query).filter(is_reachable).map(|part| part.weight).sum();
-        if self.progress(query).is_hopeless(self.class(query.class), reachable) {
+        if self.progress(query).is_unanswerable(self.class(query.class), reachable) {
             self.give_up(query_id);
         }
     }
@@ -118,8 +118,8 @@
         self.abandon_parts(&query.parts);
     }
 
-    /// Nobody needs these parts any more. What is in flight is cancelled; a part is forgotten with its last
-    /// attempt.
+    /// Marks parts as no longer needed and cancels their attempts in flight. A part is removed when its last
+    /// attempt has ended.
     pub(super) fn abandon_parts(&mut self, parts: &[PartId]) {
         for id in parts {
             self.cancel_attempts(*id);
--- a/crates/router/src/router/health.rs
+++ b/crates/router/src/router/health.rs
@@ -1,4 +1,4 @@
-//! The steps of outlier detection: signals in, ejection and recovery out.
+//! Handlers for outlier detection: health signals, ejection and recovery.
 
 use super::Router;
 use crate::events::{Action, EndpointState};
@@ -19,7 +19,7 @@
         }
     }
 
-    /// The wait for a recovery attempt of a backend is over.
+    /// Handles the end of the wait for a recovery attempt of a backend.
     pub(super) fn recovery_due(&mut self, id: BackendId) {
         let Some(backend) = self.endpoints.get_mut(id) else { return };
         if !backend.health.is_ejected() || backend.state == EndpointState::Removed {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A recovery attempt has failed, or was sent and may fail: the next one waits longer.
+    /// Increases the wait for the next recovery attempt, after one has failed or was sent and may fail.
     pub(super) fn back_off_recovery(&mut self, id: BackendId) {
         let Some(backend) = self.endpoints.get_mut(id) else { return };
         self.outliers.back_off(&mut backend.health);
--- a/crates/router/src/router/sending.rs
+++ b/crates/router/src/router/sending.rs
@@ -1,4 +1,4 @@
-//! The steps of sending a part: whether it may be sent, where to, and with what time-outs.
+//! Sends parts: whether a part may be sent, to which backend, and with what timeouts.
 
 use super::Router;
 use crate::backend::Backend;
@@ -10,25 +10,25 @@
 use crate::slow_start::Demand;
 use crate::timers::Timer;
 
-/// No part is sent with less time than this left before its query's end, in microseconds.
+/// Least time left before its query's end with which a part is sent, in microseconds.
 const MIN_TIME_LEFT_US: Micros = 5_000;
-/// How soon a part that could not be sent anywhere is looked at again, in microseconds.
+/// Delay before another try to send a part that no backend could take, in microseconds.
 const RESEND_INTERVAL_US: Micros = 50_000;
 
-/// What becomes of a part that is to be sent.
+/// What to do with a part that is due to be sent.
 enum NextStep {
-    /// Its query has ended, or no time is left, or an attempt is in flight that has to do.
+    /// Send nothing: its query has ended, no time is left, or the attempt in flight has to suffice.
     Skip,
-    /// It has failed for good.
+    /// Fail the part: no further attempt is allowed.
     PartFailed,
-    /// No backend can take it now, or the retry budget is used up.
+    /// Try again later: no backend can take it now, or the retry budget is used up.
     Wait,
-    /// This backend takes it.
+    /// Send it to this backend.
     Send(BackendId),
 }
 
 impl Router {
-    /// Sends the parts of this batch; those that go to one backend share calls.
+    /// Sends the parts of this batch. Parts for the same backend share calls.
     pub(super) fn send_parts(&mut self) {
         if self.to_send.is_empty() {
             return;
@@ -46,9 +46,10 @@
         }
     }
 
-    /// Asks the rules in turn: may it be repeated, is there budget, is there a replica?
+    /// Applies the rules in turn: whether it may be repeated, whether there is budget, whether there is a
+    /// replica.
     fn next_step(&self, part: &Part, batch: &BatchCalls) -> NextStep {
-        let Some(query) = self.queries.get(&part.query).filter(|_| part.is_wanted()) else {
+        let Some(query) = self.queries.get(&part.query).filter(|_| part.is_needed()) else {
             return NextStep::Skip;
         };
         if self.now + MIN_TIME_LEFT_US >= query.ends_at {
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -1,115 +1,118 @@
-//! What a router is configured with: classes, shard layout, limits of the deployment and figures of the rules.
-//! All lengths of time are in microseconds, and all fractions from 0 to 1.
+//! Configuration of a router: classes, shard layout, limits of the deployment and parameters of the rules.
+//! All durations are in microseconds, and all fractions from 0 to 1.
 
 use crate::ids::{Micros, ZoneId};
 use crate::settings_error::{ClassField, Field, Problem, SettingsError};
 
-/// Weights of parts may fall short of their sum by rounding, by no more than this.
+/// Tolerance in comparisons of weights, whose sums may be too small by rounding.
 pub(crate) const ROUNDING: f64 = 0.000_05;
 
-/// What repeating a part of a class may do.
+/// Effect of repeating a part of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeats are harmless.
+    /// Repeats have no further effect.
     Idempotent,
     /// Parts carry an idempotency key: every replica drops a repeat within the dedup window.
     Keyed {
-        /// Length of the window, from the first attempt that may have run.
+        /// Length of the window, from the first possibly executed attempt.
         dedup_window: Micros,
     },
     /// A repeat would take effect a second time.
     NonIdempotent,
 }
 
-/// One class of query. A query's answer has a value: all of it if complete and within the latency objective.
+/// One class of query. The answer of a query has a value: the full value if complete and within the latency
+/// objective.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time of arrival has its full value.
     pub latency_objective: Micros,
     /// The objective grows by this multiple of the query's expected work, up to `deadline`.
     pub objective_per_work: f64,
-    /// The longest that a client waits.
+    /// Longest time that a client waits.
     pub deadline: Micros,
     /// Fraction of its value that an answer past the objective has.
     pub late_value: f64,
-    /// What a repeat may do.
+    /// Effect of a repeat.
     pub idempotency: Idempotency,
-    /// Least fraction of the parts' weight that any answer needs.
+    /// Fraction of the parts' weight that any answer needs.
     pub minimum_completeness: f64,
     /// Fraction of the first step's weight that makes a complete answer.
     pub required_completeness: f64,
-    /// A partial answer has this times the fraction that it has of the required completeness.
+    /// Value of a partial answer as a fraction of the full value, multiplied by the fraction of the required
+    /// completeness that it reaches.
     pub partial_value: f64,
-    /// Number of parts in the second step; 0 where there is none.
+    /// Number of parts in the second step; 0 if there is none.
     pub second_step_parts: u32,
 }
 
-/// Which ring positions hold a shard, and what a call costs.
+/// Mapping of shards to ring positions, and the cost of a call.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ShardLayout {
     /// Number of ring positions.
     pub ring_positions: u32,
-    /// Shard `s` is held by the backends of positions `s`, `s + 1`, ... over this many, around the ring.
+    /// Number of consecutive ring positions, from `s` on around the ring, whose backends hold shard `s`.
     pub replication_factor: u32,
-    /// Most parts that one call carries.
+    /// Maximum number of parts per call.
     pub parts_per_call: u32,
-    /// Work that a call costs its backend beside that of its parts.
+    /// Work that a call costs its backend in addition to that of its parts.
     pub call_work: Micros,
 }
 
-/// What the deployment lets a router do.
+/// What the deployment allows a router to do.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DeploymentLimits {
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Backends may be sent health checks.
+    /// Whether backends may be sent health checks.
     pub health_checks: bool,
-    /// Two attempts of one part may be in flight at once.
+    /// Whether two attempts of one part may be in flight at once.
     pub hedging: bool,
-    /// Most attempts of one part.
+    /// Maximum number of attempts of one part.
     pub max_attempts: u32,
-    /// Longest advice to a rejected client on when to come back; 0 where none is passed on.
+    /// Longest delay that a rejected client is advised to wait before a retry; 0 for no advice.
     pub max_retry_after: Micros,
 }
 
-/// Attempts beyond a part's first that are allowed in any window: `min_retries + retry_ratio * arrivals`, where
+/// Limit of the attempts beyond a part's first in any window: `min_retries + retry_ratio * arrivals`, where
 /// arrivals are the queries and parts that arrived within the window.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryBudgetSettings {
-    /// Allowed however little arrives.
+    /// Retries that are allowed regardless of arrivals.
     pub min_retries: f64,
-    /// Allowed for each query and part that arrives.
+    /// Retries that are allowed per arriving query or part.
     pub retry_ratio: f64,
     /// Length of the window.
     pub window: Micros,
 }
 
-/// Figures of the rules.
+/// Parameters of the rules.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RuleSettings {
-    /// A backend starts with this fraction of its capacity or more.
+    /// Least fraction of its capacity that a backend starts with.
     pub initial_capacity: f64,
-    /// A backend has its full capacity this long after its start at the latest.
+    /// Longest time from its start until a backend has its full capacity.
     pub warm_up_time: Micros,
-    /// Work beyond this multiple of present capacity ...
+    /// A warming backend fails if it is sent more work than this multiple of its current capacity within
+    /// `overload_window`.
     pub overload_multiple: f64,
-    /// ... for this long brings down a backend that warms up.
+    /// Window over which that work is counted.
     pub overload_window: Micros,
-    /// The budget of further attempts, where one is set.
+    /// The retry budget, if one is configured.
     pub retry_budget: Option<RetryBudgetSettings>,
 }
 
 /// How endpoint updates reach the router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Discovery {
-    /// By themselves.
+    /// They arrive without a request.
     #[default]
     Push,
-    /// Only after [`Action::WatchEndpoints`](crate::Action::WatchEndpoints).
+    /// They arrive only after [`Action::WatchEndpoints`](crate::Action::WatchEndpoints).
     Poll,
 }
 
-/// Everything that a router is configured with.
+/// Configuration of a router.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// Number of routers that share the backends, this one included.
@@ -118,25 +121,25 @@
     pub batch_interval: Micros,
     /// The classes; a [`ClassId`](crate::ClassId) is a position here.
     pub classes: Vec<Class>,
-    /// Shards, ring positions and calls.
+    /// Layout of shards on the ring, and calls.
     pub layout: ShardLayout,
-    /// What is allowed.
+    /// Limits of the deployment.
     pub limits: DeploymentLimits,
-    /// Figures of the rules.
+    /// Parameters of the rules.
     pub rules: RuleSettings,
     /// How endpoint updates arrive.
     pub discovery: Discovery,
-    /// The zone of this router, where there are zones.
+    /// The zone of this router, if there are zones.
     pub zone: Option<ZoneId>,
     /// Whether traffic between zones costs.
     pub cross_zone_costs: bool,
 }
 
 impl Settings {
-    /// Checks that the figures make sense together.
+    /// Checks that the settings are valid and consistent.
     ///
     /// # Errors
-    /// Names the first field that does not.
+    /// Returns the first invalid field.
     pub fn validate(&self) -> Result<(), SettingsError> {
         check(self.routers > 0, Field::Routers, Problem::Zero)?;
         check(!self.classes.is_empty(), Field::Classes, Problem::Empty)?;
--- a/crates/router/src/settings_error.rs
+++ b/crates/router/src/settings_error.rs
@@ -1,19 +1,19 @@
-//! Why settings are rejected. Operators know the fields by the names of the deployment's files; the table in
-//! [`Field`]'s `Display` is the one place that maps to them.
+//! Errors of invalid settings. Operators know the fields by their names in the deployment's files; the
+//! `Display` of [`Field`] is the only place that maps to these names.
 
 use std::fmt;
 
-/// Settings that make no sense.
+/// An invalid field of the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("setting {field} {problem}")]
 pub struct SettingsError {
-    /// The first field that is wrong.
+    /// The first invalid field.
     pub field: Field,
-    /// What is wrong with it.
+    /// Why it is invalid.
     pub problem: Problem,
 }
 
-/// What can be wrong with a field.
+/// Why a field is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Problem {
     /// Must not be zero.
@@ -37,7 +37,7 @@
     /// The latency objective must not be longer than the deadline.
     #[error("lies beyond the deadline")]
     BeyondDeadline,
-    /// The minimum completeness must not be above the required one.
+    /// The minimum completeness must not be above the required completeness.
     #[error("lies above the need")]
     AboveRequiredCompleteness,
 }
--- a/crates/router/src/slow_start.rs
+++ b/crates/router/src/slow_start.rs
@@ -1,10 +1,10 @@
-//! What a backend that warms up is sent by one of several routers.
+//! Slow start: how much work one of several routers sends to a warming backend.
 //!
-//! A backend starts at a fraction of its capacity and is assumed to gain the rest evenly over the warm-up time,
-//! the slowest way that the deployment allows. Work beyond a multiple of its present capacity within the
-//! overload window would bring it down, and the routers do not speak to each other: each uses an equal quota of
-//! that work. Where the quota is less than one part, [`SlowStart`] decides by a draw for the whole query, so
-//! that all routers together send what the backend bears, however uneven their traffic is.
+//! A backend starts at a fraction of its capacity and is assumed to gain the rest linearly over the warm-up
+//! time, the slowest warm-up that the deployment allows. Work beyond a multiple of its current capacity
+//! within the overload window would make it fail. The routers do not communicate, so each uses an equal quota
+//! of that work. If the quota is less than one part, [`SlowStart`] decides by a draw for the whole query, so
+//! that all routers together send what the backend can handle, however uneven their traffic is.
 
 use std::collections::VecDeque;
 
@@ -13,21 +13,21 @@
 use crate::settings::{RuleSettings, Settings};
 use crate::traffic::Traffic;
 
-/// Fraction of the bearable work that is used; the rest covers chance.
+/// Fraction of the work that a backend can handle that is used; the rest covers random variation.
 const CAPACITY_USE: f64 = 0.8;
-/// Of that, the fraction that draws aim at: their chance is larger than that of routers with a quota.
+/// Fraction of that work that draws target: they vary more than the work of routers with a quota.
 const DRAWN_CAPACITY_USE: f64 = 0.75;
-/// Fraction of all routers' work that one busy router among many may send.
+/// Fraction of all routers' work above which one router counts as busy and is held to its quota.
 const MAX_ROUTER_FRACTION: f64 = 0.25;
-/// Fraction of its quota that a router uses that has just started: it does not know its pace yet, and many
-/// routers may have started together.
+/// Fraction of its quota that a newly started router uses: it does not know its traffic yet, and many routers
+/// may have started together.
 const NEW_ROUTER_FRACTION: f64 = 0.5;
-/// Lowest capacity that a backend is taken to have, as a fraction of full capacity.
+/// Lower bound of a backend's assumed capacity, as a fraction of its full capacity.
 const MIN_CAPACITY_FRACTION: f64 = 0.01;
-/// Stands for the whole query in hashes of a query and a shard.
-const WHOLE_QUERY: ShardId = ShardId(u32::MAX);
+/// Used in place of a shard to hash a query as a whole.
+const PLACEHOLDER_SHARD: ShardId = ShardId(u32::MAX);
 
-/// Work that one backend was sent within the overload window.
+/// Work that was sent to one backend within the overload window.
 #[derive(Clone, Debug, Default)]
 pub struct RecentWork(VecDeque<SentWork>);
 
@@ -38,18 +38,18 @@
 }
 
 impl RecentWork {
-    /// Adds work, in microseconds, and forgets what has left the window.
+    /// Adds work, in microseconds, and removes what has left the window.
     pub fn record(&mut self, now: Micros, window: Micros, work: f64) {
         self.advance(now, window);
         self.0.push_back(SentWork { at: now, work });
     }
 
-    /// Forgets what has left the window.
+    /// Removes what has left the window.
     pub(crate) fn advance(&mut self, now: Micros, window: Micros) {
         self.0.retain(|sent| sent.at + window >= now);
     }
 
-    /// Sum of the work within the window, in microseconds.
+    /// Returns the sum of the work within the window, in microseconds.
     fn within(&self, now: Micros, window: Micros) -> f64 {
         self.0.iter().filter(|sent| sent.at + window >= now).map(|sent| sent.work).sum()
     }
@@ -62,16 +62,16 @@
 /// The work of one more part, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PartWork {
-    /// Of the part alone.
+    /// Work of the part alone.
     pub part: f64,
-    /// Of a call, beside its parts.
+    /// Work of a call in addition to its parts.
     pub call: f64,
-    /// Whether the part joins a call that is opened already.
+    /// Whether the part joins a call that is already open.
     pub joins_call: bool,
 }
 
 impl PartWork {
-    /// What the part adds to its backend's work.
+    /// Returns the work that the part adds to its backend.
     pub fn added(&self) -> f64 {
         self.part + if self.joins_call { 0.0 } else { self.call }
     }
@@ -81,24 +81,24 @@
     }
 }
 
-/// A backend that a part may go to.
+/// A backend that a part may be sent to.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// When it started; `None` for long ago.
+    /// Time of its start; `None` if that was long ago.
     pub started_at: Option<Micros>,
-    /// What this router sent it.
+    /// Work that this router has sent to it.
     pub recent_work: &'a RecentWork,
 }
 
-/// What this router has to send.
+/// Demand that this router has to serve.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand<'a> {
     /// The query that the part belongs to.
     pub query: QueryId,
-    /// What arrived of late.
+    /// Recent arrivals.
     pub traffic: &'a Traffic,
-    /// Parts of earlier batches that were not sent yet. All that a lost zone has left waiting would otherwise
-    /// go out in one window.
+    /// Number of parts of earlier batches that were not sent yet. Without it, all parts that wait after the
+    /// loss of a zone would be sent in one window.
     pub waiting_parts: usize,
     /// Number of backends that are ready.
     pub ready_backends: f64,
@@ -112,23 +112,23 @@
 }
 
 impl SlowStart {
-    /// Takes the figures of the warm-up, and among how many routers the work is divided.
+    /// Creates the rule from the warm-up parameters and the number of routers that share the work.
     pub fn new(settings: &Settings) -> Self {
         Self { rules: settings.rules.clone(), routers: f64::from(settings.routers) }
     }
 
-    /// The overload window, in microseconds.
+    /// Returns the overload window, in microseconds.
     pub(crate) fn window(&self) -> Micros {
         self.rules.overload_window
     }
 
-    /// Whether a backend may still be below its full capacity.
+    /// Returns whether a backend may still be below its full capacity.
     pub fn is_warming_up(&self, started_at: Option<Micros>, now: Micros) -> bool {
         started_at.is_some_and(|at| now < at + self.rules.warm_up_time)
     }
 
-    /// The capacity of a backend at an instant as a fraction of its full capacity, on the slowest warm-up that
-    /// the settings allow.
+    /// Returns the capacity of a backend at an instant, as a fraction of its full capacity, for the slowest
+    /// warm-up that the settings allow.
     pub fn warm_up_fraction(&self, started_at: Option<Micros>, at: Micros) -> f64 {
         let Some(started_at) = started_at else { return 1.0 };
         let age = at.saturating_sub(started_at) as f64 / self.rules.warm_up_time.max(1) as f64;
@@ -136,9 +136,9 @@
         (initial + (1.0 - initial) * age).clamp(MIN_CAPACITY_FRACTION, 1.0)
     }
 
-    /// Whether a backend can take one more part of this router. A backend with full capacity always can. One
-    /// core per backend is assumed, and the capacity of the window's start. `replicas` are the start times of
-    /// all ready backends that hold the part's shard.
+    /// Returns whether a backend can take one more part of this router. A backend with full capacity always
+    /// can. The rule assumes one core per backend and the capacity at the start of the window. `replicas` are
+    /// the start times of all ready backends that hold the part's shard.
     pub fn admits(
         &self,
         now: Micros,
@@ -160,12 +160,13 @@
         if work.with_call() <= quota || is_busy {
             return total <= quota;
         }
-        self.wins_draw(now, backend, work.added(), quota, demand, replicas)
+        self.admits_by_draw(now, backend, work.added(), quota, demand, replicas)
     }
 
-    /// The draw for a quota of less than a part. It is the same for all parts and replicas of a query: where
-    /// all backends warm up, a query whose parts were drawn for one by one would hardly ever be sent whole.
-    fn wins_draw(
+    /// Decides by a draw if the quota is less than a part. The draw is the same for all parts and replicas of
+    /// a query: while all backends warm up, a query with one draw per part would hardly ever have all its
+    /// parts sent.
+    fn admits_by_draw(
         &self,
         now: Micros,
         backend: Candidate,
@@ -176,19 +177,20 @@
     ) -> bool {
         let window = self.rules.overload_window;
         let parts = demand.traffic.admitted_parts_in(now, window);
-        // Parts that wait are sent beside those that arrive: the draw becomes harder by their ratio.
-        let crowding = 1.0 + demand.waiting_parts as f64 / parts;
+        // Waiting parts are sent in addition to arriving ones: the draw becomes harder by their ratio.
+        let demand_factor = 1.0 + demand.waiting_parts as f64 / parts;
         let (mut replica_count, mut replica_capacity) = (0.0, 0.0);
         for started_at in replicas {
             replica_count += 1.0;
             replica_capacity += self.warm_up_fraction(started_at, now);
         }
-        // Parts of one window that would go to this backend.
+        // Parts of one window that would be sent to this backend.
         let capacity = self.warm_up_fraction(backend.started_at, now);
         let expected_parts = parts * replica_count / demand.ready_backends * capacity / replica_capacity;
         let known_windows = demand.traffic.age(now) as f64 / window.max(1) as f64;
         let quota = quota * known_windows.clamp(NEW_ROUTER_FRACTION, 1.0);
-        let draw = unit_interval(hash_query_shard(demand.query, WHOLE_QUERY)) * crowding / DRAWN_CAPACITY_USE;
+        let draw = unit_interval(hash_query_shard(demand.query, PLACEHOLDER_SHARD)) * demand_factor
+            / DRAWN_CAPACITY_USE;
         // Queries pass in proportion to the mean warm-up fraction of the replicas, whatever the quota.
         let within_mean_capacity = draw < replica_capacity / replica_count;
         let within_quota = draw * work * expected_parts < quota;
--- a/crates/router/src/timers.rs
+++ b/crates/router/src/timers.rs
@@ -1,4 +1,4 @@
-//! The router's timers. The caller keeps the clock: the router asks for one wake-up at a time, for the
+//! The router's timers. The caller owns the clock: the router requests one wake-up at a time, for the
 //! earliest timer that is set.
 
 use std::collections::BTreeSet;
@@ -10,13 +10,13 @@
 pub(crate) enum Timer {
     /// The latency objective of a query is about to pass.
     LatencyObjective(QueryId),
-    /// The time of a query is about to run out.
+    /// The deadline of a query is about to pass.
     Deadline(QueryId),
     /// An attempt may be overdue.
     Overdue(PartId, u32),
-    /// A part that could not be sent is looked at again.
+    /// A part that could not be sent is to be tried again.
     Resend(PartId),
-    /// An ejected backend may be tried again.
+    /// The wait for a recovery attempt of an ejected backend is over.
     RecoveryAttempt(BackendId),
     /// The endpoint list is to be watched.
     WatchEndpoints,
@@ -26,17 +26,17 @@
 #[derive(Debug, Default)]
 pub(crate) struct TimerQueue {
     queue: BTreeSet<(Micros, Timer)>,
-    /// When the wake-up comes that the caller was last asked for.
+    /// Time of the wake-up that was last requested.
     wake_up_at: Option<Micros>,
 }
 
 impl TimerQueue {
-    /// Sets a timer to fire at this instant or as soon after it as the router runs.
+    /// Sets a timer to fire at this instant, or when the router next runs after it.
     pub(crate) fn set(&mut self, at: Micros, timer: Timer) {
         self.queue.insert((at, timer));
     }
 
-    /// Takes out the next timer that is due.
+    /// Removes and returns the next due timer.
     pub(crate) fn pop_due(&mut self, now: Micros) -> Option<Timer> {
         let &(at, timer) = self.queue.first()?;
         if at > now {
@@ -46,8 +46,8 @@
         Some(timer)
     }
 
-    /// How long from now the caller has to wake the router, in microseconds; `None` where a wake-up that
-    /// comes early enough was asked for already, or nothing is set.
+    /// Returns the delay after which the caller has to wake the router, in microseconds, or `None` if an
+    /// early enough wake-up was already requested or no timer is set.
     pub(crate) fn next_wake_up(&mut self, now: Micros) -> Option<Micros> {
         let &(first, _) = self.queue.first()?;
         if self.wake_up_at.is_some_and(|at| at > now && at <= first) {
@@ -57,7 +57,7 @@
         Some(first.saturating_sub(now).max(1))
     }
 
-    /// How many timers are set.
+    /// Returns the number of timers that are set.
     pub(crate) fn len(&self) -> usize {
         self.queue.len()
     }
--- a/crates/router/tests/completion.rs
+++ b/crates/router/tests/completion.rs
@@ -163,11 +163,12 @@
     );
     assert_eq!(progress(second, 2).at_deadline(&two_steps), Ending::RespondPartially);
     assert!(
-        progress(Step::First, 0).is_hopeless(&class, 0.4)
-            && !progress(Step::First, 0).is_hopeless(&class, 0.5)
+        progress(Step::First, 0).is_unanswerable(&class, 0.4)
+            && !progress(Step::First, 0).is_unanswerable(&class, 0.5)
     );
     assert!(
-        progress(second, 0).is_hopeless(&two_steps, 0.9) && !progress(second, 0).is_hopeless(&two_steps, 1.0)
+        progress(second, 0).is_unanswerable(&two_steps, 0.9)
+            && !progress(second, 0).is_unanswerable(&two_steps, 1.0)
     );
 }
 
--- a/crates/router/tests/outlier.rs
+++ b/crates/router/tests/outlier.rs
@@ -154,7 +154,11 @@
     assert_eq!((second, health.is_ejected()), (Some(HealthChange::Ejected), true));
     let mut health = BackendHealth::default();
     let strong = detector.record(&mut health, 1, HealthSignal::StrongFailure);
-    assert_eq!((strong, health.avoidance()), (Some(HealthChange::Ejected), 4), "0.6 in grades of an eighth");
+    assert_eq!(
+        (strong, health.selection_penalty()),
+        (Some(HealthChange::Ejected), 4),
+        "0.6 in grades of an eighth"
+    );
 }
 
 #[test]
@@ -194,16 +198,16 @@
         let (detector, mut health) = (detector(health_checks), BackendHealth::default());
         detector.record(&mut health, 1, HealthSignal::StrongFailure);
         assert_eq!(detector.recovery_due(&mut health), health_checks);
-        assert_eq!(health.avoidance() == 0, !health_checks);
+        assert_eq!(health.selection_penalty() == 0, !health_checks);
         if health_checks {
             assert!(detector.health_check_completed(&mut health, false), "failed: the wait begins anew");
-            assert_ne!(health.avoidance(), 0);
+            assert_ne!(health.selection_penalty(), 0);
             assert!(!detector.health_check_completed(&mut health, true));
-            assert_eq!(health.avoidance(), 0);
+            assert_eq!(health.selection_penalty(), 0);
         }
         assert!(health.start_recovery_attempt());
         assert!(!health.start_recovery_attempt(), "one part only");
-        assert_ne!(health.avoidance(), 0);
+        assert_ne!(health.selection_penalty(), 0);
     }
 }
 
