--- a/crates/router/src/completion.rs
+++ b/crates/router/src/completion.rs
@@ -18,7 +18,8 @@
 /// the client.
 const RESPONSE_MARGIN_US: Micros = 15_000;
 
-/// Returns when to end a query that has to be answered by `limit`; not earlier than now.
+/// Returns when to evaluate a query whose objective or deadline is `limit`: shortly before it, but not before
+/// `now`.
 pub(crate) fn response_time(now: Micros, limit: Micros) -> Micros {
     limit.saturating_sub(RESPONSE_MARGIN_US).max(now)
 }
--- a/crates/router/src/outlier.rs
+++ b/crates/router/src/outlier.rs
@@ -25,10 +25,10 @@
 const RECOVERY_SUCCESS_WEIGHT: f64 = 0.35;
 /// Weight of any other answer. One failure in eight attempts outweighs the answers to the others.
 const SUCCESS_WEIGHT: f64 = 0.05;
-/// Least first wait before a recovery attempt, as a fraction of the shortest latency objective.
+/// Minimum initial wait before a recovery attempt, as a fraction of the shortest latency objective.
 const RECOVERY_WAIT_OBJECTIVE_FRACTION: f64 = 0.5;
-/// Least first wait before a recovery attempt, as a fraction of the time in which this router sends something
-/// to every backend once. The longer of the two waits applies.
+/// Minimum initial wait before a recovery attempt, as a fraction of the time in which this router sends
+/// something to every backend once. The longer of the two waits applies.
 const RECOVERY_WAIT_COVERAGE_FRACTION: f64 = 0.5;
 /// Maximum number of times that this wait doubles.
 const MAX_RECOVERY_DOUBLINGS: u32 = 3;
--- a/crates/router/src/router/sending.rs
+++ b/crates/router/src/router/sending.rs
@@ -10,7 +10,7 @@
 use crate::slow_start::Demand;
 use crate::timers::Timer;
 
-/// Least time left before its query's end with which a part is sent, in microseconds.
+/// Minimum time left before the end of its query for a part to be sent, in microseconds.
 const MIN_TIME_LEFT_US: Micros = 5_000;
 /// Delay before another try to send a part that no backend could take, in microseconds.
 const RESEND_INTERVAL_US: Micros = 50_000;
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings and a small set of helpers for driving a router by hand.
+//! Test settings, and a driver that feeds events to a router and tracks its attempts.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -8,13 +8,13 @@
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(effect: Idempotency) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: 2 * SECOND,
         objective_per_work: 0.0,
         deadline: 6 * SECOND,
         late_value: 0.1,
-        idempotency: effect,
+        idempotency,
         minimum_completeness: 1.0,
         required_completeness: 1.0,
         partial_value: 0.9,
@@ -22,7 +22,7 @@
     }
 }
 
-/// Six cells, each shard on two of them, one part a call.
+/// Six ring positions, replication factor two, one part per call.
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings {
         routers: 2,
@@ -49,7 +49,7 @@
     }
 }
 
-/// One class of idempotent queries.
+/// Settings with one class of idempotent queries.
 pub fn idempotent_settings() -> Settings {
     settings(vec![class(Idempotency::Idempotent)])
 }
@@ -58,16 +58,16 @@
     Endpoint { backend: BackendId(backend), ring_position: backend, state, started_at: started, zone: None }
 }
 
-/// Backends 0 to 5, one at each ring position.
+/// A snapshot of backends 0 to 5, one at each ring position, all ready.
 pub fn all_ready() -> EndpointUpdate {
     EndpointUpdate::Snapshot((0..6).map(|s| endpoint(s, EndpointState::Ready, None)).collect())
 }
 
-/// A router with its clock. Attempts that are cancelled or time out end as they would in service.
+/// A router with its clock. It completes cancelled and timed-out attempts as the server would.
 pub struct Driver {
     pub router: Router,
     pub now: Micros,
-    /// Attempts out: when they end by themselves, how, and when they were sent.
+    /// Attempts in flight: when they end without an answer, with what outcome, and when they were sent.
     in_flight: BTreeMap<(PartId, u32), (Micros, Outcome, Micros)>,
     attempts: BTreeMap<PartId, u32>,
 }
@@ -112,7 +112,7 @@
         actions
     }
 
-    /// Passes time in steps of 5 ms and returns all that was done meanwhile.
+    /// Advances the clock in steps of 5 ms and returns all actions of that time.
     pub fn advance(&mut self, time: Micros) -> Vec<Action> {
         let mut all = Vec::new();
         let until = self.now + time;
@@ -134,19 +134,24 @@
     }
 
     pub fn query(&mut self, query: u128, class: usize, shards: &[u32]) -> Vec<Action> {
-        let now_events = arrival(query, class, shards);
-        self.handle(now_events)
+        self.handle(arrival(query, class, shards))
     }
 
-    pub fn succeeded(&mut self, part: PartId, attempt: u32, took: Micros) -> Vec<Action> {
-        self.completed(part, attempt, Outcome::Succeeded, took)
+    pub fn succeeded(&mut self, part: PartId, attempt: u32, latency: Micros) -> Vec<Action> {
+        self.completed(part, attempt, Outcome::Succeeded, latency)
     }
 
-    pub fn completed(&mut self, part: PartId, attempt: u32, outcome: Outcome, took: Micros) -> Vec<Action> {
-        self.handle(vec![Event::AttemptCompleted { part, attempt, outcome, latency: took }])
+    pub fn completed(
+        &mut self,
+        part: PartId,
+        attempt: u32,
+        outcome: Outcome,
+        latency: Micros,
+    ) -> Vec<Action> {
+        self.handle(vec![Event::AttemptCompleted { part, attempt, outcome, latency }])
     }
 
-    /// Lets queries pass that are answered at once, so that latencies are known to be short.
+    /// Runs queries that are answered after 50 ms each, so that the router has measured short latencies.
     pub fn warm_up(&mut self, class: usize, count: u128) {
         for i in 0..count {
             let id = 900_000 + class as u128 * 10_000 + i;
--- a/crates/router/tests/completion.rs
+++ b/crates/router/tests/completion.rs
@@ -1,4 +1,4 @@
-//! When a query ends, and how.
+//! When a query ends, and with what result.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use mallowgauge_router::*;
 
 #[test]
-fn no_query_is_lost_when_nothing_answers() {
+fn a_query_ends_exactly_once_if_no_backend_answers() {
     let mut driver = Driver::ready(idempotent_settings());
     driver.query(1, 0, &[0, 1]);
     let actions = driver.advance(6 * SECOND - 5 * MS);
@@ -58,17 +58,17 @@
 }
 
 #[test]
-fn a_fraction_of_the_parts_makes_a_complete_answer_where_the_class_says_so() {
+fn the_required_fraction_of_the_parts_makes_a_complete_answer() {
     let mut c = class(Idempotency::Idempotent);
     (c.required_completeness, c.minimum_completeness) = (0.6, 0.6);
     let mut driver = Driver::ready(settings(vec![c]));
     let sent = sends(&driver.query(1, 0, &[0, 1, 2, 3, 4]));
-    assert_eq!(sent.len(), 4, "three are needed and one is spare; the fifth waits");
+    assert_eq!(sent.len(), 4, "three are needed and one is spare; the fifth is deferred");
     driver.succeeded(sent[0].0, 0, 50 * MS);
     driver.succeeded(sent[1].0, 0, 50 * MS);
     let actions = driver.succeeded(sent[2].0, 0, 50 * MS);
     assert_eq!(final_actions(&actions), [&Action::Respond { query: QueryId(1), complete: true }]);
-    // The part that waited goes out when one of the others is lost.
+    // The deferred part is sent when one of the others is lost.
     let sent = sends(&driver.query(2, 0, &[0, 1, 2, 3, 4]));
     let after: Vec<_> =
         sends(&driver.completed(sent[0].0, 0, Outcome::BackendError, 5 * MS)).iter().map(|s| s.0).collect();
@@ -108,13 +108,13 @@
 
 // ---- the rule by itself ----
 
-/// A class whose answers need half of the weight, and are complete with three quarters.
+/// A class with a minimum completeness of 0.5 and a required completeness of 0.75.
 fn partial_class() -> Class {
     let class = class(Idempotency::Idempotent);
     Class { minimum_completeness: 0.5, required_completeness: 0.75, ..class }
 }
 
-/// A query of four parts of equal weight, of which so many are answered.
+/// Progress of a query of four parts of equal weight, of which `answered_parts` are answered.
 fn progress(step: Step, answered_parts: usize) -> Progress {
     let answered_weight = answered_parts as f64 / 4.0;
     Progress { step, planned: false, parts: 4, answered_parts, answered_weight }
@@ -136,21 +136,21 @@
 }
 
 #[test]
-fn before_the_objective_a_partial_answer_is_given_if_it_is_worth_more_than_a_late_one() {
+fn before_the_objective_a_partial_answer_is_given_if_it_has_more_value_than_a_late_one() {
     let at_objective = |answered: usize, late_value: f64, planned: bool| {
         let class = Class { late_value, ..partial_class() };
         Progress { planned, ..progress(Step::First, answered) }.at_objective(&class)
     };
-    // 0.9 x 2/3 of the value.
+    // A partial answer with two of three required parts has 0.9 x 2/3 of the full value.
     assert_eq!(at_objective(2, 0.5, false), Ending::RespondPartially);
     assert_eq!(at_objective(2, 0.7, false), Ending::Continue);
     assert_eq!(at_objective(1, 0.1, false), Ending::Continue, "below the minimum");
-    assert_eq!(at_objective(1, 0.0, false), Ending::GiveUp, "a late answer is worth nothing");
-    assert_eq!(at_objective(2, 0.0, true), Ending::Continue, "who planned it decides");
+    assert_eq!(at_objective(1, 0.0, false), Ending::GiveUp, "a late answer has no value");
+    assert_eq!(at_objective(2, 0.0, true), Ending::Continue, "the caller decides");
 }
 
 #[test]
-fn before_the_deadline_a_query_ends_with_what_may_be_answered() {
+fn before_the_deadline_a_query_ends_with_a_partial_answer_or_none() {
     let class = partial_class();
     let two_steps = Class { second_step_parts: 2, ..partial_class() };
     let second = Step::Second { first_complete: true };
@@ -159,7 +159,7 @@
     assert_eq!(
         progress(Step::First, 2).at_deadline(&two_steps),
         Ending::GiveUp,
-        "no time for its second step"
+        "no time for the second step"
     );
     assert_eq!(progress(second, 2).at_deadline(&two_steps), Ending::RespondPartially);
     assert!(
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn one_part_more_is_sent_than_a_complete_answer_needs() {
+fn one_spare_part_is_sent_beyond_those_a_complete_answer_needs() {
     let count = |weights: &[f64]| parts_to_send(&partial_class(), weights.iter().copied());
     assert_eq!(count(&[0.25; 4]), 4);
     assert_eq!(count(&[0.1; 10]), 9);
--- a/crates/router/tests/endpoints.rs
+++ b/crates/router/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! What the endpoint list says, and how it is kept up to date.
+//! Handling of endpoint updates, and when the list is watched again.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use mallowgauge_router::*;
 
 #[test]
-fn draining_and_removed_backends_get_nothing() {
+fn draining_and_removed_backends_are_sent_no_parts() {
     let mut driver = Driver::ready(idempotent_settings());
     let removed = [endpoint(0, EndpointState::Draining, None), endpoint(1, EndpointState::Removed, None)];
     driver.handle(vec![Event::EndpointUpdate(EndpointUpdate::Delta(removed.to_vec()))]);
@@ -14,7 +14,7 @@
         let to = sends(&driver.query(i, 0, &[5, 1, 0]));
         assert!(to.iter().all(|(_, s)| s.0 > 1), "{to:?}");
     }
-    // A backend that a whole list leaves out is gone as well.
+    // A backend that is missing from a snapshot is removed as well.
     driver.handle(vec![Event::EndpointUpdate(EndpointUpdate::Snapshot(vec![endpoint(
         2,
         EndpointState::Ready,
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn where_updates_are_polled_a_failed_watch_is_repeated() {
+fn with_polling_a_failed_watch_is_repeated() {
     let mut s = idempotent_settings();
     s.discovery = Discovery::Poll;
     let mut driver = Driver::new(s);
@@ -34,16 +34,16 @@
         None,
     )]))]);
     assert!(first.contains(&Action::WatchEndpoints));
-    assert!(!driver.advance(5 * SECOND).contains(&Action::WatchEndpoints), "one is under way already");
+    assert!(!driver.advance(5 * SECOND).contains(&Action::WatchEndpoints), "a watch is already active");
     driver.handle(vec![Event::EndpointUpdate(EndpointUpdate::Failed)]);
     assert!(driver.advance(2 * SECOND).contains(&Action::WatchEndpoints));
     driver.handle(vec![Event::EndpointUpdate(all_ready())]);
     assert!(!driver.advance(20 * SECOND).contains(&Action::WatchEndpoints));
 }
 
-/// Guards the bound on memory while backends are replaced all the time.
+/// Guards against unbounded memory use while backends are continually replaced.
 #[test]
-fn removed_backends_are_forgotten() {
+fn removed_backends_are_evicted() {
     let mut driver = Driver::ready(idempotent_settings());
     let (part, backend) = sends(&driver.query(1, 0, &[0]))[0];
     let removed = |id: BackendId| Endpoint { backend: id, ..endpoint(0, EndpointState::Removed, None) };
@@ -58,7 +58,7 @@
         driver.now += 10 * MS;
     }
     let known = |driver: &Driver| driver.router.backends().map(|s| s.backend).collect::<Vec<_>>();
-    assert_eq!(known(&driver), [backend, BackendId(99)], "a part is out on the first");
+    assert_eq!(known(&driver), [backend, BackendId(99)], "a part is in flight at the first");
     driver.succeeded(part, 0, SECOND);
     driver.advance(3 * SECOND);
     driver.handle(vec![Event::EndpointUpdate(EndpointUpdate::Delta(Vec::new()))]);
--- a/crates/router/tests/invariants.rs
+++ b/crates/router/tests/invariants.rs
@@ -1,11 +1,11 @@
-//! Random events from fixed seeds: the six rules hold after each action, and the same events give the same
+//! Random events from fixed seeds: six invariants hold after each action, and the same events give the same
 //! actions.
 //!
-//! 1. Each query gets one final answer, in time, and nothing is sent for it afterwards.
-//! 2. Nothing takes effect twice, and a rejection promises that nothing has.
+//! 1. Each query gets exactly one final answer, in time, and nothing is sent for it afterwards.
+//! 2. Nothing takes effect twice, and a query is rejected only if nothing of it has taken effect.
 //! 3. Only ready backends are sent parts.
-//! 4. A backend that warms up is not sent more than the router's quota of what it bears.
-//! 5. No answer is below its class's minimum, and none is marked complete that is not.
+//! 4. A warming backend is not sent more than the router's quota of the work that it can handle.
+//! 5. No answer is below its class's minimum completeness, and only complete answers are marked complete.
 //! 6. Retries stay within the budget.
 
 mod common;
@@ -15,11 +15,11 @@
 use common::*;
 use mallowgauge_router::*;
 
-/// What the checks know of an attempt.
+/// An attempt, as the checks see it.
 struct ModelAttempt {
     sent_at: Micros,
     in_flight: bool,
-    never_ran: bool,
+    not_executed: bool,
 }
 
 struct ModelPart {
@@ -36,7 +36,7 @@
     }
 
     fn possibly_executed_at(&self) -> Option<Micros> {
-        self.attempts.iter().filter(|attempt| !attempt.never_ran).map(|attempt| attempt.sent_at).min()
+        self.attempts.iter().filter(|attempt| !attempt.not_executed).map(|attempt| attempt.sent_at).min()
     }
 }
 
@@ -54,27 +54,27 @@
     started_at: Option<Micros>,
 }
 
-/// An attempt that will end.
-struct Due {
+/// The scheduled end of an attempt.
+struct ScheduledEnd {
     at: Micros,
     part: PartId,
     attempt: u32,
     outcome: Outcome,
 }
 
-/// Faults of the backends; each lasts for some seconds.
+/// Injected fault of the backends; each lasts for some seconds.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
     /// Backend 2 answers with errors.
     Errors,
     /// Backend 2 does not answer.
-    Silence,
+    Unresponsive,
     /// All backends are slow, and some reject.
     Overload,
 }
 
-/// The router under test, and what a client and its backends see of it.
+/// The router under test, with a model of its clients and backends.
 struct Model {
     settings: Settings,
     driver: Driver,
@@ -83,7 +83,7 @@
     next_query: u128,
     queries: BTreeMap<u128, ModelQuery>,
     parts: BTreeMap<PartId, ModelPart>,
-    due: Vec<Due>,
+    scheduled_ends: Vec<ScheduledEnd>,
     backends: BTreeMap<u32, ModelBackend>,
     sends_while_warming: BTreeMap<u32, Vec<Micros>>,
     arrivals: Vec<Micros>,
@@ -95,7 +95,8 @@
     log: Vec<String>,
 }
 
-/// A class of each kind: keyed, partial answers, some parts enough, two steps, not idempotent.
+/// Classes of each kind: keyed, with partial answers, complete without all parts, with two steps,
+/// non-idempotent.
 fn random_settings(hedging: bool) -> Settings {
     let idempotent = class(Idempotency::Idempotent);
     let mut settings = settings(vec![
@@ -118,7 +119,7 @@
     for tick in 0..36_000_u64 {
         model.driver.now += 5 * MS;
         model.fault =
-            [Fault::None, Fault::Errors, Fault::Silence, Fault::Overload][(tick / 3_000) as usize % 4];
+            [Fault::None, Fault::Errors, Fault::Unresponsive, Fault::Overload][(tick / 3_000) as usize % 4];
         let mut events = model.ended_attempts();
         if tick % 700 == 699 {
             events.push(model.endpoint_change());
@@ -150,7 +151,7 @@
             next_query: 1,
             queries: BTreeMap::new(),
             parts: BTreeMap::new(),
-            due: Vec::new(),
+            scheduled_ends: Vec::new(),
             backends: (0..6).map(|id| (id, ready)).collect(),
             sends_while_warming: BTreeMap::new(),
             arrivals: Vec::new(),
@@ -168,24 +169,24 @@
     fn ended_attempts(&mut self) -> Vec<Event> {
         let now = self.driver.now;
         let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.due).into_iter().partition(|due| due.at <= now);
-        self.due = later;
+            std::mem::take(&mut self.scheduled_ends).into_iter().partition(|end| end.at <= now);
+        self.scheduled_ends = later;
         let mut events = Vec::new();
-        for Due { part, attempt, outcome, .. } in due {
+        for ScheduledEnd { part, attempt, outcome, .. } in due {
             let model_part = self.parts.get_mut(&part).expect("an attempt of a known part");
             let ended = &mut model_part.attempts[attempt as usize];
             if !std::mem::replace(&mut ended.in_flight, false) {
                 continue;
             }
-            ended.never_ran = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed);
+            ended.not_executed = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed);
             model_part.answered |= outcome == Outcome::Succeeded;
-            let took = now - ended.sent_at;
-            events.push(Event::AttemptCompleted { part, attempt, outcome, latency: took });
+            let latency = now - ended.sent_at;
+            events.push(Event::AttemptCompleted { part, attempt, outcome, latency });
         }
         events
     }
 
-    /// A backend drains, is removed, comes back, or restarts.
+    /// Makes a random backend drain, be removed, become ready, or restart.
     fn endpoint_change(&mut self) -> Event {
         let id = self.rng.u32(0..6);
         let (state, restarted_at) = match self.rng.u32(0..4) {
@@ -242,7 +243,8 @@
 
     // ---- actions ----
 
-    /// Hands events to the router, and what follows from its actions, and checks each action.
+    /// Passes events to the router, checks each action, and passes on the events that follow from the
+    /// actions.
     fn handle(&mut self, mut events: Vec<Event>) {
         loop {
             let actions = self.driver.handle(std::mem::take(&mut events));
@@ -256,7 +258,7 @@
         }
     }
 
-    /// Checks an action; returns the events that it brings at once.
+    /// Checks an action and returns the events that follow from it at once.
     fn check(&mut self, action: &Action) -> Vec<Event> {
         match *action {
             Action::Send { part, backend, timeout, begin_within } => {
@@ -265,14 +267,15 @@
             }
             Action::Cancel { part, attempt } => {
                 let attempts = self.parts[&part].attempts.len();
-                assert!((attempt as usize) < attempts, "cancels an attempt never made");
+                assert!((attempt as usize) < attempts, "cancels an unknown attempt");
                 let at = self.driver.now + 5 * MS;
-                self.due.push(Due { at, part, attempt, outcome: Outcome::Cancelled });
+                let outcome = Outcome::Cancelled;
+                self.scheduled_ends.push(ScheduledEnd { at, part, attempt, outcome });
             }
             Action::Respond { query, complete } => return self.check_answer(query, complete),
             Action::Reject { query, .. } => self.check_rejection(query),
             Action::Fail { query } => {
-                self.queries.remove(&query.0).expect("rule 1: one final answer");
+                self.queries.remove(&query.0).expect("invariant 1: one final answer");
                 self.failed += 1;
             }
             _ => {}
@@ -283,22 +286,22 @@
     fn check_send(&mut self, part: PartId, backend: BackendId, timeout: Micros, begin_within: Micros) {
         let (now, limits) = (self.driver.now, &self.settings.limits);
         let part = self.parts.get(&part).expect("a known part");
-        let query = self.queries.get(&part.query).expect("rule 1: no send after the end of its query");
-        assert_eq!(self.backends[&backend.0].state, EndpointState::Ready, "rule 3");
+        let query = self.queries.get(&part.query).expect("invariant 1: no send after the end of its query");
+        assert_eq!(self.backends[&backend.0].state, EndpointState::Ready, "invariant 3");
         assert!((backend.0 + 6 - part.shard % 6) % 6 < 2, "not a replica");
         let in_flight = part.attempts.iter().filter(|attempt| attempt.in_flight).count();
-        assert!(in_flight == 0 || (limits.hedging && in_flight == 1), "rule 2: attempts at once");
+        assert!(in_flight == 0 || (limits.hedging && in_flight == 1), "invariant 2: parallel attempts");
         assert!(part.attempts.len() < limits.max_attempts as usize);
         match (self.settings.classes[query.class].idempotency, part.possibly_executed_at()) {
-            (Idempotency::NonIdempotent, Some(_)) => panic!("rule 2: a non-idempotent part again"),
+            (Idempotency::NonIdempotent, Some(_)) => panic!("invariant 2: a non-idempotent part is repeated"),
             (Idempotency::Keyed { dedup_window }, Some(first)) => {
                 let last = first + dedup_window;
-                assert!(now <= last, "rule 2: keyed");
-                assert!(now + begin_within <= last, "rule 2: keyed, however late it begins");
+                assert!(now <= last, "invariant 2: keyed");
+                assert!(now + begin_within <= last, "invariant 2: keyed, however late it begins");
             }
             _ => {}
         }
-        assert!(begin_within <= timeout, "what nobody waits for does not begin");
+        assert!(begin_within <= timeout, "an attempt must not begin after its timeout");
         if !part.attempts.is_empty() {
             self.check_retry_budget();
         }
@@ -313,10 +316,10 @@
         let retries = self.retries.iter().filter(|&&at| at >= from).count() as f64;
         let arrivals = self.arrivals.iter().filter(|&&at| at > from).count() as f64;
         let allowed = budget.min_retries + budget.retry_ratio * arrivals;
-        assert!(retries <= allowed, "rule 6: {retries} of {arrivals}");
+        assert!(retries <= allowed, "invariant 6: {retries} of {arrivals}");
     }
 
-    /// A part is 100 ms of work here; a backend has one core.
+    /// Checks invariant 4 for parts of 100 ms of work and backends with one core.
     fn check_slow_start(&mut self, backend: BackendId) {
         let (now, rules) = (self.driver.now, &self.settings.rules);
         let started_at = self.backends[&backend.0].started_at;
@@ -327,8 +330,11 @@
         let work = recent.count() as f64 * 100_000.0;
         let age = (now - started_at) as f64 / rules.warm_up_time as f64;
         let capacity = rules.initial_capacity + (1.0 - rules.initial_capacity) * age;
-        let bearable = rules.overload_multiple * capacity * rules.overload_window as f64;
-        assert!(work <= bearable / f64::from(self.settings.routers), "rule 4: {work} of {bearable}");
+        let sustainable = rules.overload_multiple * capacity * rules.overload_window as f64;
+        assert!(
+            work <= sustainable / f64::from(self.settings.routers),
+            "invariant 4: {work} of {sustainable}"
+        );
     }
 
     /// Decides how an attempt that is sent now will end.
@@ -336,28 +342,28 @@
         let now = self.driver.now;
         let attempts = &mut self.parts.get_mut(&part).expect("a known part").attempts;
         let attempt = attempts.len() as u32;
-        attempts.push(ModelAttempt { sent_at: now, in_flight: true, never_ran: false });
+        attempts.push(ModelAttempt { sent_at: now, in_flight: true, not_executed: false });
         let (after, outcome) = match self.fault {
             Fault::Errors if backend.0 == 2 => (3 * MS, Outcome::BackendError),
-            Fault::Silence if backend.0 == 2 => (timeout, Outcome::TimedOut),
+            Fault::Unresponsive if backend.0 == 2 => (timeout, Outcome::TimedOut),
             Fault::Overload if self.rng.f64() < 0.2 => (2 * MS, Outcome::Rejected),
             Fault::Overload => (self.rng.u64(300..4_000) * MS, Outcome::Succeeded),
             _ => (self.rng.u64(100..200) * MS, Outcome::Succeeded),
         };
         let (after, outcome) = if after >= timeout { (timeout, Outcome::TimedOut) } else { (after, outcome) };
-        self.due.push(Due { at: now + after, part, attempt, outcome });
+        self.scheduled_ends.push(ScheduledEnd { at: now + after, part, attempt, outcome });
     }
 
     fn check_answer(&mut self, id: QueryId, complete: bool) -> Vec<Event> {
-        let query = self.queries.get(&id.0).expect("rule 1: one final answer");
+        let query = self.queries.get(&id.0).expect("invariant 1: one final answer");
         let class = &self.settings.classes[query.class];
         let answered = query.parts.iter().map(|part| &self.parts[part]).filter(|part| part.answered);
         let weight: f64 = answered.map(|part| part.weight).sum();
-        assert!(weight >= class.minimum_completeness - 1e-4, "rule 5: {weight} is under the minimum");
+        assert!(weight >= class.minimum_completeness - 1e-4, "invariant 5: {weight} is under the minimum");
         let required = if query.step == 2 { 1.0 } else { class.required_completeness };
-        assert!(!complete || weight >= required - 1e-4, "rule 5: {weight} is not complete");
+        assert!(!complete || weight >= required - 1e-4, "invariant 5: {weight} is not complete");
         let first_complete = query.step == 1 || query.first_complete;
-        assert!(!complete || first_complete, "rule 5: the first step was not complete");
+        assert!(!complete || first_complete, "invariant 5: the first step was not complete");
         if query.step == 1 && class.second_step_parts > 0 {
             return self.second_step(id, complete);
         }
@@ -368,11 +374,11 @@
     }
 
     fn check_rejection(&mut self, id: QueryId) {
-        let query = self.queries.remove(&id.0).expect("rule 1: one final answer");
+        let query = self.queries.remove(&id.0).expect("invariant 1: one final answer");
         if self.settings.classes[query.class].idempotency == Idempotency::NonIdempotent {
             let possibly_executed =
                 query.parts.iter().any(|part| self.parts[part].possibly_executed_at().is_some());
-            assert!(!possibly_executed, "rule 2: a rejection promises that nothing ran");
+            assert!(!possibly_executed, "invariant 2: rejected though possibly executed");
         }
         self.rejected += 1;
     }
@@ -380,15 +386,15 @@
     fn check_no_query_is_lost(&self) {
         let now = self.driver.now;
         let lost = self.queries.iter().find(|(_, query)| query.ends_at + 20 * MS < now);
-        assert!(lost.is_none(), "rule 1: query {:?} was lost", lost.map(|(id, _)| id));
+        assert!(lost.is_none(), "invariant 1: query {:?} was lost", lost.map(|(id, _)| id));
     }
 }
 
 #[test]
-fn random_events_keep_the_six_rules() {
+fn random_events_keep_the_six_invariants() {
     for (seed, hedging) in [(11, true), (12, true), (13, false), (14, false)] {
         let model = run_random_events(seed, hedging);
-        // The events must have met what they are meant to check.
+        // The run must have covered each kind of outcome.
         assert!(model.answered > 500 && model.partial > 0 && model.rejected > 0 && model.failed > 0);
         assert!(model.retries.len() > 20);
         assert!(!model.sends_while_warming.is_empty());
--- a/crates/router/tests/many_routers.rs
+++ b/crates/router/tests/many_routers.rs
@@ -1,4 +1,4 @@
-//! Many routers that share nothing, over one fleet: what all of them do together. Seeded; time is an argument.
+//! Combined behaviour of many routers that share the same backends but no state. Seeded; time is simulated.
 
 mod common;
 
@@ -9,28 +9,28 @@
 
 const WORK: Micros = 20 * MS;
 
-/// A fleet of routers with uneven traffic, and what its backends were sent.
-struct Fleet {
+/// Routers with uneven traffic, and the parts that were sent to their backends.
+struct Simulation {
     routers: Vec<(Driver, f64)>,
     rng: fastrand::Rng,
     now: Micros,
     next: u128,
     shards: u32,
-    /// When and to which backend each part went.
+    /// Time and backend of each sent part.
     sent: Vec<(Micros, BackendId)>,
-    /// Parts that are out, by when their answers come.
+    /// Attempts in flight, by the time of their answers.
     in_flight: BTreeMap<(Micros, usize, PartId, u32), (Micros, BackendId)>,
     attempts: BTreeMap<(usize, PartId), u32>,
-    /// A backend that fails each part at once, though it passes health checks.
+    /// A backend that fails each part after 3 ms, although it passes health checks.
     failing: Option<BackendId>,
     health_checks: usize,
     arrived: usize,
     rejected: usize,
 }
 
-impl Fleet {
-    /// So many routers and backends, with so many queries a second in all; one router in ten sees four times
-    /// what the others see.
+impl Simulation {
+    /// Creates a simulation with `rate` queries a second in total. One router in ten has four times the
+    /// traffic of the others.
     fn new(routers: usize, backends: u32, rate: f64, seed: u64) -> Self {
         let heavy = |i: usize| if i.is_multiple_of(10) { 4.0 } else { 1.0 };
         let all: f64 = (0..routers).map(heavy).sum();
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Plays so long, in steps of a millisecond; each part is answered 30 ms after it was sent.
-    fn play(&mut self, time: Micros) {
+    /// Runs for this time, in steps of a millisecond. Each part is answered 30 ms after it was sent.
+    fn run(&mut self, time: Micros) {
         let end = self.now + time;
         while self.now < end {
             self.now += MS;
@@ -112,13 +112,10 @@
                     break;
                 }
                 self.in_flight.remove(&(due, at, part, number));
-                let took = self.now - sent;
+                let latency = self.now - sent;
                 let outcome =
                     if self.failing == Some(backend) { Outcome::BackendError } else { Outcome::Succeeded };
-                self.handle(
-                    at,
-                    vec![Event::AttemptCompleted { part, attempt: number, outcome, latency: took }],
-                );
+                self.handle(at, vec![Event::AttemptCompleted { part, attempt: number, outcome, latency }]);
             }
             for at in 0..self.routers.len() {
                 if self.rng.f64() < self.routers[at].1 / 1_000.0 {
@@ -133,9 +130,10 @@
         }
     }
 
-    /// The most work that a backend was sent in a second, beside what it could do at the second's start, and
-    /// how many parts it was sent in all. Backends have two cores: warm ones bear nearly so much here.
-    fn worst(&self, backend: BackendId, started: Micros) -> (f64, usize) {
+    /// Returns the most work that a backend was sent in a second, as a multiple of its capacity at the start
+    /// of that second, and the number of parts that it was sent in total. Backends have two cores: warm ones
+    /// can handle nearly that much here.
+    fn worst_overload(&self, backend: BackendId, started: Micros) -> (f64, usize) {
         let times: Vec<Micros> =
             self.sent.iter().filter(|(_, to)| *to == backend).map(|(at, _)| *at).collect();
         let ratio = |from: usize| {
@@ -147,85 +145,94 @@
     }
 }
 
-fn fleet_with_warming(warming: impl Fn(u32) -> bool, rate: f64, seed: u64) -> (Fleet, Micros) {
-    let mut fleet = Fleet::new(100, 30, rate, seed);
+fn simulation_with_warming_backends(
+    warming: impl Fn(u32) -> bool,
+    rate: f64,
+    seed: u64,
+) -> (Simulation, Micros) {
+    let mut simulation = Simulation::new(100, 30, rate, seed);
     let all: Vec<Endpoint> = (0..30).map(|s| endpoint(s, EndpointState::Ready, None)).collect();
-    fleet.update_endpoints(&all);
-    fleet.play(6 * SECOND);
-    let started = fleet.now;
+    simulation.update_endpoints(&all);
+    simulation.run(6 * SECOND);
+    let started = simulation.now;
     let entries = (0..30).map(|s| endpoint(s, EndpointState::Ready, warming(s).then_some(started)));
-    fleet.update_endpoints(&entries.collect::<Vec<_>>());
-    fleet.sent.clear();
-    (fleet, started)
+    simulation.update_endpoints(&entries.collect::<Vec<_>>());
+    simulation.sent.clear();
+    (simulation, started)
 }
 
-/// Guards against quotas of less than a part that leave warming backends idle while the warm ones reject parts.
+/// Guards against warming backends that stay idle while warm ones reject parts, because each router's quota
+/// is less than a part.
 #[test]
-fn a_hundred_routers_use_a_warming_backend_as_far_as_it_can_serve() {
-    let (mut fleet, started) = fleet_with_warming(|s| s % 5 == 0, 30.0, 1);
-    fleet.play(8 * SECOND);
+fn a_hundred_routers_use_the_capacity_of_a_warming_backend() {
+    let (mut simulation, started) = simulation_with_warming_backends(|s| s % 5 == 0, 30.0, 1);
+    simulation.run(8 * SECOND);
     let parts = |warming: bool| {
-        let sent = fleet.sent.iter().filter(|(_, to)| (to.0 % 5 == 0) == warming).count();
+        let sent = simulation.sent.iter().filter(|(_, to)| (to.0 % 5 == 0) == warming).count();
         sent as f64 / if warming { 6.0 } else { 24.0 }
     };
-    // Over the first 8 s the mean warmth is 0.36.
+    // The mean warm-up fraction over the first 8 s is 0.36.
     let share = parts(true) / parts(false);
-    assert!((0.2..0.45).contains(&share), "a warming backend got {share} of a warm one's parts");
+    assert!((0.2..0.45).contains(&share), "a warming backend was sent {share} of a warm one's parts");
     for backend in (0..30).step_by(5) {
-        let (worst, _) = fleet.worst(BackendId(backend), started);
+        let (worst, _) = simulation.worst_overload(BackendId(backend), started);
         assert!(worst < 3.0, "backend {backend} was sent {worst} times what it could do");
     }
 }
 
-// A whole zone returns and warms up: all replicas of its shards warm up too, and the fleet's traffic would be
-// many times what they can do.
+/// Guards against overload when a whole zone returns: all replicas of its shards warm up at once, and the
+/// traffic is many times their capacity.
 #[test]
-fn a_hundred_routers_do_not_overload_backends_that_all_warm_up() {
-    let (mut fleet, started) = fleet_with_warming(|_| true, 120.0, 2);
-    fleet.play(5 * SECOND);
+fn a_hundred_routers_do_not_overload_backends_if_all_warm_up() {
+    let (mut simulation, started) = simulation_with_warming_backends(|_| true, 120.0, 2);
+    simulation.run(5 * SECOND);
     for backend in 0..30 {
-        let (worst, parts) = fleet.worst(BackendId(backend), started);
+        let (worst, parts) = simulation.worst_overload(BackendId(backend), started);
         assert!(worst < 3.0, "backend {backend} was sent {worst} times what it could do");
         assert!(parts > 10, "backend {backend} was hardly used: {parts} parts");
     }
-    assert!(fleet.rejected > 0, "what finds no room is rejected at once");
+    assert!(simulation.rejected > 0, "queries beyond the capacity are rejected at once");
 }
 
-// The same with routers that have all just started and do not know their own pace.
+/// Guards against overload when all routers have just started and do not know their own traffic yet.
 #[test]
 fn many_new_routers_do_not_overload_a_warming_backend() {
-    let mut fleet = Fleet::new(100, 30, 120.0, 3);
-    let started = fleet.now;
+    let mut simulation = Simulation::new(100, 30, 120.0, 3);
+    let started = simulation.now;
     let entries: Vec<_> =
         (0..30).map(|s| endpoint(s, EndpointState::Ready, (s % 3 > 0).then_some(started))).collect();
-    fleet.update_endpoints(&entries);
-    fleet.play(4 * SECOND);
+    simulation.update_endpoints(&entries);
+    simulation.run(4 * SECOND);
     for backend in (0..30).filter(|s| s % 3 > 0) {
-        let (worst, _) = fleet.worst(BackendId(backend), started);
+        let (worst, _) = simulation.worst_overload(BackendId(backend), started);
         assert!(worst < 3.0, "backend {backend} was sent {worst} times what it could do");
     }
 }
 
-/// Guards against recovery attempts of so many routers that together they are a healthy backend's whole load.
+/// Guards against recovery attempts that add up over many routers to the load of a healthy backend.
 #[test]
-fn a_hundred_routers_leave_a_failing_backend_nearly_alone() {
-    let mut fleet = Fleet::new(100, 30, 60.0, 4);
+fn a_hundred_routers_send_few_parts_to_a_failing_backend() {
+    let mut simulation = Simulation::new(100, 30, 60.0, 4);
     let all: Vec<Endpoint> = (0..30).map(|s| endpoint(s, EndpointState::Ready, None)).collect();
-    fleet.update_endpoints(&all);
-    fleet.play(6 * SECOND);
-    fleet.failing = Some(BackendId(7));
-    fleet.play(15 * SECOND);
-    (fleet.health_checks, fleet.sent) = (0, Vec::new());
-    fleet.play(15 * SECOND);
-    let to = |id: u32| fleet.sent.iter().filter(|(_, backend)| backend.0 == id).count();
-    let (failing, healthy) = (to(7), (fleet.sent.len() - to(7)) / 29);
-    assert!(failing * 3 < healthy, "the failing backend got {failing} parts, a healthy one {healthy}");
-    assert!(fleet.health_checks * 50 < fleet.sent.len(), "{} health checks", fleet.health_checks);
-    // Once it is healthy it is taken back.
-    fleet.failing = None;
-    fleet.play(25 * SECOND);
-    fleet.sent.clear();
-    fleet.play(4 * SECOND);
-    let back = fleet.sent.iter().filter(|(_, backend)| backend.0 == 7).count();
-    assert!(back * 30 * 2 > fleet.sent.len(), "{back} of {}", fleet.sent.len());
+    simulation.update_endpoints(&all);
+    simulation.run(6 * SECOND);
+    simulation.failing = Some(BackendId(7));
+    simulation.run(15 * SECOND);
+    (simulation.health_checks, simulation.sent) = (0, Vec::new());
+    simulation.run(15 * SECOND);
+    let to = |id: u32| simulation.sent.iter().filter(|(_, backend)| backend.0 == id).count();
+    let (failing, healthy) = (to(7), (simulation.sent.len() - to(7)) / 29);
+    assert!(failing * 3 < healthy, "the failing backend was sent {failing} parts, a healthy one {healthy}");
+    assert!(
+        simulation.health_checks * 50 < simulation.sent.len(),
+        "{} health checks",
+        simulation.health_checks
+    );
+    // Once it is healthy again it recovers.
+    simulation.failing = None;
+    simulation.run(25 * SECOND);
+    simulation.sent.clear();
+    simulation.run(4 * SECOND);
+    let back = simulation.sent.iter().filter(|(_, backend)| backend.0 == 7).count();
+    assert!(back * 30 * 2 > simulation.sent.len(), "{back} of {}", simulation.sent.len());
 }
--- a/crates/router/tests/outlier.rs
+++ b/crates/router/tests/outlier.rs
@@ -1,4 +1,4 @@
-//! Which backends are ejected, and how they come back.
+//! Ejection and recovery of backends.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use mallowgauge_router::*;
 
 #[test]
-fn a_backend_that_fails_fast_is_ejected_and_recovers_by_one_attempt() {
+fn a_backend_that_fails_fast_is_ejected_and_recovers_after_one_recovery_attempt() {
     let mut driver = Driver::ready(idempotent_settings());
     driver.warm_up(0, 30);
     let (part, failing) = sends(&driver.query(1, 0, &[0]))[0];
@@ -43,14 +43,15 @@
     assert_eq!(sends(&driver.query(50, 0, &[0])).len(), 1);
 }
 
-/// Guards against the fewest parts in flight feeding the backend that fails fastest when both replicas are ejected.
+/// Guards against preferring the backend that fails fastest, and so has the fewest parts in flight, when both
+/// replicas are ejected.
 #[test]
 fn among_ejected_backends_the_one_that_always_fails_is_not_preferred() {
     let mut s = idempotent_settings();
     s.limits.max_attempts = 1;
     let mut driver = Driver::ready(s);
     driver.warm_up(0, 30);
-    // Backend 0 fails whatever it gets; backend 1 fails once and then answers.
+    // Backend 0 fails every part; backend 1 fails at first and then answers.
     let mut to_failing = 0;
     for i in 0..40 {
         for (part, to) in sends(&driver.query(i, 0, &[0])) {
@@ -63,7 +64,7 @@
     assert!((1..=6).contains(&to_failing), "{to_failing}");
 }
 
-/// A router that meets few queries and has heard little: one in five seconds.
+/// A router with little traffic, which has few measurements: one query in five seconds follows.
 fn driver_with_little_traffic() -> Driver {
     let mut s = idempotent_settings();
     s.routers = 60;
@@ -72,9 +73,10 @@
     driver
 }
 
-/// Guards against an outdated median: with seconds between two answers every attempt would be overdue beside it.
+/// Guards against an outdated median latency: with seconds between queries, every attempt would be overdue
+/// relative to it.
 #[test]
-fn backends_that_are_slow_alike_are_not_ejected_however_few_the_queries() {
+fn equally_slow_backends_are_not_ejected_under_little_traffic() {
     let mut driver = driver_with_little_traffic();
     for i in 0..8 {
         let sent = sends(&driver.query(100 + i, 0, &[0, 1, 2, 3, 4, 5]));
@@ -87,9 +89,10 @@
     }
 }
 
-/// Guards against a backend that hangs unseen: the answers of its query's other parts show it.
+/// Guards against an unresponsive backend that goes undetected: the answers to the other parts of its query
+/// must reveal it.
 #[test]
-fn a_backend_that_hangs_is_ejected_however_few_the_queries() {
+fn an_unresponsive_backend_is_ejected_under_little_traffic() {
     let mut driver = driver_with_little_traffic();
     for i in 0..6 {
         let sent = sends(&driver.query(100 + i, 0, &[0, 1, 2, 3, 4, 5]));
@@ -105,20 +108,21 @@
     assert_eq!(ejected, [2]);
 }
 
-/// Guards against ejecting backends that break a connection now and then, until the rest carry their load. A
-/// connection that breaks under many parts is one failure, and a backend that goes on failing is ejected all the same.
+/// Guards against ejecting backends that occasionally drop a connection, which moves their load to the other
+/// backends. A lost connection with many parts is one failure; a backend that keeps failing is still ejected.
 #[test]
-fn a_broken_connection_now_and_then_ejects_nothing() {
+fn an_occasional_lost_connection_ejects_no_backend() {
     let mut driver = Driver::ready(idempotent_settings());
     driver.warm_up(0, 30);
     let ejected = |driver: &Driver| driver.router.backends().filter(|s| s.ejected).count();
     let mut query = 0;
-    let mut run = |driver: &mut Driver, cut: bool| {
+    let mut run = |driver: &mut Driver, lose_connection: bool| {
         let sent: Vec<_> =
             (0..4).flat_map(|_| (query += 1, sends(&driver.query(query, 0, &[0]))).1).collect();
         let first = sent[0].1;
         let end = |&(part, to): &(PartId, BackendId)| {
-            let outcome = if cut && to == first { Outcome::ConnectionLost } else { Outcome::Succeeded };
+            let outcome =
+                if lose_connection && to == first { Outcome::ConnectionLost } else { Outcome::Succeeded };
             Event::AttemptCompleted { part, attempt: 0, outcome, latency: 50 * MS }
         };
         driver.now += 50 * MS;
@@ -145,7 +149,7 @@
 }
 
 #[test]
-fn one_strong_or_two_weak_failures_eject_and_a_batch_counts_one() {
+fn one_strong_or_two_weak_failures_eject_and_a_batch_counts_as_one() {
     let (detector, mut health) = (detector(true), BackendHealth::default());
     assert_eq!(detector.record(&mut health, 1, HealthSignal::WeakFailure), None);
     assert_eq!(detector.record(&mut health, 1, HealthSignal::WeakFailure), None, "of the same batch");
@@ -162,7 +166,7 @@
 }
 
 #[test]
-fn answers_to_recovery_attempts_bring_a_backend_back_sooner() {
+fn a_backend_recovers_sooner_by_answers_to_recovery_attempts() {
     let detector = detector(true);
     let answers_until_recovery = |signal: HealthSignal| {
         let mut health = BackendHealth::default();
@@ -173,7 +177,7 @@
     assert_eq!(answers_until_recovery(HealthSignal::Success), Some(14));
     let mut health = BackendHealth::default();
     detector.record(&mut health, 7, HealthSignal::StrongFailure);
-    assert!(!health.is_recovery(7) && health.is_recovery(8), "what was sent after the ejection");
+    assert!(!health.is_recovery(7) && health.is_recovery(8), "only an attempt sent after the ejection");
 }
 
 #[test]
@@ -186,21 +190,21 @@
         detector.back_off(&mut health);
     }
     assert_eq!(waits, [1, 2, 4, 8, 8], "half of the objective of two seconds, and doubled");
-    // A router that comes by rarely waits for half of that time, up to four seconds.
+    // A router with little traffic waits for half of its coverage time, up to four seconds.
     health.reset();
     assert_eq!(detector.recovery_wait(&health, 3.0 * SECOND as f64), 1_500 * MS);
     assert_eq!(detector.recovery_wait(&health, 60.0 * SECOND as f64), 4 * SECOND);
 }
 
 #[test]
-fn a_recovery_attempt_needs_a_passed_health_check_where_these_are_allowed() {
+fn a_recovery_attempt_needs_a_passed_health_check_if_health_checks_are_allowed() {
     for health_checks in [true, false] {
         let (detector, mut health) = (detector(health_checks), BackendHealth::default());
         detector.record(&mut health, 1, HealthSignal::StrongFailure);
         assert_eq!(detector.recovery_due(&mut health), health_checks);
         assert_eq!(health.selection_penalty() == 0, !health_checks);
         if health_checks {
-            assert!(detector.health_check_completed(&mut health, false), "failed: the wait begins anew");
+            assert!(detector.health_check_completed(&mut health, false), "failed: the wait starts again");
             assert_ne!(health.selection_penalty(), 0);
             assert!(!detector.health_check_completed(&mut health, true));
             assert_eq!(health.selection_penalty(), 0);
@@ -212,7 +216,7 @@
 }
 
 #[test]
-fn each_outcome_says_of_its_backend_what_it_can() {
+fn each_outcome_maps_to_its_health_signal() {
     use HealthSignal::*;
     let cases = [
         (Outcome::Succeeded, Some(Success), None),
--- a/crates/router/tests/planned_queries.rs
+++ b/crates/router/tests/planned_queries.rs
@@ -1,12 +1,12 @@
-//! Queries whose parts and answers somebody else decides on.
+//! Planned queries: the caller decides which parts are sent and when the query is answered.
 
 mod common;
 
 use common::*;
 use mallowgauge_router::*;
 
-/// A query whose parts somebody else chooses, with its first parts.
-fn planned(driver: &mut Driver, query: u128, shards: &[u32], idempotent: bool) -> Vec<Action> {
+/// Starts a planned query with its first parts.
+fn start_planned_query(driver: &mut Driver, query: u128, shards: &[u32], idempotent: bool) -> Vec<Action> {
     let mut events = arrival(query, 0, shards);
     for event in &mut events {
         match event {
@@ -18,15 +18,15 @@
     driver.handle(events)
 }
 
-/// Guards planned queries: the router sends what comes and retries what is idempotent, but answers nothing by
-/// itself, and a later part is sent without another chance of rejection.
+/// Guards against a router that answers a planned query, or rejects a later part of it: it only sends the
+/// parts that arrive and retries those that are idempotent.
 #[test]
-fn a_planned_query_is_answered_by_whoever_planned_it() {
+fn a_planned_query_is_answered_only_by_its_caller() {
     let mut driver = Driver::ready(settings(vec![class(Idempotency::NonIdempotent)]));
-    let first_parts = sends(&planned(&mut driver, 1, &[0, 2], true));
+    let first_parts = sends(&start_planned_query(&mut driver, 1, &[0, 2], true));
     assert_eq!(first_parts.len(), 2);
     driver.now += 50 * MS;
-    // A part that is idempotent by itself is retried, though its class has an effect.
+    // A part that is marked idempotent is retried, although its class is not idempotent.
     let again = sends(&driver.completed(first_parts[0].0, 0, Outcome::BackendError, 50 * MS));
     assert_eq!(again.len(), 1);
     assert!(final_actions(&driver.succeeded(first_parts[1].0, 0, 50 * MS)).is_empty());
@@ -39,22 +39,23 @@
         idempotent: false,
     };
     assert_eq!(sends(&driver.handle(vec![Event::PartArrived(late)])).len(), 1);
-    // What has an effect is not retried, and its failure is reported.
+    // A non-idempotent part is not retried, and its failure is reported.
     let lost = driver.completed(part_id(1, 7), 0, Outcome::ConnectionLost, 50 * MS);
     assert_eq!(lost, [Action::PartFailed { part: part_id(1, 7) }]);
     let settled = driver.handle(vec![Event::QueryCompleted { query: QueryId(1), answered: false }]);
     assert!(final_actions(&settled).is_empty());
-    assert!(final_actions(&driver.advance(8 * SECOND)).is_empty(), "nothing more is said of it");
+    assert!(final_actions(&driver.advance(8 * SECOND)).is_empty(), "no further action for it");
 }
 
-/// Guards the drop rate's counts: a planned query counts once, as any other does, however many parts it had.
+/// Guards the counts behind the drop rate: a planned query counts once, like any other, however many parts it
+/// has.
 #[test]
 fn a_planned_query_counts_once() {
     let misses = |planned_ones: bool| {
         let mut driver = Driver::ready(idempotent_settings());
         for query in 1..=6 {
             if planned_ones {
-                planned(&mut driver, query, &[0, 1, 2], true);
+                start_planned_query(&mut driver, query, &[0, 1, 2], true);
                 for more in 3..6 {
                     let (query, part) = (QueryId(query), part_id(query, more));
                     let shard = ShardId(more as u32);
@@ -81,22 +82,22 @@
 }
 
 #[test]
-fn a_part_nobody_needs_is_cancelled_and_not_sent_again() {
+fn a_part_that_is_no_longer_needed_is_cancelled_and_not_sent_again() {
     let mut driver = Driver::ready(idempotent_settings());
-    let sent = sends(&planned(&mut driver, 1, &[0, 2], true));
+    let sent = sends(&start_planned_query(&mut driver, 1, &[0, 2], true));
     let actions = driver.handle(vec![Event::PartCancelled(sent[0].0)]);
     assert_eq!(actions, [Action::Cancel { part: sent[0].0, attempt: 0 }]);
     assert!(sends(&driver.advance(SECOND)).iter().all(|(part, _)| *part != sent[0].0));
 }
 
-/// Guards other queries against planned ones under overload: these are rejected at the same rate, before any part, and
-/// one that was admitted keeps its later parts.
+/// Guards against planned queries that displace others under overload: they are rejected at the same rate,
+/// before any part is sent, and the later parts of an admitted one are not rejected.
 #[test]
 fn overload_rejects_planned_queries_before_their_first_part() {
     let mut driver = Driver::ready(idempotent_settings());
     let mut number = 1;
     while driver.router.drop_rate(ClassId(0)).is_some_and(|rate| rate < 0.4) {
-        // Queries that miss their objective, one after the other.
+        // Each query misses its objective.
         driver.query(number, 0, &[0]);
         driver.advance(3 * SECOND);
         driver.handle(vec![Event::ClientDisconnected(QueryId(number))]);
@@ -107,8 +108,11 @@
     for round in 0..100 {
         let plans = round % 2 == 0;
         let query = 1_000_000 + round;
-        let actions =
-            if plans { planned(&mut driver, query, &[1, 3], true) } else { driver.query(query, 0, &[1, 3]) };
+        let actions = if plans {
+            start_planned_query(&mut driver, query, &[1, 3], true)
+        } else {
+            driver.query(query, 0, &[1, 3])
+        };
         let is_rejected = actions.iter().any(|a| matches!(a, Action::Reject { .. }));
         rejected[usize::from(plans)] += u32::from(is_rejected);
         assert_eq!(is_rejected, sends(&actions).is_empty(), "rejected before any part, or all parts sent");
--- a/crates/router/tests/replica_selection.rs
+++ b/crates/router/tests/replica_selection.rs
@@ -1,4 +1,4 @@
-//! Which replica a part is sent to.
+//! Selection of the replica that a part is sent to.
 
 mod common;
 
@@ -22,16 +22,16 @@
 }
 
 #[test]
-fn a_part_goes_to_the_replica_with_fewest_own_parts_in_flight() {
+fn a_part_is_sent_to_the_replica_with_fewest_own_parts_in_flight() {
     let mut driver = Driver::ready(idempotent_settings());
     let first = sends(&driver.query(1, 0, &[0]))[0].1;
     let second = sends(&driver.query(2, 0, &[0]))[0].1;
     assert_ne!(first, second);
 }
 
-/// Guards against parts that cross zones for nothing while there is little load.
+/// Guards against needless traffic between zones while there is little load.
 #[test]
-fn ties_stay_in_the_own_zone_where_cross_zone_traffic_costs() {
+fn ties_are_broken_by_the_own_zone_if_cross_zone_traffic_costs() {
     for (costs, known) in [(true, true), (false, true), (true, false)] {
         let mut s = idempotent_settings();
         (s.zone, s.cross_zone_costs) = (known.then_some(ZoneId(0)), costs);
@@ -47,7 +47,8 @@
             sent.iter().for_each(|(part, _)| drop(driver.succeeded(*part, 0, 50 * MS)));
         }
         assert_eq!(near == 40, costs && known, "{near}");
-        // Not a tie any more: the replica with fewer of own parts in flight comes first, wherever it is.
+        // No longer a tie: the replica with fewer of the router's own parts in flight is preferred in any
+        // zone.
         let to: Vec<_> =
             (0..2).flat_map(|i| sends(&driver.query(90 + i, 0, &[0]))).map(|sent| sent.1).collect();
         assert_ne!(to[0], to[1]);
--- a/crates/router/tests/retry.rs
+++ b/crates/router/tests/retry.rs
@@ -1,4 +1,4 @@
-//! When one more attempt of a part is made, and when never.
+//! When one more attempt of a part is made, and when none is.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use mallowgauge_router::retry::{OverdueResponse, PartHistory, RetryBudget, RetryPolicy};
 use mallowgauge_router::*;
 
-/// A warmed-up router that may have only one attempt of a part out.
+/// A router with measured latencies that may have only one attempt of a part in flight.
 fn driver_without_hedging() -> Driver {
     let mut s = idempotent_settings();
     s.limits.hedging = false;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_non_idempotent_part_is_retried_only_if_it_never_ran() {
+fn a_non_idempotent_part_is_retried_only_if_it_was_not_executed() {
     for (outcome, again) in
         [(Outcome::ConnectFailed, true), (Outcome::Rejected, true), (Outcome::BackendError, false)]
     {
@@ -26,7 +26,7 @@
         let actions = driver.completed(part, 0, outcome, 5 * MS);
         assert_eq!(!sends(&actions).is_empty(), again, "{outcome:?}");
         if !again {
-            // It may have run: no promise is given.
+            // Possibly executed: the query fails instead of being rejected.
             assert_eq!(final_actions(&actions), [&Action::Fail { query: QueryId(1) }]);
         }
     }
@@ -48,7 +48,7 @@
     let mut driver = driver_without_hedging();
     let (part, _) = sends(&driver.query(1, 0, &[0]))[0];
     let mut actions = Vec::new();
-    // The others go on answering, so that the silent backend stands out.
+    // The other backends keep answering, so that the unresponsive one is overdue.
     for i in 0..20 {
         for (other, _) in sends(&driver.query(10 + i, 0, &[3])) {
             driver.now += 50 * MS;
@@ -70,21 +70,22 @@
             retries += sends(&driver.completed(part, 0, Outcome::BackendError, 5 * MS)).len();
         }
     }
-    // 30 queries of one part are 60 taken: 2 + 6.
+    // 30 queries of one part are 60 arrivals: 2 + 6 retries are allowed.
     assert!((2..=8).contains(&retries), "{retries}");
 }
 
-/// Guards against a silent backend that nobody judges because its peers were slow at the time.
+/// Guards against an unresponsive backend that is never detected because the others were slow at the same
+/// time.
 #[test]
-fn a_stuck_attempt_is_hedged_once_the_others_answer() {
+fn a_stuck_attempt_is_hedged_once_the_other_backends_answer() {
     let mut driver = Driver::ready(idempotent_settings());
     driver.warm_up(0, 30);
     let (stuck, backend) = sends(&driver.query(1, 0, &[0]))[0];
-    // Everyone is as slow for a while ...
+    // At first all backends are equally slow.
     let slow: Vec<_> = (0..10).flat_map(|i| sends(&driver.query(10 + i, 0, &[1, 2, 3, 4]))).collect();
     driver.advance(400 * MS);
     assert!(!driver.router.backends().any(|s| s.ejected));
-    // ... then the others answer and go on quickly.
+    // Then the others answer, and stay fast.
     for (part, to) in slow {
         if to != backend {
             driver.succeeded(part, 0, 400 * MS);
@@ -102,43 +103,45 @@
     assert!(hedges.iter().any(|(part, to)| *part == stuck && *to != backend), "{hedges:?}");
 }
 
-/// Guards against moving a part off a backend that is slow but works: its work would be done twice.
+/// Guards against cancelling a part at a backend that is slow but still answers: its work would be done
+/// twice.
 #[test]
-fn without_hedging_only_a_silent_backend_loses_its_part() {
-    for silent in [true, false] {
+fn without_hedging_only_attempts_at_an_unresponsive_backend_are_cancelled() {
+    for unresponsive in [true, false] {
         let mut driver = driver_without_hedging();
         let (_, backend) = sends(&driver.query(1, 0, &[0]))[0];
         let (mut here, there): (Vec<_>, Vec<_>) =
             (2..60).flat_map(|i| sends(&driver.query(i, 0, &[0]))).partition(|(_, to)| *to == backend);
         there.iter().for_each(|(part, _)| drop(driver.succeeded(*part, 0, 50 * MS)));
-        let mut cancels = Vec::new();
+        let mut actions = Vec::new();
         for i in 0..25 {
-            if let Some((part, _)) = here.pop().filter(|_| !silent) {
+            if let Some((part, _)) = here.pop().filter(|_| !unresponsive) {
                 driver.succeeded(part, 0, 300 * MS);
             }
             for (part, _) in sends(&driver.query(100 + i, 0, &[3, 4])) {
                 driver.succeeded(part, 0, 50 * MS);
             }
-            cancels.extend(driver.advance(40 * MS));
+            actions.extend(driver.advance(40 * MS));
         }
-        let moved = cancels.iter().any(|a| matches!(a, Action::Cancel { .. }));
-        assert_eq!(moved, silent);
+        let cancelled = actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
+        assert_eq!(cancelled, unresponsive);
     }
 }
 
-/// Guards against one part alone on a silent backend that counts as one failure and is then forgotten.
+/// Guards against a single part at an unresponsive backend that counts as one failure and is not checked
+/// again.
 #[test]
-fn a_single_part_at_a_silent_backend_is_moved() {
+fn a_single_part_at_an_unresponsive_backend_is_sent_to_another() {
     let mut driver = driver_without_hedging();
     let (stuck, backend) = sends(&driver.query(1, 0, &[0]))[0];
-    let mut moved = Vec::new();
+    let mut resent = Vec::new();
     for i in 0..20 {
         for (part, _) in sends(&driver.query(100 + i, 0, &[3])) {
             driver.succeeded(part, 0, 50 * MS);
         }
-        moved.extend(sends(&driver.advance(50 * MS)));
+        resent.extend(sends(&driver.advance(50 * MS)));
     }
-    assert!(moved.iter().any(|(part, to)| *part == stuck && *to != backend), "{moved:?}");
+    assert!(resent.iter().any(|(part, to)| *part == stuck && *to != backend), "{resent:?}");
 }
 
 /// Guards against hedges that take the capacity that load shedding has just freed.
@@ -150,7 +153,7 @@
         driver.warm_up(0, 30);
         driver.warm_up(1, 30);
         if shed {
-            // Everything of class 0 misses on backends that all look alike.
+            // All queries of class 0 miss their objective on equally slow backends.
             for i in 0..30 {
                 driver.query(5_000 + i, 0, &[0, 1, 2, 3, 4, 5]);
                 driver.advance(100 * MS);
@@ -175,31 +178,31 @@
     }
 }
 
-/// Guards against a query that brings down one more backend with each retry.
+/// Guards against a query that crashes one more backend with each retry.
 #[test]
-fn a_query_with_which_two_backends_fell_is_not_retried() {
+fn a_query_is_not_retried_after_two_backends_dropped_the_connection() {
     let mut driver = Driver::ready(idempotent_settings());
     let sent = sends(&driver.query(1, 0, &[0, 3]));
     let first = driver.completed(sent[0].0, 0, Outcome::ConnectionLost, 20 * MS);
-    assert_eq!(sends(&first).len(), 1, "one fall may be chance");
+    assert_eq!(sends(&first).len(), 1, "one lost connection may be chance");
     let second = driver.completed(sent[1].0, 0, Outcome::ConnectionLost, 20 * MS);
     assert!(sends(&second).is_empty());
     assert!(matches!(final_actions(&second)[..], [Action::Reject { .. }]));
-    // A query some part of which was answered did not kill.
+    // A query is not the cause if any part of it was answered.
     let sent = sends(&driver.query(2, 0, &[1, 2, 4]));
     driver.succeeded(sent[0].0, 0, 50 * MS);
     driver.completed(sent[1].0, 0, Outcome::ConnectionLost, 20 * MS);
     assert_eq!(sends(&driver.completed(sent[2].0, 0, Outcome::ConnectionLost, 20 * MS)).len(), 1);
 }
 
-/// Guards wide queries that meet a few full backends: their rejected parts must not wait for the retry budget until
-/// the objective has passed, as nothing runs twice.
+/// Guards against queries of many parts that miss their objective because some parts were rejected by full
+/// backends and wait for the retry budget, although no work is done twice.
 #[test]
 fn parts_that_were_only_rejected_are_all_retried_while_no_load_is_shed() {
     let mut driver = Driver::ready(idempotent_settings());
     let sent = sends(&driver.query(1, 0, &(0..12).collect::<Vec<_>>()));
     assert_eq!(sent.len(), 12);
-    let away = |outcome| {
+    let ended_with = |outcome| {
         move |(part, _): &(PartId, BackendId)| Event::AttemptCompleted {
             part: *part,
             attempt: 0,
@@ -207,12 +210,12 @@
             latency: MS,
         }
     };
-    let again = driver.handle(sent.iter().map(away(Outcome::Rejected)).collect());
+    let again = driver.handle(sent.iter().map(ended_with(Outcome::Rejected)).collect());
     assert_eq!(sends(&again).len(), 12);
-    // What may have run draws on it: four, and a tenth of what was taken.
+    // Possibly executed parts draw on the budget: four retries, and a tenth of the arrivals.
     let mut driver = Driver::ready(idempotent_settings());
     let sent = sends(&driver.query(1, 0, &(0..12).collect::<Vec<_>>()));
-    let again = driver.handle(sent.iter().map(away(Outcome::BackendError)).collect());
+    let again = driver.handle(sent.iter().map(ended_with(Outcome::BackendError)).collect());
     assert!((4..=6).contains(&sends(&again).len()), "{}", sends(&again).len());
 }
 
@@ -223,7 +226,7 @@
 }
 
 #[test]
-fn only_what_cannot_take_effect_twice_is_repeated() {
+fn only_parts_that_cannot_take_effect_twice_are_repeated() {
     let policy = RetryPolicy::new(&idempotent_settings().limits);
     let keyed = Idempotency::Keyed { dedup_window: SECOND };
     let cases = [
@@ -242,7 +245,7 @@
 }
 
 #[test]
-fn attempts_are_limited_in_all_and_at_once() {
+fn attempts_are_limited_in_total_and_in_parallel() {
     for hedging in [true, false] {
         let policy = RetryPolicy::new(&DeploymentLimits { hedging, ..idempotent_settings().limits });
         let part = history(Idempotency::Idempotent, Some(0));
@@ -255,7 +258,7 @@
 }
 
 #[test]
-fn the_budget_counts_retries_in_its_window_and_leaves_hedges_half() {
+fn the_budget_counts_retries_in_its_window_and_allows_hedges_half_of_it() {
     let settings = RetryBudgetSettings { min_retries: 2.0, retry_ratio: 0.1, window: SECOND };
     let mut budget = RetryBudget::new(Some(&settings));
     budget.record(10);
@@ -265,44 +268,40 @@
     assert!(budget.allows_retry(20) && !budget.allows_hedge(20));
     assert!(!budget.allows_retry(0), "two are allowed where nothing arrives");
     budget.advance(SECOND + 11);
-    assert!(budget.allows_retry(0), "the first has left the window");
+    assert!(budget.allows_retry(0), "the first retry has left the window");
 }
 
 #[test]
-fn only_the_default_budget_leaves_out_parts_that_were_never_run() {
+fn only_the_default_budget_exempts_parts_that_were_not_executed() {
     let settings = RetryBudgetSettings { min_retries: 2.0, retry_ratio: 0.1, window: SECOND };
     for configured in [Some(&settings), None] {
         let budget = RetryBudget::new(configured);
         assert!(!budget.applies_to(0, true, false), "a first attempt");
-        assert!(budget.applies_to(1, false, false), "a part that may have run");
+        assert!(budget.applies_to(1, false, false), "a possibly executed part");
         assert!(budget.applies_to(1, true, true), "while the class sheds load");
         assert_eq!(budget.applies_to(1, true, false), configured.is_some());
     }
 }
 
 #[test]
-fn an_attempt_is_overdue_beside_later_answers_only() {
+fn an_attempt_is_overdue_only_relative_to_later_answers() {
     let mut answers = RecentAnswers::new(&idempotent_settings().classes);
-    assert_eq!(
-        answers.overdue_after(),
-        900 * MS,
-        "three times 0.15 of two seconds, before anything is known"
-    );
+    assert_eq!(answers.overdue_after(), 900 * MS, "three times 0.15 of two seconds, before any answer");
     let sent_at = 10 * SECOND;
     let now = sent_at + SECOND;
     (0..30).for_each(|_| answers.record(sent_at, 50 * MS));
-    assert!(!answers.is_overdue(now, sent_at, 0), "all others were sent before it");
+    assert!(!answers.is_overdue(now, sent_at, 0), "all answered attempts were sent before it");
     (0..3).for_each(|_| answers.record(sent_at + 60 * MS, 50 * MS));
     assert!(answers.is_overdue(now, sent_at, 0));
     assert!(!answers.is_overdue(sent_at + 299 * MS, sent_at, 0), "not yet");
-    // Slow answers move the median, and nothing is overdue where all are slow.
+    // Slow answers raise the median, so that nothing is overdue while all backends are slow.
     (0..33).for_each(|_| answers.record(now, 500 * MS));
     assert_eq!(answers.overdue_after(), 1_500 * MS);
     assert!(!answers.is_overdue(now, sent_at, 0));
 }
 
 #[test]
-fn an_overdue_attempt_is_hedged_or_moved_only_from_an_ejected_silent_backend() {
+fn an_overdue_attempt_is_hedged_or_cancelled_only_at_an_ejected_unresponsive_backend() {
     let limits = idempotent_settings().limits;
     let response = |hedging: bool, cancellation: bool, was_ejected: bool, is_silent: bool| {
         let policy = RetryPolicy::new(&DeploymentLimits { hedging, cancellation, ..limits.clone() });
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Which settings are rejected, and with what text. Operators read the text in one-line errors of a bad
-//! configuration, by the names of the deployment's files.
+//! Validation of settings. Operators see the errors in one-line messages about a bad configuration, with the
+//! field names of the deployment's files.
 
 mod common;
 
@@ -23,15 +23,16 @@
     }
 }
 
-/// Guards the operator's texts: each field keeps its name from the deployment's files, and each problem its words.
+/// Guards the error texts for operators: each field has its name from the deployment's files, and each
+/// problem its fixed text.
 #[test]
 fn each_error_keeps_its_text() {
-    type Break = fn(&mut Settings);
+    type MakeInvalid = fn(&mut Settings);
     fn budget(s: &mut Settings) -> &mut RetryBudgetSettings {
-        let unlimited = RetryBudgetSettings { min_retries: 1.0, retry_ratio: 0.1, window: SECOND };
-        s.rules.retry_budget.insert(unlimited)
+        let budget = RetryBudgetSettings { min_retries: 1.0, retry_ratio: 0.1, window: SECOND };
+        s.rules.retry_budget.insert(budget)
     }
-    let cases: [(&str, Break); 18] = [
+    let cases: [(&str, MakeInvalid); 18] = [
         ("setting routers is zero", |s| s.routers = 0),
         ("setting classes is empty", |s| s.classes.clear()),
         ("setting layout.cells is zero", |s| s.layout.ring_positions = 0),
--- a/crates/router/tests/slow_start_bound.rs
+++ b/crates/router/tests/slow_start_bound.rs
@@ -1,6 +1,6 @@
-//! Warming backends under the sum of all routers: how much work each was sent in any window, beside what the
-//! settings let it bear. Seeded, over the real module; a router's events come in its batches, as in service.
-//! `COLD_SEEDS` sets how many seeds of each case are played (three here).
+//! Upper bound of the work that all routers together send to a warming backend in any window, compared with
+//! the work that it can handle according to the settings. Seeded; each router gets its events in batches, as
+//! in the server. The environment variable `COLD_SEEDS` sets the number of seeds per case (default 3).
 
 mod common;
 
@@ -10,76 +10,80 @@
 use mallowgauge_router::*;
 
 const BACKENDS: u32 = 18;
-const TICK: Micros = 5 * MS;
+const BATCH_INTERVAL: Micros = 5 * MS;
 const WINDOW: Micros = SECOND;
 const WARM_UP_TIME: Micros = 14 * SECOND;
 const INITIAL_CAPACITY: f64 = 0.16;
 const OVERLOAD_MULTIPLE: f64 = 3.0;
-/// What the fleet has been doing before anything starts warming, and how long is looked at from then on.
-const BEFORE: Micros = 6 * SECOND;
-const AFTER: Micros = 6 * SECOND;
+/// Length of the traffic before the first backend starts.
+const TIME_BEFORE_START: Micros = 6 * SECOND;
+/// Length of the observed time from the first backend's start on.
+const OBSERVED_TIME: Micros = 6 * SECOND;
+/// When the first backend starts.
 const START: Micros = 100 * SECOND;
 
-/// How the fleet's queries fall to its routers.
+/// How the queries are distributed over the routers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Spread {
-    /// One router in ten gets so many times what the others get.
+enum Distribution {
+    /// One router in ten gets this multiple of the queries of each other router.
     Tenth(f64),
-    /// One router gets half of all.
+    /// One router gets half of all queries.
     Half,
 }
 
-/// What starts warming.
+/// Which backends start, and when.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Scene {
+enum Scenario {
     /// A new backend each second.
     OneByOne,
     /// Six new backends at once.
     Several,
     /// All of them: a zone returns.
     Zone,
-    /// Six come back under their old names with a new start, each second two.
-    Again,
+    /// Six return under their old ids with a new start time, two each second.
+    Restart,
     /// Two thirds have just started, and so have all routers.
-    Herd,
+    NewRouters,
 }
 
-const SCENES: [Scene; 5] = [Scene::OneByOne, Scene::Several, Scene::Zone, Scene::Again, Scene::Herd];
+const SCENARIOS: [Scenario; 5] =
+    [Scenario::OneByOne, Scenario::Several, Scenario::Zone, Scenario::Restart, Scenario::NewRouters];
 
 #[derive(Clone, Copy, Debug)]
 struct Case {
     routers: usize,
     /// How many routers each is configured with.
     configured_routers: u32,
-    spread: Spread,
-    scene: Scene,
-    /// Work asked for, as a share of what all backends can do once they are warm.
+    distribution: Distribution,
+    scenario: Scenario,
+    /// Demanded work, as a fraction of the capacity of all backends once they are warm.
     load: f64,
-    /// Parts of a query: its shards are neighbours, so that many parts of a wide one share a call.
+    /// Least and greatest number of parts of a query. Its shards are neighbours, so that parts share calls.
     parts: (u32, u32),
-    /// Work of a part, and of a call beside it.
+    /// Mean work of a part.
     work: Micros,
+    /// Work of a call in addition to its parts.
     call_work: Micros,
-    /// What routers see of a part's work, as a multiple.
-    seen: f64,
+    /// Latency that routers observe, as a multiple of a part's work.
+    observed_multiple: f64,
     objective: Micros,
     seed: u64,
 }
 
 impl Case {
-    fn new(routers: usize, spread: Spread, scene: Scene, seed: u64) -> Self {
-        let (load, parts, work, call_work, seen) = (0.8, (3, 5), 20 * MS, 6 * MS, 1.0);
+    fn new(routers: usize, distribution: Distribution, scenario: Scenario, seed: u64) -> Self {
+        let (load, parts, work, call_work, observed_multiple) = (0.8, (3, 5), 20 * MS, 6 * MS, 1.0);
         let (configured_routers, objective) = (routers as u32, 400 * MS);
         Self {
             routers,
             configured_routers,
-            spread,
-            scene,
+            distribution,
+            scenario,
             load,
             parts,
             work,
             call_work,
-            seen,
+            observed_multiple,
             objective,
             seed,
         }
@@ -87,7 +91,7 @@
 
     fn settings(&self) -> Settings {
         let mut s = settings(vec![class(Idempotency::Idempotent)]);
-        (s.routers, s.batch_interval) = (self.configured_routers, TICK);
+        (s.routers, s.batch_interval) = (self.configured_routers, BATCH_INTERVAL);
         s.layout = ShardLayout {
             ring_positions: BACKENDS,
             replication_factor: 3,
@@ -112,11 +116,11 @@
     opens_call: bool,
 }
 
-struct Fleet {
+struct Simulation {
     case: Case,
     rng: fastrand::Rng,
     routers: Vec<Router>,
-    /// The events of each router, by its batches.
+    /// Pending events by the time of the batch and the router.
     due: BTreeMap<(Micros, usize), Vec<Event>>,
     attempts: BTreeMap<PartId, u32>,
     sent: Vec<Sent>,
@@ -129,64 +133,66 @@
     Event::EndpointUpdate(EndpointUpdate::Snapshot(endpoints.collect()))
 }
 
-/// The window in which a backend was sent the most beside its bound, over all backends that warmed up.
+/// The window in which a backend was sent the most work relative to its bound, over all backends that warmed
+/// up.
 #[derive(Debug, Default)]
 struct WorstWindow {
-    /// What it was sent, in calls of mean work.
+    /// Work that it was sent, in calls of mean work.
     count: f64,
-    /// What the settings let it bear then, in the same.
+    /// Work that it can handle in that window according to the settings, in the same unit.
     allowed: f64,
+    /// `allowed` with a tolerance for random variation.
     bound: f64,
-    /// What warming backends were sent in all, as a fraction of what they could do meanwhile.
-    used: f64,
+    /// Work that all warming backends were sent, as a fraction of their capacity in that time.
+    used_fraction: f64,
 }
 
-impl Fleet {
+impl Simulation {
     fn new(case: Case) -> Self {
         let rng = fastrand::Rng::with_seed(case.seed);
         let router =
             |i: usize| Router::new(case.seed * 1_000 + i as u64, case.settings()).expect("valid settings");
         let routers = (0..case.routers).map(router).collect();
         let (due, attempts, started) = Default::default();
-        let mut fleet = Self { case, rng, routers, due, attempts, sent: Vec::new(), started };
-        fleet.endpoint_updates();
-        fleet.queries();
-        fleet
+        let mut simulation = Self { case, rng, routers, due, attempts, sent: Vec::new(), started };
+        simulation.schedule_endpoint_updates();
+        simulation.schedule_queries();
+        simulation
     }
 
     fn batch_time(at: Micros) -> Micros {
-        at.div_ceil(TICK) * TICK
+        at.div_ceil(BATCH_INTERVAL) * BATCH_INTERVAL
     }
 
-    /// Which backends start, and when.
+    /// Returns when which backends start.
     fn starts(&self) -> Vec<(Micros, Vec<u32>)> {
         let each_second = |i: u32| START + u64::from(i) * SECOND;
-        match self.case.scene {
-            Scene::OneByOne => (0..6).map(|i| (each_second(i), vec![i * 3 + 1])).collect(),
-            Scene::Several => vec![(START, (0..BACKENDS).filter(|id| id % 3 == 1).collect())],
-            Scene::Zone => vec![(START, (0..BACKENDS).collect())],
-            Scene::Again => (0..3).map(|i| (each_second(i), vec![i * 6, i * 6 + 4])).collect(),
-            Scene::Herd => vec![(START, (0..BACKENDS).filter(|id| id % 3 > 0).collect())],
+        match self.case.scenario {
+            Scenario::OneByOne => (0..6).map(|i| (each_second(i), vec![i * 3 + 1])).collect(),
+            Scenario::Several => vec![(START, (0..BACKENDS).filter(|id| id % 3 == 1).collect())],
+            Scenario::Zone => vec![(START, (0..BACKENDS).collect())],
+            Scenario::Restart => (0..3).map(|i| (each_second(i), vec![i * 6, i * 6 + 4])).collect(),
+            Scenario::NewRouters => vec![(START, (0..BACKENDS).filter(|id| id % 3 > 0).collect())],
         }
     }
 
-    /// What discovery says, and when.
-    fn endpoint_updates(&mut self) {
+    /// Schedules the endpoint updates of all routers.
+    fn schedule_endpoint_updates(&mut self) {
         let starts = self.starts();
         let starting: Vec<u32> = starts.iter().flat_map(|(_, ids)| ids.clone()).collect();
         let mut list: BTreeMap<u32, Option<Micros>> = (0..BACKENDS).map(|id| (id, None)).collect();
-        let was_there = matches!(self.case.scene, Scene::Zone | Scene::Again);
-        if !was_there {
+        let returning = matches!(self.case.scenario, Scenario::Zone | Scenario::Restart);
+        if !returning {
             starting.iter().for_each(|id| _ = list.remove(id));
         }
-        let herd = self.case.scene == Scene::Herd;
-        for router in (0..self.case.routers).filter(|_| !herd) {
-            self.add_event(START - BEFORE, router, snapshot(&list));
+        let new_routers = self.case.scenario == Scenario::NewRouters;
+        for router in (0..self.case.routers).filter(|_| !new_routers) {
+            self.add_event(START - TIME_BEFORE_START, router, snapshot(&list));
         }
         let mut updates = Vec::new();
-        if was_there {
-            // What comes back was lost before, and nobody sends to it: what is sent from the start on is sent
-            // by routers that know of it.
+        if returning {
+            // Returning backends are first removed from the list, so that only routers that know of the new
+            // start send parts to them.
             starting.iter().for_each(|id| _ = list.remove(id));
             updates.push((START - SECOND, snapshot(&list)));
         }
@@ -199,39 +205,39 @@
         }
         for (at, update) in updates {
             for router in 0..self.case.routers {
-                // Each hears of it a little later than the other.
-                let delay = if herd { 0 } else { self.rng.u64(0..200 * MS) };
+                // Each router gets the update after a random delay.
+                let delay = if new_routers { 0 } else { self.rng.u64(0..200 * MS) };
                 self.add_event(at + delay, router, update.clone());
             }
         }
     }
 
-    /// Hands a router an event in its next batch.
+    /// Schedules an event for a router's next batch.
     fn add_event(&mut self, at: Micros, router: usize, event: Event) {
         self.due.entry((Self::batch_time(at), router)).or_default().push(event);
     }
 
-    /// Every query that comes to a router.
-    fn queries(&mut self) {
+    /// Schedules the queries of all routers.
+    fn schedule_queries(&mut self) {
         let case = self.case;
-        let weight = |i: usize| match case.spread {
-            Spread::Tenth(times) if i.is_multiple_of(10) => times,
-            Spread::Tenth(_) => 1.0,
-            Spread::Half if i == 0 => case.routers.saturating_sub(1).max(1) as f64,
-            Spread::Half => 1.0,
+        let weight = |i: usize| match case.distribution {
+            Distribution::Tenth(multiple) if i.is_multiple_of(10) => multiple,
+            Distribution::Tenth(_) => 1.0,
+            Distribution::Half if i == 0 => case.routers.saturating_sub(1).max(1) as f64,
+            Distribution::Half => 1.0,
         };
         let all: f64 = (0..case.routers).map(weight).sum();
         let mean = f64::from(case.parts.0 + case.parts.1) / 2.0;
-        // Two neighbouring parts and more share a call.
+        // Two or more neighbouring parts share a call.
         let work = mean * case.work as f64 + (mean / 2.0).max(1.0) * case.call_work as f64;
         let rate = case.load * f64::from(BACKENDS) / work;
-        let from = if case.scene == Scene::Herd { START } else { START - BEFORE };
+        let from = if case.scenario == Scenario::NewRouters { START } else { START - TIME_BEFORE_START };
         for at in 0..case.routers {
             let gap = 1.0 / (rate * weight(at) / all);
             let (mut when, mut number) = (from as f64, 0_u128);
             loop {
                 when += -self.rng.f64().max(1e-12).ln() * gap;
-                if when >= (START + AFTER) as f64 {
+                if when >= (START + OBSERVED_TIME) as f64 {
                     break;
                 }
                 number += 1;
@@ -246,9 +252,9 @@
         }
     }
 
-    fn play(&mut self) {
+    fn run(&mut self) {
         while let Some(((now, at), events)) = self.due.pop_first() {
-            if now >= START + AFTER {
+            if now >= START + OBSERVED_TIME {
                 break;
             }
             let mut actions = Vec::new();
@@ -265,7 +271,7 @@
                     }
                     Action::HealthCheck(backend) => {
                         let passed = Event::HealthCheckCompleted { backend, passed: true };
-                        self.due.entry((now + TICK, at)).or_default().push(passed);
+                        self.due.entry((now + BATCH_INTERVAL, at)).or_default().push(passed);
                     }
                     _ => {}
                 }
@@ -277,28 +283,28 @@
         let in_call = calls.entry(backend).or_default();
         let opens_call = in_call.is_multiple_of(16);
         *in_call += 1;
-        // Work differs from part to part: by half of its mean either way.
+        // The work of a part varies by up to half of its mean in both directions.
         let part_work = self.case.work as f64 * (0.5 + self.rng.f64());
         let call_work = self.case.call_work as f64;
         let work = part_work + if opens_call { call_work } else { 0.0 };
         self.sent.push(Sent { at: now, backend, work, opens_call });
         let number = self.attempts.entry(part).or_default();
-        // A warming backend does as much less in the same time.
+        // A warming backend is slower in proportion to its capacity.
         let speed =
             self.started.get(&backend).map_or(1.0, |&started| capacity_fraction(now.saturating_sub(started)));
-        let took = ((part_work + call_work) * self.case.seen / speed) as Micros;
+        let latency = ((part_work + call_work) * self.case.observed_multiple / speed) as Micros;
         let completed =
-            Event::AttemptCompleted { part, attempt: *number, outcome: Outcome::Succeeded, latency: took };
+            Event::AttemptCompleted { part, attempt: *number, outcome: Outcome::Succeeded, latency };
         *number += 1;
-        self.due.entry((Self::batch_time(now + took.max(1)), at)).or_default().push(completed);
+        self.due.entry((Self::batch_time(now + latency.max(1)), at)).or_default().push(completed);
     }
 
-    /// Slides a window over what each warming backend was sent by all routers together.
-    fn worst(&self) -> WorstWindow {
+    /// Slides a window over the work that all routers together sent to each warming backend.
+    fn worst_window(&self) -> WorstWindow {
         let calls = self.sent.iter().filter(|sent| sent.opens_call).count();
         let mean = self.sent.iter().map(|sent| sent.work).sum::<f64>() / calls as f64;
         let mut worst = WorstWindow::default();
-        let (mut sent_all, mut could) = (0.0, 0.0);
+        let (mut total_sent, mut total_capacity) = (0.0, 0.0);
         for (&backend, &started) in &self.started {
             let to: Vec<&Sent> =
                 self.sent.iter().filter(|sent| sent.backend == backend && sent.at >= started).collect();
@@ -312,11 +318,11 @@
                     (worst.count, worst.allowed, worst.bound) = (count, allowed, bound);
                 }
             }
-            sent_all += to.iter().map(|sent| sent.work).sum::<f64>();
-            let time = START + AFTER - started;
-            could += time as f64 * (capacity_fraction(0) + capacity_fraction(time)) / 2.0;
+            total_sent += to.iter().map(|sent| sent.work).sum::<f64>();
+            let time = START + OBSERVED_TIME - started;
+            total_capacity += time as f64 * (capacity_fraction(0) + capacity_fraction(time)) / 2.0;
         }
-        worst.used = sent_all / could;
+        worst.used_fraction = total_sent / total_capacity;
         worst
     }
 }
@@ -329,30 +335,31 @@
     std::env::var("COLD_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(3)
 }
 
-fn play(case: Case) -> WorstWindow {
-    let mut fleet = Fleet::new(case);
-    fleet.play();
-    fleet.worst()
+fn run(case: Case) -> WorstWindow {
+    let mut simulation = Simulation::new(case);
+    simulation.run();
+    simulation.worst_window()
 }
 
-/// Plays a case in all scenes, with another spread of traffic for each seed, and holds it to the bound. Warming backends
-/// are to be sent at least `floor` of what they can do, in each run.
-fn hold(name: &str, routers: usize, floor: f64, change: impl Fn(&mut Case)) {
-    let spreads = [Spread::Tenth(4.0), Spread::Tenth(20.0), Spread::Half];
+/// Runs a case in all scenarios, with another traffic distribution for each seed, and asserts that it stays
+/// within the bound. In each run, warming backends must be sent more than `min_used_fraction` of the work
+/// that they can handle.
+fn assert_within_bound(name: &str, routers: usize, min_used_fraction: f64, change: impl Fn(&mut Case)) {
+    let distributions = [Distribution::Tenth(4.0), Distribution::Tenth(20.0), Distribution::Half];
     let (mut over, mut runs, mut least) = (Vec::new(), 0, f64::INFINITY);
     let mut worst = WorstWindow::default();
-    for (number, scene) in SCENES.into_iter().enumerate() {
+    for (number, scenario) in SCENARIOS.into_iter().enumerate() {
         for seed in 1..=seeds() {
-            let spread = spreads[(number + seed as usize) % 3];
-            let mut case = Case::new(routers, spread, scene, seed);
+            let distribution = distributions[(number + seed as usize) % 3];
+            let mut case = Case::new(routers, distribution, scenario, seed);
             change(&mut case);
-            let seen = play(case);
-            (runs, least) = (runs + 1, least.min(seen.used));
-            if seen.count > seen.bound {
-                over.push(format!("{scene:?} {spread:?} seed {seed}: {seen:.1?}"));
+            let window = run(case);
+            (runs, least) = (runs + 1, least.min(window.used_fraction));
+            if window.count > window.bound {
+                over.push(format!("{scenario:?} {distribution:?} seed {seed}: {window:.1?}"));
             }
-            if seen.count * worst.bound >= worst.count * seen.bound {
-                worst = seen;
+            if window.count * worst.bound >= worst.count * window.bound {
+                worst = window;
             }
         }
     }
@@ -362,70 +369,76 @@
     );
     assert!(over.is_empty(), "{name}, {routers} routers: {} of {runs} runs over: {over:#?}", over.len());
     assert!(
-        least > floor,
-        "{name}, {routers} routers: warming backends were sent {least} of what they can do"
+        least > min_used_fraction,
+        "{name}, {routers} routers: warming backends were sent {least} of the work that they can handle"
     );
 }
 
-fn hold_all(name: &str, floor: f64, change: impl Fn(&mut Case) + Copy) {
+fn assert_within_bound_for_all_router_counts(
+    name: &str,
+    min_used_fraction: f64,
+    change: impl Fn(&mut Case) + Copy,
+) {
     for routers in [2, 20, 30, 300] {
-        hold(name, routers, floor, change);
+        assert_within_bound(name, routers, min_used_fraction, change);
     }
 }
 
 #[test]
-fn warming_backends_hold_under_narrow_queries() {
-    hold_all("narrow", 0.1, |_| {});
+fn warming_backends_are_not_overloaded_by_queries_of_few_parts() {
+    assert_within_bound_for_all_router_counts("narrow", 0.1, |_| {});
 }
 
 #[test]
-fn warming_backends_hold_under_wide_queries() {
-    hold_all("wide", 0.1, |case| case.parts = (12, 30));
+fn warming_backends_are_not_overloaded_by_queries_of_many_parts() {
+    assert_within_bound_for_all_router_counts("wide", 0.1, |case| case.parts = (12, 30));
 }
 
-// All that two cores of each warm backend can do.
+/// The load is the full capacity of two cores of each warm backend.
 #[test]
-fn warming_backends_hold_under_a_burst() {
-    hold_all("burst", 0.1, |case| case.load = 2.0);
+fn warming_backends_are_not_overloaded_by_a_burst() {
+    assert_within_bound_for_all_router_counts("burst", 0.1, |case| case.load = 2.0);
 }
 
 #[test]
-fn warming_backends_hold_where_parts_look_lighter_than_they_are() {
-    hold_all("light", 0.1, |case| case.seen = 0.8);
+fn warming_backends_are_not_overloaded_if_work_is_underestimated() {
+    assert_within_bound_for_all_router_counts("light", 0.1, |case| case.observed_multiple = 0.8);
 }
 
-// A warming backend that seems twice as slow as it is hardly answers in time, and is sent little.
+/// A warming backend that appears to be twice as slow as it is hardly answers in time, so it is sent little.
 #[test]
-fn warming_backends_hold_where_parts_look_heavier_than_they_are() {
-    hold_all("heavy", 0.03, |case| case.seen = 2.0);
+fn warming_backends_are_not_overloaded_if_work_is_overestimated() {
+    assert_within_bound_for_all_router_counts("heavy", 0.03, |case| case.observed_multiple = 2.0);
 }
 
 #[test]
-fn warming_backends_hold_where_calls_cost_more_than_their_parts() {
-    hold_all("calls", 0.1, |case| {
+fn warming_backends_are_not_overloaded_if_calls_cost_more_than_their_parts() {
+    assert_within_bound_for_all_router_counts("calls", 0.1, |case| {
         (case.work, case.call_work, case.objective) = (30 * MS, 48 * MS, 1_500 * MS)
     });
 }
 
-// A warming backend cannot meet so short an objective: what it is sent is little, but not nothing. Routers begin with a guess
-// at the work that is far too low.
+/// A warming backend cannot meet such a short objective, so it is sent little, but not nothing. The routers'
+/// initial estimate of the work is far too low.
 #[test]
-fn warming_backends_hold_where_the_objective_is_short_beside_the_work() {
-    hold_all("short", 0.03, |case| (case.work, case.call_work, case.objective) = (60 * MS, 0, 150 * MS));
+fn warming_backends_are_not_overloaded_if_the_objective_is_short_for_the_work() {
+    assert_within_bound_for_all_router_counts("short", 0.03, |case| {
+        (case.work, case.call_work, case.objective) = (60 * MS, 0, 150 * MS)
+    });
 }
 
 #[test]
-fn warming_backends_hold_where_half_of_the_routers_are_away() {
-    hold_all("half", 0.1, |case| case.configured_routers *= 2);
+fn warming_backends_are_not_overloaded_if_half_of_the_routers_are_missing() {
+    assert_within_bound_for_all_router_counts("half", 0.1, |case| case.configured_routers *= 2);
 }
 
-// The checker itself: routers that each take the whole budget for themselves break the bound.
+/// Verifies the check itself: routers that each use the full capacity of a warming backend exceed the bound.
 #[test]
-fn routers_that_each_use_the_whole_capacity_are_found() {
+fn routers_that_each_use_the_full_capacity_exceed_the_bound() {
     for routers in [20, 30, 300] {
-        let mut case = Case::new(routers, Spread::Tenth(4.0), Scene::Zone, 1);
+        let mut case = Case::new(routers, Distribution::Tenth(4.0), Scenario::Zone, 1);
         (case.configured_routers, case.load) = (1, 2.0);
-        let seen = play(case);
-        assert!(seen.count > seen.bound, "{routers} routers: {seen:?}");
+        let window = run(case);
+        assert!(window.count > window.bound, "{routers} routers: {window:?}");
     }
 }
