--- a/crates/adapter/src/directory.rs
+++ b/crates/adapter/src/directory.rs
@@ -1,4 +1,4 @@
-//! The names that one instance has been told, with the ids that its router knows them by.
+//! Mapping of the names on the simulator's wire to the router's ids, for one instance.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 /// Names and ids of classes, backends and zones.
 pub struct Directory {
     classes: BTreeMap<String, ClassId>,
-    /// First-step and final answers that a query of each class is given.
+    /// Number of answers that a query of each class gets: one per step.
     answers: Vec<u32>,
     backend_ids: BTreeMap<String, BackendId>,
     backend_names: Vec<String>,
@@ -20,7 +20,7 @@
 }
 
 impl Directory {
-    /// Reads the settings of an instance, and the names that go with them.
+    /// Reads the settings of an instance, and the names of its classes and zones.
     pub fn read(env: &Value) -> Result<(Settings, Self), WireError> {
         let site = Site::read(env).map_err(|e| WireError::UnreadableSettings(e.to_string()))?;
         let classes = site.classes.into_iter().enumerate().map(|(i, name)| (name, ClassId(i))).collect();
@@ -35,17 +35,17 @@
         Ok((site.settings, directory))
     }
 
-    /// The class of that name.
+    /// Returns the id of the class with this name.
     pub fn class(&self, name: &str) -> Result<ClassId, WireError> {
         self.classes.get(name).copied().ok_or_else(|| WireError::UnknownClass(name.to_owned()))
     }
 
-    /// How many answers a query of a class is given.
+    /// Returns the number of answers that a query of a class gets.
     pub fn answers(&self, class: ClassId) -> u32 {
         self.answers[class.0]
     }
 
-    /// The id of the backend of that name, a new one for a new name.
+    /// Returns the id of the backend with this name, and assigns one to a new name.
     pub fn backend_id(&mut self, name: &str) -> BackendId {
         if let Some(&id) = self.backend_ids.get(name) {
             return id;
@@ -56,12 +56,12 @@
         id
     }
 
-    /// The name of a backend.
+    /// Returns the name of a backend.
     pub fn backend_name(&self, id: BackendId) -> &str {
         &self.backend_names[id.0 as usize]
     }
 
-    /// An entry of an endpoint list, by ids.
+    /// Converts an entry of an endpoint list to one with ids.
     pub fn endpoint(&mut self, listed: &ListedEndpoint) -> Endpoint {
         Endpoint {
             backend: self.backend_id(&listed.backend),
--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One router on the simulator's wire: messages to events, actions to lines.
+//! One router on the simulator's wire: translates messages to events, and actions to reply lines.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -12,7 +12,7 @@
 use crate::names::{self, fields, message, mode, reply};
 use crate::request_id;
 
-/// The endpoint lists that were sent, by number.
+/// The endpoint lists received so far, by number.
 pub type EndpointLists = BTreeMap<u64, Vec<ListedEndpoint>>;
 
 /// A query whose parts may still arrive.
@@ -21,27 +21,27 @@
     answers_left: u32,
 }
 
-/// One router and what is needed to speak for it. Nothing here is shared between instances.
+/// One router, with the state that translates its messages. No state is shared between instances.
 pub struct Instance {
     router: Router,
     directory: Directory,
-    /// By the wire's group numbers.
+    /// Open queries by the wire's group number.
     open_queries: BTreeMap<u64, OpenQuery>,
     events: Vec<Event>,
-    /// Whether a message of this batch was for it.
+    /// Whether the current batch has a message for this instance.
     addressed: bool,
 }
 
 impl Instance {
-    /// Starts an instance.
+    /// Creates the instance that the message describes.
     pub fn start(message: &Message) -> Result<Self, WireError> {
         let (settings, directory) = Directory::read(message.get(fields::SETTINGS)?)?;
         let router = Router::new(message.int(fields::SEED)?, settings)?;
         Ok(Self { router, directory, open_queries: BTreeMap::new(), events: Vec::new(), addressed: true })
     }
 
-    /// Takes a message; what it says is handled at the end of its batch.
-    pub fn take(&mut self, message: &Message, lists: &EndpointLists) -> Result<(), WireError> {
+    /// Queues the event of a message; it is handled at the end of the batch.
+    pub fn receive(&mut self, message: &Message, lists: &EndpointLists) -> Result<(), WireError> {
         self.addressed = true;
         let event = match message.name {
             message::ENDPOINT_UPDATE => Event::EndpointUpdate(self.endpoint_update(message, lists)?),
@@ -106,20 +106,21 @@
         Ok(open.map(|_| Event::PartArrived(part)))
     }
 
-    /// Ends a batch: appends what the router does about it, unless nothing of the batch was for it.
+    /// Ends a batch: appends the router's actions to `out`, unless the batch had no message for this
+    /// instance.
     pub fn end_batch(&mut self, now: Micros, number: u64, actions: &mut Vec<Action>, out: &mut String) {
         if !std::mem::take(&mut self.addressed) {
             return;
         }
         self.router.handle(now, std::mem::take(&mut self.events), actions);
         for action in actions.drain(..) {
-            self.close_answered(&action);
+            self.close_ended_query(&action);
             self.write(out, number, &action);
         }
     }
 
-    /// Forgets a query that the action ends.
-    fn close_answered(&mut self, action: &Action) {
+    /// Removes a query that the action ends.
+    fn close_ended_query(&mut self, action: &Action) {
         match action {
             Action::Respond { query, .. } => {
                 if let Some(open) = self.open_queries.values_mut().find(|open| open.query == *query) {
@@ -136,7 +137,7 @@
         self.open_queries.retain(|_, open| open.query != query);
     }
 
-    /// Appends the line of an action of the instance of that number.
+    /// Appends the line for an action of the instance with this number.
     fn write(&self, out: &mut String, instance: u64, action: &Action) {
         let backend = |id| Value::from(self.directory.backend_name(id));
         let query_id = |id: &QueryId| request_id::format(id.0);
@@ -170,7 +171,7 @@
             Action::BackendRecovered(id) => {
                 line(reply::LOG, format_args!(",\"{}\"", names::recovered_line(id.0)));
             }
-            // Only of planned queries, which this wire does not have.
+            // Occurs only for planned queries, which the simulator does not have.
             Action::PartFailed { .. } => {}
         }
     }
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs routers on the simulator's wire: translation only, no decisions.
+//! Connects routers to the simulator: translates its messages and makes no decisions.
 
 mod directory;
 mod error;
@@ -12,11 +12,11 @@
 use std::process::ExitCode;
 
 use error::AdapterError;
-use simulated_fleet::SimulatedFleet;
+use simulated_fleet::SimulatedInstances;
 
-/// Answers the lines of standard input on standard output, until the input ends.
+/// Reads messages from standard input and writes replies to standard output, until the input ends.
 fn run() -> Result<(), AdapterError> {
-    let mut fleet = SimulatedFleet::default();
+    let mut instances = SimulatedInstances::default();
     let mut input = io::stdin().lock();
     let mut output = BufWriter::new(io::stdout().lock());
     let mut text = String::new();
@@ -31,13 +31,13 @@
         if text.trim().is_empty() {
             continue;
         }
-        let reply = fleet.take_line(text.trim_end());
+        let reply = instances.receive_line(text.trim_end());
         if let Some(reply) = reply.map_err(|source| AdapterError::Rejected { line, source })? {
             output.write_all(reply.as_bytes())?;
             output.flush()?;
         }
     }
-    if fleet.is_in_batch() {
+    if instances.is_in_batch() {
         return Err(AdapterError::UnfinishedBatch { line });
     }
     Ok(())
--- a/crates/adapter/src/message.rs
+++ b/crates/adapter/src/message.rs
@@ -1,4 +1,4 @@
-//! Reads messages of the simulator: an array each, a name and then fields by position.
+//! Parses the simulator's messages. Each is a JSON array: a name, followed by fields by position.
 
 use mallowgauge_router::{EndpointState, Event, Micros, PartArrival, PartId, QueryArrival, QueryId, ShardId};
 use mallowgauge_settings::small;
@@ -9,7 +9,7 @@
 use crate::names::{self, endpoint, fields, Field};
 use crate::request_id;
 
-/// One message.
+/// A message from the simulator.
 pub struct Message<'a> {
     /// Its name.
     pub name: &'a str,
@@ -17,14 +17,14 @@
 }
 
 impl<'a> Message<'a> {
-    /// Takes the parsed line.
+    /// Creates a message from a parsed line.
     pub fn new(value: &'a Value) -> Result<Self, WireError> {
         let Some(all) = value.as_array() else { return Err(WireError::NotAnArray) };
         let Some(name) = all.first().and_then(Value::as_str) else { return Err(WireError::NoMessageName) };
         Ok(Self { name, values: &all[1..] })
     }
 
-    /// A field's value.
+    /// Returns the value of a field.
     pub fn get(&self, field: Field) -> Result<&'a Value, WireError> {
         self.values.get(field.position).ok_or_else(|| {
             let (message, field) = (self.name.to_owned(), field.name);
@@ -32,27 +32,27 @@
         })
     }
 
-    /// A whole number that is not negative.
+    /// Returns the value of a field that is a non-negative whole number.
     pub fn int(&self, field: Field) -> Result<u64, WireError> {
         self.get(field)?.as_u64().ok_or_else(|| self.invalid(field, "a whole number"))
     }
 
-    /// Any number.
+    /// Returns the value of a field that is any number.
     pub fn number(&self, field: Field) -> Result<f64, WireError> {
         self.get(field)?.as_f64().ok_or_else(|| self.invalid(field, "a number"))
     }
 
-    /// A text.
+    /// Returns the value of a field that is a string.
     pub fn text(&self, field: Field) -> Result<&'a str, WireError> {
         self.get(field)?.as_str().ok_or_else(|| self.invalid(field, "a text"))
     }
 
-    /// A whole number below 2^32.
+    /// Returns the value of a field that is a whole number below 2^32.
     fn small_int(&self, field: Field) -> Result<u32, WireError> {
         small(self.get(field)?).ok_or_else(|| self.invalid(field, "a whole number"))
     }
 
-    /// The id of the query or part that the message is about.
+    /// Returns the id of the query or part that the message refers to.
     pub fn id(&self) -> Result<u128, WireError> {
         request_id::parse(self.text(fields::ID)?)
     }
@@ -61,7 +61,7 @@
         WireError::InvalidField { message: self.name.to_owned(), field: field.name, expected }
     }
 
-    /// Reads the arrival of a query.
+    /// Parses the arrival of a query.
     pub fn query_arrival(&self, directory: &Directory) -> Result<QueryArrival, WireError> {
         let class = directory.class(self.text(fields::CLASS)?)?;
         self.number(fields::SIZE_OR_WEIGHT)?;
@@ -75,12 +75,12 @@
         })
     }
 
-    /// Time left to a query; a negative one is legal and means that the query is already over.
+    /// Returns the time left to a query. A negative value is valid: the query has already expired.
     fn expires_in(&self) -> Result<Micros, WireError> {
         self.int(fields::EXPIRES_IN).or_else(|_| self.number(fields::EXPIRES_IN).map(|_| 0))
     }
 
-    /// Reads the arrival of a part of a query.
+    /// Parses the arrival of a part of a query.
     pub fn part_arrival(&self, query: QueryId) -> Result<PartArrival, WireError> {
         let shard = ShardId(self.small_int(fields::SHARD)?);
         let part = PartId(self.id()?);
@@ -93,10 +93,10 @@
         })
     }
 
-    /// Reads the end of an attempt.
+    /// Parses the end of an attempt.
     pub fn attempt_completed(&self) -> Result<Event, WireError> {
-        let word = self.text(fields::ATTEMPT_OUTCOME)?;
-        let outcome = names::outcome(word).ok_or_else(|| WireError::UnknownOutcome(word.to_owned()))?;
+        let name = self.text(fields::ATTEMPT_OUTCOME)?;
+        let outcome = names::outcome(name).ok_or_else(|| WireError::UnknownOutcome(name.to_owned()))?;
         Ok(Event::AttemptCompleted {
             part: PartId(self.id()?),
             attempt: self.small_int(fields::ATTEMPT)?,
@@ -105,7 +105,7 @@
         })
     }
 
-    /// Reads the entries of an endpoint list.
+    /// Parses the entries of an endpoint list.
     pub fn endpoint_list(&self) -> Result<Vec<ListedEndpoint>, WireError> {
         let entries = self.get(fields::LIST_ENTRIES)?.as_array();
         let entries = entries.ok_or_else(|| self.invalid(fields::LIST_ENTRIES, "an array"))?;
@@ -142,7 +142,7 @@
     }
 }
 
-/// One entry of an endpoint list, with the names of the wire.
+/// One entry of an endpoint list, with names instead of ids.
 pub struct ListedEndpoint {
     /// The backend's name.
     pub backend: String,
@@ -152,6 +152,6 @@
     pub ring_position: u32,
     /// Its state.
     pub state: EndpointState,
-    /// When it last started, in microseconds; `None` for long ago.
+    /// Time of its last start, in microseconds; `None` if that was long ago.
     pub started_at: Option<Micros>,
 }
--- a/crates/adapter/src/names.rs
+++ b/crates/adapter/src/names.rs
@@ -1,37 +1,37 @@
-//! The simulator's words, each with what it stands for. They appear here and in `error.rs`, nowhere else.
+//! The names of the simulator's protocol and their meaning. They appear only here and in `error.rs`.
 //!
-//! | message in | here |
+//! | incoming message | meaning |
 //! | --- | --- |
-//! | `Turn`, `Commit` | a batch begins, a batch ends |
-//! | `Register` | an endpoint list, for later updates |
-//! | `Begin`, `PowerOff` | an instance starts, an instance stops |
+//! | `Turn`, `Commit` | start of a batch, end of a batch |
+//! | `Register` | an endpoint list that later updates refer to |
+//! | `Begin`, `PowerOff` | start of an instance, stop of an instance |
 //! | `Sync` | [`Event::EndpointUpdate`](mallowgauge_router::Event::EndpointUpdate) |
-//! | `Incoming` | `QueryArrived`, or `PartArrived` where a shard is given |
+//! | `Incoming` | `QueryArrived`, or `PartArrived` if a shard is given |
 //! | `Ring` | `TimerExpired` |
 //! | `Left` | `ClientDisconnected` |
 //! | `Outcome` | `AttemptCompleted` |
 //! | `StatusBack` | `HealthCheckCompleted` |
 //!
-//! | message out | here |
+//! | outgoing message | meaning |
 //! | --- | --- |
 //! | `SubmitTo`, `StopAttempt` | [`Action::Send`](mallowgauge_router::Action::Send), `Cancel` |
 //! | `GatherUp`, `Decline`, `Fail` | `Respond`, `Reject`, `Fail` |
 //! | `Sleep`, `Subscribe`, `Test` | `SetTimer`, `WatchEndpoints`, `HealthCheck` |
-//! | `Record` | `BackendEjected`, `BackendRecovered`: lines of a log |
-//! | `Eor` | the end of a reply |
+//! | `Record` | `BackendEjected`, `BackendRecovered`: log lines |
+//! | `Eor` | end of a reply |
 //!
-//! | field | here |
+//! | field | meaning |
 //! | --- | --- |
 //! | `Router` | number of an instance |
-//! | `Job`, `GroupNo` | id of a query or part; number that joins a query's parts |
+//! | `Job`, `GroupNo` | id of a query or part; number shared by a query and its parts |
 //! | `Cls`, `Slab`, `Node` | class, shard, backend |
-//! | `Rc`, `Copy` | how an attempt or a health check ended; number of the attempt |
+//! | `Rc`, `Copy` | outcome of an attempt or a health check; number of the attempt |
 //! | `Slot`, `Records`, `Mode` | number of an endpoint list, its entries, kind of update |
 //! | `SlotNo`, `Phase` | ring position, endpoint state |
 
 use mallowgauge_router::{EndpointState, Outcome};
 
-/// Names of messages in.
+/// Names of incoming messages.
 pub mod message {
     pub const BATCH_START: &str = "Turn";
     pub const BATCH_END: &str = "Commit";
@@ -46,7 +46,7 @@
     pub const HEALTH_CHECK_COMPLETED: &str = "StatusBack";
 }
 
-/// Names of messages out.
+/// Names of outgoing messages.
 pub mod reply {
     pub const SEND: &str = "SubmitTo";
     pub const CANCEL: &str = "StopAttempt";
@@ -60,7 +60,7 @@
     pub const END: &str = "Eor";
 }
 
-/// A field of a message in: its position after the message's name, and its name in errors.
+/// A field of an incoming message: its position after the message's name, and its name in errors.
 #[derive(Clone, Copy)]
 pub struct Field {
     pub position: usize,
@@ -71,12 +71,12 @@
     Field { position, name }
 }
 
-/// Fields of messages in.
+/// Fields of incoming messages.
 pub mod fields {
     use super::{field, Field};
 
     pub const CLOCK: Field = field(0, "the clock");
-    /// First of every message to one instance.
+    /// First field of every message to one instance.
     pub const INSTANCE: Field = field(0, "Router");
     pub const SEED: Field = field(1, "Nonce64");
     pub const SETTINGS: Field = field(2, "Env");
@@ -84,15 +84,15 @@
     pub const LIST_ENTRIES: Field = field(1, "Records");
     pub const UPDATE_MODE: Field = field(1, "Mode");
     pub const UPDATE_LIST_NUMBER: Field = field(3, "Slot");
-    /// Id of a query or a part.
+    /// Id of a query or part.
     pub const ID: Field = field(1, "Job");
     pub const CLASS: Field = field(2, "Cls");
     pub const EXPIRES_IN: Field = field(5, "ExpiresInUs");
     pub const WORK_HINT: Field = field(6, "HintUs");
     pub const GROUP: Field = field(7, "GroupNo");
-    /// The shard of a part; below zero for a query.
+    /// The shard of a part; negative for a query.
     pub const SHARD: Field = field(8, "Slab");
-    /// The work of a query, the weight of a part.
+    /// The work of a query, or the weight of a part.
     pub const SIZE_OR_WEIGHT: Field = field(9, "SizeOrWeight");
     pub const ARRIVAL_FLAGS: Field = field(10, "Marks");
     pub const TIMER: Field = field(1, "Name");
@@ -124,14 +124,14 @@
 
 /// Bit of the flags of an arrival that marks a client's retry.
 pub const RETRY_FLAG: u64 = 2;
-/// How a health check ends that passed.
+/// Outcome of a passed health check.
 pub const PASSED: &str = "pass";
-/// The name of the only timer.
+/// Name of the only timer.
 pub const WAKE_UP: &str = "wake";
 
-/// How an attempt ended.
-pub fn outcome(word: &str) -> Option<Outcome> {
-    Some(match word {
+/// Parses the outcome of an attempt.
+pub fn outcome(name: &str) -> Option<Outcome> {
+    Some(match name {
         "pass" => Outcome::Succeeded,
         "fault" => Outcome::BackendError,
         "no_room" => Outcome::Rejected,
@@ -144,9 +144,9 @@
     })
 }
 
-/// The state of an endpoint.
-pub fn endpoint_state(word: &str) -> Option<EndpointState> {
-    match word {
+/// Parses the state of an endpoint.
+pub fn endpoint_state(name: &str) -> Option<EndpointState> {
+    match name {
         "ready" => Some(EndpointState::Ready),
         "draining" => Some(EndpointState::Draining),
         "gone" => Some(EndpointState::Removed),
@@ -154,12 +154,12 @@
     }
 }
 
-/// The line for the log when a backend is ejected.
+/// Returns the log line for an ejected backend.
 pub fn ejected_line(backend: u32) -> String {
     format!("server {backend} suspect")
 }
 
-/// The line for the log when a backend has recovered.
+/// Returns the log line for a recovered backend.
 pub fn recovered_line(backend: u32) -> String {
     format!("server {backend} sound again")
 }
--- a/crates/adapter/src/request_id.rs
+++ b/crates/adapter/src/request_id.rs
@@ -1,8 +1,8 @@
-//! Ids of queries and parts as the wire writes them: 32 hexadecimal digits in five groups.
+//! Ids of queries and parts in the wire's format: 32 hexadecimal digits in five groups.
 
 use crate::error::WireError;
 
-/// Reads an id. Only the canonical form is taken, so that it goes back unchanged.
+/// Parses an id. Only the canonical form is accepted, so that it is written back unchanged.
 pub fn parse(text: &str) -> Result<u128, WireError> {
     let digits: String = text.split('-').collect();
     let id = u128::from_str_radix(&digits, 16).map_err(|_| WireError::InvalidRequestId(text.to_owned()))?;
@@ -13,7 +13,7 @@
     }
 }
 
-/// Writes an id.
+/// Formats an id.
 pub fn format(id: u128) -> String {
     let hex = format!("{id:032x}");
     format!("{}-{}-{}-{}-{}", &hex[..8], &hex[8..12], &hex[12..16], &hex[16..20], &hex[20..])
--- a/crates/adapter/src/simulated_fleet.rs
+++ b/crates/adapter/src/simulated_fleet.rs
@@ -1,4 +1,4 @@
-//! The instances that one adapter process speaks for, batch by batch.
+//! All simulated instances of one adapter process, which handle their messages batch by batch.
 
 use std::collections::BTreeMap;
 
@@ -10,23 +10,23 @@
 use crate::message::Message;
 use crate::names::{fields, message, reply};
 
-/// All instances, and the endpoint lists that they are told of by number.
+/// The simulated instances, and the endpoint lists that updates refer to by number.
 #[derive(Default)]
-pub struct SimulatedFleet {
+pub struct SimulatedInstances {
     now: Micros,
     in_batch: bool,
     lists: EndpointLists,
     instances: BTreeMap<u64, Instance>,
 }
 
-impl SimulatedFleet {
-    /// Whether a batch has begun and not ended.
+impl SimulatedInstances {
+    /// Returns whether a batch has begun and not ended.
     pub fn is_in_batch(&self) -> bool {
         self.in_batch
     }
 
-    /// Takes one line; the end of a batch yields its reply.
-    pub fn take_line(&mut self, text: &str) -> Result<Option<String>, WireError> {
+    /// Handles one line. Returns the reply if the line ends a batch.
+    pub fn receive_line(&mut self, text: &str) -> Result<Option<String>, WireError> {
         let value: Value = serde_json::from_str(text)?;
         let message = Message::new(&value)?;
         if message.name == message::BATCH_START {
@@ -54,7 +54,7 @@
                 let number = message.int(fields::INSTANCE)?;
                 let instance = self.instances.get_mut(&number);
                 let instance = instance.ok_or_else(|| unknown_instance(&message, number))?;
-                instance.take(&message, &self.lists)?;
+                instance.receive(&message, &self.lists)?;
             }
         }
         Ok(None)
--- a/crates/adapter/tests/adapter.rs
+++ b/crates/adapter/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter on lines of our own.
+//! The adapter process with handwritten input lines.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -21,13 +21,14 @@
         .spawn()
         .expect("the adapter starts");
     let mut input = child.stdin.take().expect("a pipe");
-    // The adapter may stop at a bad line before all is written.
+    // The adapter may stop at an invalid line before all lines are written.
     let _ = input.write_all((lines.join("\n") + "\n").as_bytes());
     drop(input);
     child.wait_with_output().expect("the adapter ends")
 }
 
-fn begin() -> Vec<String> {
+/// Lines that begin a batch, start instance 3 and give it an endpoint list.
+fn start_lines() -> Vec<String> {
     let env = ENV.replace('\n', "");
     vec![
         r#"["Turn",1000]"#.to_owned(),
@@ -44,7 +45,7 @@
 
 #[test]
 fn a_query_goes_from_arrival_to_answer() {
-    let mut lines = begin();
+    let mut lines = start_lines();
     lines.push(format!(r#"["Incoming",3,"{QUERY}","find",null,null,4000000,null,9,-1,1,0]"#));
     lines.push(format!(r#"["Incoming",3,"{PART}","find",null,null,4000000,null,9,0,1.0,0]"#));
     lines.push(r#"["Commit"]"#.to_owned());
@@ -60,9 +61,9 @@
 }
 
 #[test]
-fn empty_batches_and_news_of_the_past_are_harmless() {
+fn empty_batches_and_messages_about_unknown_queries_get_empty_replies() {
     let mut lines = vec![r#"["Turn",1]"#.to_owned(), r#"["Commit"]"#.to_owned()];
-    lines.extend(begin());
+    lines.extend(start_lines());
     lines.push(format!(r#"["Left",3,"{QUERY}"]"#));
     lines.push(format!(r#"["Outcome",3,"{PART}",0,"node_a","cut",1,true,null]"#));
     lines.push(r#"["Ring",3,"old"]"#.to_owned());
@@ -75,11 +76,11 @@
 }
 
 #[test]
-fn bad_lines_get_one_plain_message_and_a_failure() {
+fn invalid_lines_get_one_error_line_and_a_failure_status() {
     let query = format!(r#"["Incoming",3,"{QUERY}","nope",null,null,4000000,null,9,-1,1,0]"#);
-    let broken = begin()[1].replace(r#""Places":2"#, r#""Places":0"#);
-    let missing = begin()[1].replace(r#""TickUs":5000,"#, "");
-    let uneven = begin()[1].replace(r#""ClassFloor":[1]"#, r#""ClassFloor":[1,1]"#);
+    let broken = start_lines()[1].replace(r#""Places":2"#, r#""Places":0"#);
+    let missing = start_lines()[1].replace(r#""TickUs":5000,"#, "");
+    let uneven = start_lines()[1].replace(r#""ClassFloor":[1]"#, r#""ClassFloor":[1,1]"#);
     let entry = |fields: &str| format!(r#"["Register",1,[[{fields}]]]"#);
     let id = format!(r#"["Left",3,"{QUERY}"]"#);
     let part = format!(r#"["Incoming",3,"{PART}","find",null,null,4000000,null,9,SLAB,1.0,0]"#);
@@ -114,7 +115,7 @@
         (outcome.replace(",0,", ",-1,"), "Outcome: Copy is not a whole number"),
     ];
     for (line, message) in cases {
-        let mut lines = begin();
+        let mut lines = start_lines();
         lines.push(line.clone());
         lines.push(r#"["Commit"]"#.to_owned());
         let output = run(&lines);
@@ -122,13 +123,13 @@
         assert!(!output.status.success(), "{line}");
         assert!(error.contains("line 5: ") && error.contains(message), "{line}: {error}");
         assert_eq!(error.lines().count(), 1, "{error}");
-        assert!(output.stdout.is_empty(), "only whole replies go out");
+        assert!(output.stdout.is_empty(), "only complete replies are written");
     }
 }
 
 #[test]
 fn input_that_ends_inside_a_batch_is_an_error() {
-    let output = run(&begin());
+    let output = run(&start_lines());
     assert!(!output.status.success());
     assert!(text(&output.stderr).contains("ends inside a batch"));
 }
