--- a/crates/router/src/admission.rs
+++ b/crates/router/src/admission.rs
@@ -114,8 +114,8 @@
 
     /// Returns the objective of a query that arrives now. A client's retry has only the time that its first
     /// attempt left: its `expires_in` is taken as the rest of the class's deadline. If it is no shorter than
-    /// the timeouts of first attempts, clients set a timeout per attempt, and the retry gets the full
-    /// objective.
+    /// the longest timeout of first attempts, clients are assumed to set a timeout per attempt, and the retry
+    /// gets the full objective.
     pub fn objective(&mut self, class: &Class, arrival: &QueryArrival) -> Objective {
         let by_work = class.objective_per_work * arrival.work_hint.unwrap_or(0) as f64;
         let objective = (class.latency_objective + by_work as Micros).min(class.deadline);
--- a/crates/router/src/slow_start.rs
+++ b/crates/router/src/slow_start.rs
@@ -13,9 +13,9 @@
 use crate::settings::{RuleSettings, Settings};
 use crate::traffic::Traffic;
 
-/// Fraction of the work that a backend can handle that is used; the rest covers random variation.
+/// Used fraction of the work that a warming backend can handle; the rest covers random variation.
 const CAPACITY_USE: f64 = 0.8;
-/// Fraction of that work that draws target: they vary more than the work of routers with a quota.
+/// Fraction of that work that draws aim for: they vary more than routers with a quota of whole parts.
 const DRAWN_CAPACITY_USE: f64 = 0.75;
 /// Fraction of all routers' work above which one router counts as busy and is held to its quota.
 const MAX_ROUTER_FRACTION: f64 = 0.25;
--- a/crates/router/tests/admission.rs
+++ b/crates/router/tests/admission.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn rejections_precede_any_send_and_carry_a_spread_retry_delay() {
+fn rejections_precede_any_send_and_carry_a_random_retry_delay() {
     let mut driver = Driver::ready(idempotent_settings());
     let mut advice = Vec::new();
     for i in 0..60 {
@@ -180,7 +180,7 @@
     }
 }
 
-// ---- the rule by itself ----
+// ---- unit tests of the rule ----
 
 const FIRST: ClassId = ClassId(0);
 /// Interval in which a drop rate changes by one step.
--- a/crates/router/tests/completion.rs
+++ b/crates/router/tests/completion.rs
@@ -106,7 +106,7 @@
     assert_eq!(driver.handle(Vec::new()), []);
 }
 
-// ---- the rule by itself ----
+// ---- unit tests of the rule ----
 
 /// A class with a minimum completeness of 0.5 and a required completeness of 0.75.
 fn partial_class() -> Class {
--- a/crates/router/tests/outlier.rs
+++ b/crates/router/tests/outlier.rs
@@ -64,7 +64,7 @@
     assert!((1..=6).contains(&to_failing), "{to_failing}");
 }
 
-/// A router with little traffic, which has few measurements: one query in five seconds follows.
+/// A router with few measurements. The tests then send it one query every five seconds.
 fn driver_with_little_traffic() -> Driver {
     let mut s = idempotent_settings();
     s.routers = 60;
@@ -140,7 +140,7 @@
     assert!(ejected(&driver) > 0);
 }
 
-// ---- the rule by itself ----
+// ---- unit tests of the rule ----
 
 fn detector(health_checks: bool) -> OutlierDetector {
     let mut s = idempotent_settings();
--- a/crates/router/tests/retry.rs
+++ b/crates/router/tests/retry.rs
@@ -48,7 +48,8 @@
     let mut driver = driver_without_hedging();
     let (part, _) = sends(&driver.query(1, 0, &[0]))[0];
     let mut actions = Vec::new();
-    // The other backends keep answering, so that the unresponsive one is overdue.
+    // The other backends keep answering, so that the attempt at the unresponsive one
+    // is overdue.
     for i in 0..20 {
         for (other, _) in sends(&driver.query(10 + i, 0, &[3])) {
             driver.now += 50 * MS;
@@ -219,7 +220,7 @@
     assert!((4..=6).contains(&sends(&again).len()), "{}", sends(&again).len());
 }
 
-// ---- the rules by themselves ----
+// ---- unit tests of the rules ----
 
 fn history(idempotency: Idempotency, possibly_executed_at: Option<Micros>) -> PartHistory {
     PartHistory { idempotency, attempts: 1, in_flight: false, possibly_executed_at }
@@ -303,9 +304,9 @@
 #[test]
 fn an_overdue_attempt_is_hedged_or_cancelled_only_at_an_ejected_unresponsive_backend() {
     let limits = idempotent_settings().limits;
-    let response = |hedging: bool, cancellation: bool, was_ejected: bool, is_silent: bool| {
+    let response = |hedging: bool, cancellation: bool, was_ejected: bool, is_unresponsive: bool| {
         let policy = RetryPolicy::new(&DeploymentLimits { hedging, cancellation, ..limits.clone() });
-        policy.overdue_response(was_ejected, is_silent)
+        policy.overdue_response(was_ejected, is_unresponsive)
     };
     assert_eq!(response(true, true, false, false), OverdueResponse::Hedge);
     assert_eq!(response(false, true, true, true), OverdueResponse::Cancel);
--- a/crates/router/tests/slow_start.rs
+++ b/crates/router/tests/slow_start.rs
@@ -72,7 +72,7 @@
     assert!((15..30).contains(&rejected), "{rejected} of 30");
 }
 
-// ---- the rule by itself ----
+// ---- unit tests of the rule ----
 
 const STARTED: Option<Micros> = Some(100 * SECOND);
 const NOW: Micros = 102 * SECOND;
--- a/crates/router/tests/slow_start_bound.rs
+++ b/crates/router/tests/slow_start_bound.rs
@@ -164,7 +164,7 @@
         at.div_ceil(BATCH_INTERVAL) * BATCH_INTERVAL
     }
 
-    /// Returns when which backends start.
+    /// Returns the start times, each with the backends that start then.
     fn starts(&self) -> Vec<(Micros, Vec<u32>)> {
         let each_second = |i: u32| START + u64::from(i) * SECOND;
         match self.case.scenario {
