--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,16 +1,18 @@
-//! What several instances decide together. Messages in, messages and actions out, time an argument: no I/O,
-//! no clock, no threads, and no knowledge of HTTP, frames or Flight.
+//! Coordination between instances: membership, a replicated register per query, and takeover.
+//!
+//! The crate takes messages and the current time as input and returns messages and actions. It does no I/O,
+//! reads no clock, starts no threads, and knows nothing of HTTP, frames or Flight.
 //!
 //! Three kinds of knowledge are never mixed in one type:
 //!
-//! - *advice* ([`membership`]) may be wrong at any time. It chooses order and pace only, and permits nothing;
+//! - *advice* ([`membership`]) may be wrong at any time. It only chooses order and pace, and permits nothing;
 //! - *promises* (ballots, in [`register`]) hold through partitions, pauses and wrong clocks. Only they permit
-//!   an effect;
+//!   a side effect;
 //! - *records* (intents and outcomes, in [`register`]) are written once and never changed.
 //!
-//! [`takeover`] uses all three to decide who acts for a query whose instance is lost. [`connections`],
-//! [`outbound_queue`] and [`inbound_rate_limit`] decide which peers are connected and what their connections
-//! may hold.
+//! [`takeover`] uses all three to decide which instance acts for a query whose instance is lost.
+//! [`connections`], [`outbound_queue`] and [`inbound_rate_limit`] decide which peers are connected and how
+//! much memory and traffic each connection may use.
 
 pub mod connections;
 pub mod fault_injection;
@@ -21,23 +23,23 @@
 pub mod takeover;
 pub mod timer_queue;
 
-/// Microseconds on a clock that does not run backwards; only differences count.
+/// Microseconds on a monotonic clock with an arbitrary origin.
 pub type Micros = u64;
 
-/// An instance, as its place in the fixed list of peers, which is the same in all instances that may be
-/// connected.
+/// An instance, as its index in the fixed list of peers. All instances that may be connected have the same
+/// list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub struct PeerId(pub u16);
 
-/// One run of a process under its name. The higher one is the later one. No clock takes part in it: a process
-/// starts at 1 and goes above whatever its peers have known under its name.
+/// One run of a process under its name. The higher one is the later one. It does not depend on a clock: a
+/// process starts at 1 and raises its number above every incarnation of its name that its peers know.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct Incarnation {
-    /// Counts the runs that peers know of.
+    /// Counts the runs under this name that peers know.
     pub number: u64,
-    /// Drawn at random by each process at its start: tells apart two that came to the same number.
+    /// Drawn at random by each process at its start: distinguishes two processes with the same number.
     pub nonce: u64,
 }
 
@@ -47,7 +49,7 @@
     }
 }
 
-/// FNV-1a: finds what was mixed up; not safe against anybody who means harm.
+/// Returns the FNV-1a hash of the bytes: detects accidental differences, not deliberate ones.
 #[must_use]
 pub fn digest(bytes: impl IntoIterator<Item = u8>) -> u64 {
     bytes
--- a/crates/cluster/src/membership/actions.rs
+++ b/crates/cluster/src/membership/actions.rs
@@ -1,14 +1,14 @@
-//! What membership wants done, and its time-outs.
+//! The actions and events of membership, and its time-outs.
 
 use super::messages::{MemberUpdate, Message};
 use crate::{Incarnation, Micros, PeerId};
 
-/// What is to be done.
+/// An action for the caller to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message, if there is a connection.
+    /// Send a message, if the peer is connected.
     Send(PeerId, Message),
-    /// Replace a connection on which a member that is there has answered nothing for long.
+    /// Replace the connection to a member that has left several pings in a row unanswered.
     Reconnect(PeerId),
     /// Log this and act on it.
     Notify(Event),
@@ -17,15 +17,15 @@
 /// A change that the program logs and acts on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A member is held to be in another state or incarnation.
+    /// A member's state or incarnation has changed in this process's view.
     MemberChanged(MemberUpdate),
-    /// This process was suspected or held to be dead, and has refuted it with this number.
+    /// This process was suspect or dead in a peer's view, and has refuted that with this refutation number.
     Refuted(u32),
-    /// A later process, of this incarnation, is alive under this one's name: this one takes part in nothing
-    /// any more.
+    /// Another process is alive under this process's name in this later incarnation: this one takes no
+    /// further part in the cluster.
     Superseded(Incarnation),
-    /// This process goes on under this incarnation: an earlier one of its name was known, or a later one has
-    /// ended.
+    /// This process continues under this incarnation: peers knew an earlier one of its name, or a later one
+    /// has ended.
     IncarnationRaised(Incarnation),
 }
 
@@ -33,11 +33,11 @@
 /// multiplier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProbeTiming {
-    /// Between the starts of two probes.
+    /// Time between the starts of two probes.
     pub probe_interval: Micros,
-    /// An ack is awaited for so long, and twice as long through others.
+    /// Time to wait for the ack to a direct ping; an indirect probe waits twice as long.
     pub ack_timeout: Micros,
-    /// A suspicion that no other peer shares lasts for so long before its member is dead.
+    /// Time until a member is dead that only one peer suspects.
     pub suspicion_timeout: Micros,
 }
 
--- a/crates/cluster/src/membership/member.rs
+++ b/crates/cluster/src/membership/member.rs
@@ -1,37 +1,37 @@
-//! What is known of one member, and of this process's own name.
+//! The state of one member, and of this process's own name.
 
 use std::collections::BTreeMap;
 
 use super::messages::{MemberState, SuspicionEvidence};
 use crate::{Incarnation, Micros, PeerId};
 
-/// How this process stands to its own name.
+/// Whether this process holds its own name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Identity {
-    /// No peer has connected to it yet: it goes above every earlier incarnation that it hears of.
+    /// No peer has connected to it yet: it raises its incarnation above every one that it learns of.
     Unconfirmed,
-    /// It has been a member.
+    /// At least one peer has connected to it.
     Confirmed,
-    /// A later process is alive under the name.
+    /// A later incarnation of the name is alive.
     Superseded,
 }
 
 /// One member, as this process knows it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Member {
-    /// The key of the highest update; `None` for a member that was never heard of.
+    /// The key of the highest update; `None` if no update about the member has arrived.
     pub(super) update: Option<(Incarnation, u32, MemberState)>,
     pub(super) connected: bool,
-    /// The last connection broke, and none has come up since.
+    /// The last connection broke, and none has been established since.
     pub(super) connection_lost: bool,
     /// Peers that suspect it on their own evidence, in this incarnation and refutation number.
     pub(super) suspectors: BTreeMap<PeerId, SuspicionEvidence>,
-    /// Since when it is suspect, where it is.
+    /// When it became suspect; unused in other states.
     pub(super) suspected_at: Micros,
-    /// Pings on the connection in a row without an ack.
+    /// Consecutive pings on the connection without an ack.
     pub(super) unanswered_pings: u32,
-    /// When it was last sent a whole view, or what is said of it.
-    pub(super) last_told: Option<Micros>,
+    /// When it was last sent a full view, or the suspicion about itself.
+    pub(super) last_informed_at: Option<Micros>,
 }
 
 impl Member {
@@ -43,8 +43,8 @@
         self.state() == Some(state)
     }
 
-    /// Whether it was told within the last `interval` microseconds.
-    pub(super) fn was_told_within(&self, now: Micros, interval: Micros) -> bool {
-        self.last_told.is_some_and(|at| now.saturating_sub(at) < interval)
+    /// Whether it was last informed less than `interval` microseconds ago.
+    pub(super) fn was_informed_within(&self, now: Micros, interval: Micros) -> bool {
+        self.last_informed_at.is_some_and(|at| now.saturating_sub(at) < interval)
     }
 }
--- a/crates/cluster/src/membership/messages.rs
+++ b/crates/cluster/src/membership/messages.rs
@@ -1,105 +1,105 @@
-//! What instances tell each other about members.
+//! The messages of the membership protocol.
 
 use crate::{Incarnation, PeerId};
 
-/// How a member is held to be. Of two states of the same incarnation and refutation number, the later one
-/// here counts.
+/// The state of a member. Of two states with the same incarnation and refutation number, the one declared
+/// later here wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// Some peer has heard it.
+    /// Reachable from at least one peer.
     Alive,
-    /// A peer could not reach it, neither directly nor through others.
+    /// A peer could reach it neither directly nor through others.
     Suspect,
     /// It did not refute a suspicion. It may be paused or partitioned, and come back.
     Dead,
-    /// It has said that it shuts down.
+    /// It has announced its shutdown.
     Left,
 }
 
-/// What a suspicion rests on; the later one here counts for more.
+/// The evidence for a suspicion, weakest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SuspicionEvidence {
     /// A probe got no ack.
     NoResponse,
-    /// The connection broke, or its address takes none.
+    /// The connection broke, or its address accepts none.
     ConnectionLost,
 }
 
-/// What is said of one member.
+/// A statement about one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct MemberUpdate {
     /// The member.
     pub member: PeerId,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// How often it has refuted a suspicion in that incarnation.
+    /// How often the member has refuted a suspicion in that incarnation.
     pub refutation: u32,
     /// Its state.
     pub state: MemberState,
-    /// The peer that came to this on its own evidence, if it is a suspicion.
+    /// For a suspicion, the peer that raised it on its own evidence.
     pub source: PeerId,
-    /// What that suspicion rests on.
+    /// The evidence for that suspicion.
     pub evidence: SuspicionEvidence,
 }
 
 impl MemberUpdate {
-    /// The order of updates about one member; the highest one counts.
+    /// Returns the key that orders updates about one member; the highest one wins.
     #[must_use]
     pub fn key(&self) -> (Incarnation, u32, MemberState) {
         (self.incarnation, self.refutation, self.state)
     }
 }
 
-/// Between two instances.
+/// A message between two instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
     /// Asks for an ack.
     Ping {
-        /// The probe.
+        /// Sequence number of the probe.
         seq: u64,
         /// Digest of the sender's view ([`super::Membership::view_digest`]); a receiver with another view
         /// sends its own.
         view: u64,
-        /// Updates to spread, as many as fit.
+        /// Piggybacked updates.
         updates: Vec<MemberUpdate>,
     },
     /// Answers a ping.
     Ack {
-        /// The probe.
+        /// Sequence number of the probe.
         seq: u64,
-        /// Updates to spread, as many as fit.
+        /// Piggybacked updates.
         updates: Vec<MemberUpdate>,
     },
     /// Asks the receiver to ping another member: an indirect probe.
     PingReq {
-        /// The sender's probe.
+        /// Sequence number of the sender's probe.
         seq: u64,
         /// The member to ping.
         target: PeerId,
     },
-    /// How a ping on another's behalf ended.
+    /// The result of a ping on the receiver's behalf.
     PingReqResult {
-        /// The requester's probe.
+        /// Sequence number of the requester's probe.
         seq: u64,
-        /// The member that was to be pinged.
+        /// The member to ping.
         target: PeerId,
-        /// How it ended.
+        /// The result.
         result: ProbeResult,
     },
-    /// Updates that do not wait for a ping, or a whole view.
+    /// Urgent updates that are not piggybacked, or a full view.
     Gossip {
         /// The updates.
         updates: Vec<MemberUpdate>,
     },
 }
 
-/// How a ping on another's behalf ended.
+/// The result of a ping on another member's behalf.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
     /// The target acked it.
     Acked,
-    /// No ack came.
+    /// No ack arrived.
     NoResponse,
-    /// There is no connection to the target: it broke.
+    /// The connection to the target broke, and there is no new one.
     ConnectionLost,
 }
--- a/crates/cluster/src/membership/probes.rs
+++ b/crates/cluster/src/membership/probes.rs
@@ -1,4 +1,4 @@
-//! Probes: pings of this process's own, indirect ones through others, and pings on others' behalf.
+//! Probes: direct pings, indirect pings through others, and pings on others' behalf.
 
 use std::collections::BTreeSet;
 
@@ -8,20 +8,20 @@
 use super::view::Membership;
 use crate::{Micros, PeerId};
 
-/// Peers that an indirect probe goes through.
+/// Peers that an indirect probe asks to ping the target.
 const PING_REQ_RELAYS: usize = 3;
-/// Pings that are open on others' behalf, for each member of the list.
+/// Limit on open pings on others' behalf, per member of the list.
 const RELAYED_PROBES_PER_MEMBER: usize = 4;
-/// Pings on a connection in a row without an ack, after which a new connection is tried.
+/// Consecutive pings on a connection without an ack, after which it is replaced.
 const UNANSWERED_PINGS_BEFORE_RECONNECT: u32 = 4;
-/// Greatest local health multiplier; each time-out is one more than so many times longer.
+/// Greatest local health multiplier; time-outs are multiplied by one more than it.
 pub(super) const MAX_LOCAL_HEALTH_MULTIPLIER: u32 = 8;
 
-/// A probe of this process's own.
+/// A probe that this process started.
 #[derive(Clone, Debug)]
 pub(super) struct Probe {
     pub(super) target: PeerId,
-    /// The target was pinged itself, and no others have been asked yet.
+    /// The target was pinged directly, and no relays have been asked yet.
     pub(super) is_direct: bool,
     pub(super) deadline: Micros,
     /// Peers that were asked to ping the target and have not answered.
@@ -32,24 +32,24 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RelayedProbe {
     pub(super) requester: PeerId,
-    /// The requester's probe.
+    /// Sequence number of the requester's probe.
     pub(super) seq: u64,
     pub(super) target: PeerId,
     pub(super) deadline: Micros,
 }
 
 impl Membership {
-    /// How long an ack is awaited now.
+    /// Returns the current ack time-out.
     pub(super) fn ack_timeout(&self) -> Micros {
         self.timing.ack_timeout * Micros::from(1 + self.local_health_multiplier)
     }
 
-    /// Takes a fault for this process's own.
+    /// Records a fault that this process attributes to itself.
     pub(super) fn raise_local_health_multiplier(&mut self) {
         self.local_health_multiplier = (self.local_health_multiplier + 1).min(MAX_LOCAL_HEALTH_MULTIPLIER);
     }
 
-    /// Starts a probe of a member, through others if there is no connection to it.
+    /// Starts a probe of a member, an indirect one if the member is not connected.
     pub(super) fn start_probe(&mut self, now: Micros, target: PeerId) {
         self.seq += 1;
         let (seq, deadline) = (self.seq, now + self.ack_timeout());
@@ -70,11 +70,11 @@
     /// Asks a few random live peers to ping the target of a probe.
     pub(super) fn send_ping_reqs(&mut self, now: Micros, seq: u64) {
         let Some(target) = self.probes.get(&seq).map(|probe| probe.target) else { return };
-        let is_able = |peer: &PeerId| {
+        let is_eligible = |peer: &PeerId| {
             let member = &self.members[usize::from(peer.0)];
             *peer != target && member.connected && member.is(MemberState::Alive)
         };
-        let mut relays: Vec<PeerId> = self.peers().filter(is_able).collect();
+        let mut relays: Vec<PeerId> = self.peers().filter(is_eligible).collect();
         self.rng.shuffle(&mut relays);
         relays.truncate(PING_REQ_RELAYS);
         for &relay in &relays {
@@ -89,24 +89,24 @@
         }
     }
 
-    /// A probe got its ack.
+    /// Ends a probe that got its ack.
     pub(super) fn probe_acked(&mut self, seq: u64) {
         if self.probes.remove(&seq).is_some() {
             self.local_health_multiplier = self.local_health_multiplier.saturating_sub(1);
         }
     }
 
-    /// Neither this process nor others for it have reached the target.
+    /// Ends a probe whose target neither this process nor its relays have reached.
     pub(super) fn probe_failed(&mut self, now: Micros, seq: u64) {
         let Some(probe) = self.probes.remove(&seq) else { return };
         if !probe.relays.is_empty() {
-            // Relays owe a result, be it a negative one: that they gave none may be this process's own fault.
+            // Relays report failures, too. If they reported nothing, this process itself may be at fault.
             self.raise_local_health_multiplier();
         }
         self.suspect(now, probe.target);
     }
 
-    /// A relay has told the result of its ping; `true` if that was a negative one of an open probe.
+    /// Handles the result of a relay's ping. Returns `true` if it reports a failure of an open probe.
     pub(super) fn handle_ping_req_result(
         &mut self,
         now: Micros,
@@ -123,19 +123,19 @@
             return false;
         }
         if probe.relays.remove(&relay) && probe.relays.is_empty() && !probe.is_direct {
-            // No relay is left that could still reach it.
+            // All relays have reported a failure.
             self.probe_failed(now, seq);
         }
         true
     }
 
-    /// Pings a member on another one's behalf, as far as there is room for that.
+    /// Pings a member on another one's behalf, up to the limit on open relayed probes.
     pub(super) fn handle_ping_req(&mut self, now: Micros, requester: PeerId, seq: u64, target: PeerId) {
-        let has_room = self.relayed_probes.len() < RELAYED_PROBES_PER_MEMBER * self.members.len();
+        let has_capacity = self.relayed_probes.len() < RELAYED_PROBES_PER_MEMBER * self.members.len();
         let deadline = now + self.ack_timeout();
         let Some(member) = self.member_mut(target) else { return };
         let result = match member {
-            Member { connected: true, .. } if has_room => {
+            Member { connected: true, .. } if has_capacity => {
                 self.seq += 1;
                 let own_seq = self.seq;
                 self.relayed_probes.insert(own_seq, RelayedProbe { requester, seq, target, deadline });
@@ -147,7 +147,7 @@
         self.send(requester, Message::PingReqResult { seq, target, result });
     }
 
-    /// Ends a ping on another's behalf and tells the requester its result.
+    /// Ends a ping on another's behalf and sends the result to the requester.
     pub(super) fn end_relayed_probe(&mut self, seq: u64, result: ProbeResult) {
         let Some(RelayedProbe { requester, seq, target, .. }) = self.relayed_probes.remove(&seq) else {
             return;
@@ -155,7 +155,7 @@
         self.send(requester, Message::PingReqResult { seq, target, result });
     }
 
-    /// A member's ack to a ping: of a probe of this process's own, or on another's behalf.
+    /// Handles a member's ack to a ping of this process, or on another's behalf.
     pub(super) fn handle_ack(&mut self, from: PeerId, seq: u64) {
         if self.probes.get(&seq).is_some_and(|probe| probe.target == from) {
             self.probe_acked(seq);
@@ -167,7 +167,7 @@
         }
     }
 
-    /// A ping on a connection got no ack.
+    /// Counts a ping on a connection that got no ack.
     pub(super) fn ping_unanswered(&mut self, peer: PeerId) {
         let Some(member) = self.member_mut(peer) else { return };
         member.unanswered_pings += 1;
@@ -176,7 +176,8 @@
         }
     }
 
-    /// The next member to probe: each once, in a new random order each time, as far as there is a way to it.
+    /// Returns the next member to probe. Each reachable member is probed once per round, in a new random
+    /// order each round.
     pub(super) fn next_probe_target(&mut self) -> Option<PeerId> {
         for _ in 0..=self.members.len() {
             if self.probe_order.is_empty() {
--- a/crates/cluster/src/membership/timers.rs
+++ b/crates/cluster/src/membership/timers.rs
@@ -1,15 +1,15 @@
-//! Membership's timers: the next probe, acks that are awaited, and suspicions that become deaths.
+//! The timers of membership: the next probe, ack time-outs and suspicion time-outs.
 
 use super::member::Identity;
 use super::messages::{MemberState, MemberUpdate, ProbeResult};
 use super::view::Membership;
 use crate::{Micros, PeerId};
 
-/// Timers that fire later than this are taken for a fault of this process's own, in microseconds.
+/// Timers that fire later than this indicate a fault of this process itself, in microseconds.
 const LATE_TIMER: Micros = 50_000;
 
 impl Membership {
-    /// When [`Membership::handle_timeout`] is to be called next.
+    /// Returns when [`Membership::handle_timeout`] is due next.
     #[must_use]
     pub fn poll_timeout(&self) -> Option<Micros> {
         let probes = self.probes.values().map(|probe| probe.deadline);
@@ -20,7 +20,7 @@
         probes.chain(relayed).chain(suspicions).chain(next_probe).min()
     }
 
-    /// Does all that is due.
+    /// Handles all timers that are due.
     pub fn handle_timeout(&mut self, now: Micros) {
         let Some(due) = self.poll_timeout().filter(|&due| due <= now) else { return };
         let late = now - due;
@@ -72,8 +72,9 @@
         }
     }
 
-    /// This process was not at its timers in time. What it did not receive meanwhile says nothing of others:
-    /// open probes begin anew, suspicions last as much longer, and the local health multiplier goes up.
+    /// Handles timers that fired late, for example after a pause of this process. Messages that did not
+    /// arrive meanwhile are no evidence against other members: open probes restart, suspicions are extended
+    /// by the delay, and the local health multiplier goes up.
     fn handle_late_timers(&mut self, now: Micros, late: Micros) {
         self.raise_local_health_multiplier();
         let deadline = now + self.ack_timeout();
--- a/crates/cluster/src/membership/updates.rs
+++ b/crates/cluster/src/membership/updates.rs
@@ -1,4 +1,5 @@
-//! What an update changes: a member's state, a suspicion, or this process's own refutation and incarnation.
+//! The effects of an update: on a member's state, on a suspicion, or on this process's own refutation number
+//! and incarnation.
 
 use super::actions::{Action, Event};
 use super::member::{Identity, Member};
@@ -6,7 +7,7 @@
 use super::view::Membership;
 use crate::{Micros, PeerId};
 
-/// Where most live peers suspect a member over lost connections, it has so long to refute, in microseconds.
+/// Time to refute for a member that most live peers suspect because of lost connections, in microseconds.
 const CONFIRMED_SUSPICION_TIMEOUT: Micros = 40_000;
 /// Lifeguard's curve log(c + 1) / log(k + 1) for c independent confirmations and k = 2, in thousandths of the
 /// difference between the longest and the shortest suspicion time-out.
@@ -19,7 +20,7 @@
         updates.iter().for_each(|update| self.apply_update(now, *update));
     }
 
-    /// Applies an update if it is higher than what is known, or adds to a suspicion.
+    /// Applies an update if it is higher than the known one, or adds to a suspicion.
     pub fn apply_update(&mut self, now: Micros, update: MemberUpdate) {
         if update.member == self.me {
             return self.apply_update_about_self(now, update);
@@ -51,7 +52,7 @@
         }
         self.disseminate(update);
         if is_connected && matches!(update.state, MemberState::Suspect | MemberState::Dead) {
-            // The member hears it from whoever still reaches it, so that it can refute.
+            // The member is informed by every peer that still reaches it, so that it can refute.
             self.send(update.member, Message::Gossip { updates: vec![update] });
         }
         self.confirm_suspicion(now, update.member);
@@ -86,8 +87,9 @@
         }
     }
 
-    /// When a suspicion makes its member dead: later with the local health multiplier, sooner the more peers
-    /// came to it on their own evidence, and soon where connections broke at most of those that are there.
+    /// Returns when a suspicion makes its member dead. The time grows with the local health multiplier and
+    /// shrinks with each peer that suspects the member on its own evidence. If the connections of most live
+    /// peers to it broke, it is [`CONFIRMED_SUSPICION_TIMEOUT`] times the multiplier.
     pub(super) fn suspicion_deadline(&self, member: &Member) -> Option<Micros> {
         if !member.is(MemberState::Suspect) {
             return None;
@@ -105,19 +107,19 @@
         Some(member.suspected_at + longest - reduction)
     }
 
-    /// Somebody says something of this process.
+    /// Applies an update about this process itself.
     fn apply_update_about_self(&mut self, now: Micros, update: MemberUpdate) {
         if update.incarnation == self.incarnation {
             return self.refute(update);
         }
-        // Before this process is a member its number always goes up, whichever nonce is the higher one: a
-        // later incarnation can be told by its number alone.
-        let is_earlier_life =
+        // Before this process is confirmed, its number always goes up, whichever nonce is higher: a later
+        // incarnation is recognizable by its number alone.
+        let is_earlier_incarnation =
             self.identity == Identity::Unconfirmed && update.incarnation.number >= self.incarnation.number;
-        if update.incarnation < self.incarnation && !is_earlier_life {
+        if update.incarnation < self.incarnation && !is_earlier_incarnation {
             return;
         }
-        // Another process has this name, in an incarnation that counts as later.
+        // Another process has this name in a later incarnation, or had it in one with the same number.
         let has_ended = matches!(update.state, MemberState::Dead | MemberState::Left);
         if self.identity == Identity::Unconfirmed || has_ended {
             self.raise_incarnation(update.incarnation.number.saturating_add(1));
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Refutes what is said of this process in its present incarnation, unless it says so itself.
+    /// Refutes an update about this process in its current incarnation, unless it is this process's own.
     fn refute(&mut self, update: MemberUpdate) {
         if update.key() <= self.own_update().key() || update.state == MemberState::Left {
             return;
@@ -141,7 +143,7 @@
         self.disseminate(self.own_update());
     }
 
-    /// Goes on under a higher incarnation.
+    /// Continues under a higher incarnation.
     fn raise_incarnation(&mut self, number: u64) {
         self.incarnation.number = number;
         self.refutation = 0;
--- a/crates/cluster/src/membership/view.rs
+++ b/crates/cluster/src/membership/view.rs
@@ -1,4 +1,4 @@
-//! One process's view of all members, and the events that come to it: connections, messages, shutdown.
+//! One process's view of all members, and its inputs: connections, messages, shutdown.
 
 use std::collections::BTreeMap;
 
@@ -14,17 +14,17 @@
 pub struct Membership {
     pub(super) me: PeerId,
     pub(super) incarnation: Incarnation,
-    /// How often this process has refuted in this incarnation.
+    /// How often this process has refuted a suspicion in this incarnation.
     pub(super) refutation: u32,
     pub(super) identity: Identity,
     pub(super) leaving: bool,
     pub(super) timing: ProbeTiming,
-    /// By place in the list; this process's own entry is not used.
+    /// Indexed by [`PeerId`]; this process's own entry is not used.
     pub(super) members: Vec<Member>,
-    /// Members that are still to be probed in this pass over all of them; the last one is next.
+    /// Members still to be probed in this round; the last one is probed next.
     pub(super) probe_order: Vec<PeerId>,
     pub(super) next_probe: Micros,
-    /// The last probe that was started here.
+    /// Sequence number of the last probe that this process started.
     pub(super) seq: u64,
     pub(super) probes: BTreeMap<u64, Probe>,
     pub(super) relayed_probes: BTreeMap<u64, RelayedProbe>,
@@ -35,7 +35,7 @@
 }
 
 impl Membership {
-    /// The view of a process that has just started: it knows nobody.
+    /// Creates the view of a process that has just started, without knowledge of any member.
     #[must_use]
     pub fn new(now: Micros, me: PeerId, peers: usize, nonce: u64, timing: ProbeTiming, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed ^ nonce);
@@ -59,13 +59,13 @@
         }
     }
 
-    /// This process's present incarnation.
+    /// Returns this process's current incarnation.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// A member's state; `None` if it was never heard of.
+    /// Returns a member's state; `None` if no update about it has arrived.
     #[must_use]
     pub fn state(&self, peer: PeerId) -> Option<MemberState> {
         if peer == self.me {
@@ -74,14 +74,14 @@
         self.members.get(usize::from(peer.0)).and_then(Member::state)
     }
 
-    /// How far this process takes faults for its own, from 0 to 8: time-outs are one more than so many times
-    /// longer.
+    /// Returns Lifeguard's local health multiplier, from 0 (healthy) to 8: time-outs are multiplied by one
+    /// more than it.
     #[must_use]
     pub fn local_health_multiplier(&self) -> u32 {
         self.local_health_multiplier
     }
 
-    /// Whether a later process is alive under this one's name.
+    /// Whether a later incarnation of this process's name is alive.
     #[must_use]
     pub fn is_superseded(&self) -> bool {
         self.identity == Identity::Superseded
@@ -95,7 +95,7 @@
         }
     }
 
-    /// What this process says of itself.
+    /// Returns this process's update about itself.
     #[must_use]
     pub fn own_update(&self) -> MemberUpdate {
         MemberUpdate {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The update about a member that counts; `None` if it was never heard of.
+    /// Returns the highest update about a member; `None` if none has arrived.
     #[must_use]
     pub fn member_update(&self, peer: PeerId) -> Option<MemberUpdate> {
         if peer == self.me {
@@ -122,7 +122,7 @@
         Some(MemberUpdate { member: peer, incarnation, refutation, state, source, evidence })
     }
 
-    /// The whole view as one number, the same for all who hold the same view.
+    /// Returns a digest of the view; processes with the same view have the same digest.
     #[must_use]
     pub fn view_digest(&self) -> u64 {
         let updates = self.peers().filter_map(|peer| self.member_update(peer));
@@ -134,7 +134,7 @@
         (0..self.members.len()).filter_map(|index| u16::try_from(index).ok()).map(PeerId)
     }
 
-    /// Another member of the list.
+    /// Returns the entry of another member; `None` for this process and for ids outside the list.
     pub(super) fn member_mut(&mut self, peer: PeerId) -> Option<&mut Member> {
         (peer != self.me).then_some(())?;
         self.members.get_mut(usize::from(peer.0))
@@ -144,12 +144,12 @@
         self.actions.push(Action::Send(to, message));
     }
 
-    /// What is to be done since the last call, in this order.
+    /// Returns the actions since the last call, in the order to execute them.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// A connection is up, and its hello has come: the member is there.
+    /// Handles a completed handshake: the member is connected.
     pub fn peer_connected(&mut self, now: Micros, hello: MemberUpdate) {
         if self.identity == Identity::Unconfirmed {
             self.identity = Identity::Confirmed;
@@ -157,30 +157,31 @@
         let me = self.me;
         if let Some(member) = self.member_mut(hello.member) {
             (member.connected, member.connection_lost, member.unanswered_pings) = (true, false, 0);
-            // This process's own evidence is void; the others' suspicion begins anew.
+            // The new connection invalidates this process's own evidence and restarts the time-out of the
+            // others' suspicion.
             member.suspectors.remove(&me);
             member.suspected_at = now;
         }
         self.apply_update(now, hello);
-        self.tell_suspect(now, hello.member);
+        self.notify_suspect(now, hello.member);
         if self.refutation > 0 {
             // This process may have refuted after its hello was written.
             self.send_own_update(hello.member);
         }
     }
 
-    /// A connection ended, or could not be had: evidence, and a reason to probe through others at once.
-    /// `lost` unless this side closed it.
+    /// Handles a connection that ended or could not be opened. That is evidence of a failure, so the member
+    /// is probed through others at once. `lost` is false if this side closed the connection.
     pub fn peer_disconnected(&mut self, now: Micros, peer: PeerId, lost: bool) {
         let Some(member) = self.member_mut(peer) else { return };
         let is_new = member.connected || !member.connection_lost;
         member.connected = false;
         member.connection_lost |= lost;
         let is_probed = matches!(member.state(), Some(MemberState::Alive | MemberState::Suspect));
-        // Whoever waits for the result of a ping can have it now.
-        let over = self.relayed_probes.iter().filter(|(_, relayed)| relayed.target == peer);
-        let over: Vec<u64> = over.map(|(&seq, _)| seq).collect();
-        for seq in over {
+        // Requesters of pings to this member get their result now.
+        let failed = self.relayed_probes.iter().filter(|(_, relayed)| relayed.target == peer);
+        let failed: Vec<u64> = failed.map(|(&seq, _)| seq).collect();
+        for seq in failed {
             self.end_relayed_probe(seq, ProbeResult::ConnectionLost);
         }
         if is_probed && lost && is_new {
@@ -190,7 +191,7 @@
         }
     }
 
-    /// A message on a member's connection, from the incarnation that its hello named.
+    /// Handles a message on a member's connection, from the incarnation that its hello named.
     pub fn handle_message(&mut self, now: Micros, from: PeerId, message: Message) {
         if self.member_mut(from).is_none() {
             return;
@@ -211,13 +212,13 @@
             Message::PingReq { seq, target } => self.handle_ping_req(now, from, seq, target),
             Message::PingReqResult { seq, target, result } => {
                 if !self.handle_ping_req_result(now, from, seq, target, result) {
-                    // The relay hears of a suspicion about itself with another message.
+                    // The relay is informed of a suspicion about itself with another message.
                     return;
                 }
             }
             Message::Gossip { updates } => self.handle_gossip(now, from, &updates),
         }
-        self.tell_suspect(now, from);
+        self.notify_suspect(now, from);
     }
 
     fn handle_gossip(&mut self, now: Micros, from: PeerId, updates: &[MemberUpdate]) {
@@ -232,7 +233,7 @@
         }
     }
 
-    /// This process shuts down: all connected members hear it at once.
+    /// Announces this process's shutdown to all connected members.
     pub fn announce_leave(&mut self) {
         if self.leaving {
             return;
@@ -247,7 +248,7 @@
     }
 }
 
-/// FNV-1a over the words of an update's key.
+/// Hashes an update's member and key with FNV-1a, word by word.
 fn update_digest(update: &MemberUpdate) -> u64 {
     let words = [
         u64::from(update.member.0),
