--- a/crates/cluster/src/register/acceptor.rs
+++ b/crates/cluster/src/register/acceptor.rs
@@ -1,4 +1,4 @@
-//! One process as an acceptor of queries: what it promises, accepts, rejects and forgets.
+//! The acceptor: promises ballots, accepts and rejects proposals, and removes the records of ended queries.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -11,44 +11,44 @@
 use crate::fault_injection::{self, Bug};
 use crate::{Incarnation, Micros, PeerId};
 
-/// Bytes of records on one page of a state transfer, unless a single record is longer: all records of an
-/// acceptor are more than a connection takes at once.
+/// Limit on the bytes of records on one page of a state transfer, unless a single record is longer. All
+/// records of an acceptor do not fit into a connection's queue at once.
 const TRANSFER_PAGE_BYTES: usize = 4096;
 /// Epochs for which the record of a query with a chosen outcome is kept; see [`Acceptor::end_epoch`].
 const EPOCHS_KEPT: u64 = 3;
 
-/// What an acceptor may hold.
+/// The limits on what an acceptor stores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AcceptorLimits {
-    /// Records.
+    /// Greatest number of records.
     pub records: usize,
-    /// Bytes of memory of all records.
+    /// Greatest memory of all records, in bytes.
     pub bytes: usize,
-    /// For how long a client may submit a query again under the same id, in microseconds.
+    /// How long a client may submit a query again under the same id, in microseconds.
     pub query_lifetime: Micros,
 }
 
-/// What an acceptor holds.
+/// What an acceptor currently stores.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AcceptorUsage {
-    /// Records.
+    /// Number of records.
     pub records: usize,
-    /// Bytes of memory of all records.
+    /// Memory of all records, in bytes.
     pub bytes: usize,
 }
 
 /// When this acceptor learned that an outcome was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct ChosenAt {
-    /// In which of its epochs.
+    /// The acceptor's epoch at that time.
     epoch: u64,
-    /// At which time.
+    /// The time.
     learned_at: Micros,
-    /// How long ago it had been chosen by then, at the least.
+    /// A lower bound on how long ago the outcome had been chosen by then.
     age_when_learned: Micros,
 }
 
-/// The records of an acceptor, with the memory that they take.
+/// The records of an acceptor, and their memory.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct RecordTable {
     records: BTreeMap<QueryId, Record>,
@@ -66,7 +66,7 @@
         self.bytes -= record.memory_bytes();
     }
 
-    /// Changes a record, if there is one; `true` if there is.
+    /// Changes a record; `false` if there is none.
     fn update(&mut self, id: &QueryId, change: impl FnOnce(&mut Record)) -> bool {
         let Some(record) = self.records.get_mut(id) else { return false };
         let before = record.memory_bytes();
@@ -76,8 +76,7 @@
     }
 }
 
-/// One process as an acceptor. Everything in it is lost in a restart; `recovery.rs` says how it is learned
-/// again.
+/// One process as an acceptor. Its state is lost in a restart; `recovery.rs` describes how it is restored.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
     me: PeerId,
@@ -96,7 +95,7 @@
 }
 
 impl Acceptor {
-    /// An acceptor that has just started, in an incarnation that it has announced to nobody yet.
+    /// Creates an acceptor that has just started, in an incarnation that no peer knows yet.
     #[must_use]
     pub fn new(
         now: Micros,
@@ -121,47 +120,47 @@
         }
     }
 
-    /// Its incarnation.
+    /// Returns this acceptor's incarnation.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Its record of a query.
+    /// Returns the record of a query.
     #[must_use]
     pub fn record(&self, id: &str) -> Option<&Record> {
         self.table.records.get(id)
     }
 
-    /// Queries without a chosen outcome, with their records.
+    /// Returns the queries without a chosen outcome, with their records.
     pub fn open_records(&self) -> impl Iterator<Item = (&QueryId, &Record)> {
         self.table.records.iter().filter(|(_, record)| !record.chosen)
     }
 
-    /// What it holds.
+    /// Returns the number of records and their memory.
     #[must_use]
     pub fn usage(&self) -> AcceptorUsage {
         AcceptorUsage { records: self.table.records.len(), bytes: self.table.bytes }
     }
 
-    /// Whether it remembers all that it ever promised for every query, so that its state transfer counts as
-    /// complete.
+    /// Whether it remembers every promise that it ever gave, for every query, so that a state transfer from
+    /// it is complete.
     #[must_use]
     pub fn remembers_every_query(&self, now: Micros) -> bool {
         self.recovery.remembers_every_query(now, self.limits.query_lifetime)
     }
 
-    /// The peers whose records it still has to ask for.
+    /// Returns the peers whose records it still needs.
     #[must_use]
     pub fn pending_transfers(&self) -> Vec<PendingTransfer> {
         self.recovery.pending()
     }
 
-    /// The page of records after `after` for a peer that has restarted as `incarnation`.
+    /// Returns the page of records after `after` for a peer that has restarted as `incarnation`.
     ///
-    /// That incarnation counts as the peer's present one from here on, so that no proposal that counts on an
-    /// earlier one is accepted any more. That is why the records may go over in several pages: what changes
-    /// here between two of them does not count on what the peer has forgotten.
+    /// From here on that is the peer's known incarnation, and no proposal that relies on an earlier one is
+    /// accepted. This is why the records may be sent in several pages: a change between two pages does not
+    /// rely on anything that the peer has forgotten.
     pub fn serve_transfer(
         &mut self,
         now: Micros,
@@ -173,8 +172,8 @@
         *known = (*known).max(incarnation);
         let to = *known;
         let remembers_all = self.remembers_every_query(now);
-        // Only the records of an acceptor that remembers everything end the other's recovery, which asks
-        // again until then.
+        // Only an acceptor that remembers everything can end the peer's recovery; the peer repeats its
+        // request until then.
         let (records, next) =
             if remembers_all { self.transfer_page(now, peer, after.as_ref()) } else { (Vec::new(), None) };
         StateTransfer {
@@ -189,7 +188,7 @@
         }
     }
 
-    /// The records on the page after `after`, and after which query the next page starts.
+    /// Returns the records on the page after `after`, and the query after which the next page starts.
     fn transfer_page(
         &self,
         now: Micros,
@@ -214,7 +213,7 @@
         (page, None)
     }
 
-    /// A page of another acceptor's records has come; gives back after which query to ask for the next page.
+    /// Handles a page of another acceptor's records. Returns the query after which to request the next page.
     pub fn receive_transfer(&mut self, now: Micros, mut page: StateTransfer) -> Option<QueryId> {
         if page.to != self.incarnation {
             return None;
@@ -227,15 +226,15 @@
 
     /// Merges another acceptor's record.
     ///
-    /// A query whose outcome was chosen a whole lifetime before this acceptor's start is left out: an opening
-    /// that could be accepted here names this incarnation, so it was submitted after the start, which is
-    /// later than the query may be. Otherwise acceptors that restart one after the other would pass on every
-    /// ended query for ever.
+    /// A query whose outcome was chosen at least one query lifetime before this acceptor's start is skipped.
+    /// An `Open` request that could be accepted here names this incarnation, so it was submitted after the
+    /// start, when the query's lifetime was over. Without this rule, acceptors that restart one after the
+    /// other would pass the records of ended queries on forever.
     fn merge_record(&mut self, now: Micros, id: QueryId, theirs: Record, chosen_for: Micros) {
         let chosen = theirs.chosen;
-        let outlived = chosen_for >= self.limits.query_lifetime + self.recovery.uptime(now);
+        let is_expired = chosen_for >= self.limits.query_lifetime + self.recovery.uptime(now);
         match self.record(&id) {
-            None if chosen && outlived => return,
+            None if chosen && is_expired => return,
             None => self.table.insert(Arc::clone(&id), theirs),
             Some(_) => {
                 self.table.update(&id, |ours| ours.merge(theirs));
@@ -251,7 +250,7 @@
         self.chosen.entry(id).or_insert(at);
     }
 
-    /// A proposer's request has come; gives back the reply.
+    /// Handles a proposer's request and returns the reply, if it has one.
     pub fn handle_request(&mut self, now: Micros, request: ProposerRequest) -> Option<AcceptorReply> {
         match request {
             ProposerRequest::Open { id, ballot, incarnations, epochs, payload, proposal, version } => {
@@ -276,8 +275,8 @@
         }
     }
 
-    /// A process that a client submitted the query to opens it: accepted unless another ballot was promised,
-    /// an outcome is chosen, or the query may be an old one that was forgotten here.
+    /// Opens a query for the process that a client submitted it to. It is accepted unless another ballot was
+    /// promised, an outcome is chosen, or the query may be an old one whose record was removed here.
     #[allow(clippy::too_many_arguments)] // the fields of one request
     fn open(
         &mut self,
@@ -289,19 +288,20 @@
         proposal: &Proposal,
         version: u32,
     ) -> AcceptorReply {
-        // Checked even where a state transfer brought this very ballot: that is no promise of this acceptor's
-        // own.
+        // Checked even if a state transfer brought a record with this ballot: this acceptor itself has not
+        // promised it.
         if let Some(reason) = self.must_abstain(now, &id, &opened_at.incarnations) {
             return self.abstain(id, ballot, reason);
         }
         if let Some(record) = self.record(&id) {
-            let forgets = fault_injection::is_injected(Bug::ForgetAPromise);
-            if (record.promised != ballot && !forgets) || record.chosen {
+            let ignores_promise = fault_injection::is_injected(Bug::ForgetPromise);
+            if (record.promised != ballot && !ignores_promise) || record.chosen {
                 return AcceptorReply::Rejected { id, rejected: ballot, record: record.clone() };
             }
             return self.accept_proposal(id, ballot, proposal, version);
         }
-        // A late request may be about a query that ended and was forgotten here since it was submitted.
+        // A late request may be about a query that has ended and whose record was removed since it was
+        // submitted.
         if self.may_have_forgotten(&opened_at) {
             return self.abstain(id, ballot, AbstainReason::UnknownQuery);
         }
@@ -312,7 +312,7 @@
         self.accept_proposal(id, ballot, proposal, version)
     }
 
-    /// Accepts a proposal if its ballot is the one that is promised.
+    /// Accepts a proposal if its ballot is the promised one.
     fn accept(
         &mut self,
         now: Micros,
@@ -328,7 +328,7 @@
         match self.record(&id) {
             None => self.abstain(id, ballot, AbstainReason::UnknownQuery),
             Some(record)
-                if record.promised != ballot && !fault_injection::is_injected(Bug::ForgetAPromise) =>
+                if record.promised != ballot && !fault_injection::is_injected(Bug::ForgetPromise) =>
             {
                 AcceptorReply::Rejected { id, rejected: ballot, record: record.clone() }
             }
@@ -351,7 +351,7 @@
             let record = Some(record.clone());
             return AcceptorReply::Promised { id, ballot, incarnation, record };
         }
-        // To report that nothing was accepted here, it has to be certain of that.
+        // A promise without a record states that nothing was accepted here, so that has to be certain.
         if self.may_have_forgotten(&opened_at) {
             return self.abstain(id, ballot, AbstainReason::UnknownQuery);
         }
@@ -362,7 +362,7 @@
         AcceptorReply::Promised { id, ballot, incarnation, record: None }
     }
 
-    /// A majority has accepted this outcome.
+    /// Records an outcome that a majority has accepted.
     fn choose(&mut self, now: Micros, id: QueryId, outcome: Arc<[u8]>) {
         if self.record(&id).is_none_or(|record| record.chosen) {
             return;
@@ -375,9 +375,9 @@
         self.recovery.remembers(now, self.limits.query_lifetime, id)
     }
 
-    /// Why no proposal that counts on these incarnations may be accepted for the query.
+    /// Returns why a proposal that relies on these incarnations must not be accepted for the query, if so.
     fn must_abstain(&self, now: Micros, id: &str, incarnations: &Incarnations) -> Option<AbstainReason> {
-        if self.counts_on_the_past(incarnations) {
+        if self.relies_on_ended_incarnation(incarnations) {
             return Some(AbstainReason::StaleIncarnation);
         }
         (!self.remembers(now, id)).then_some(AbstainReason::Recovering)
@@ -387,13 +387,13 @@
         AcceptorReply::Abstained { id, ballot, reason, incarnation: self.incarnation }
     }
 
-    /// Whether one of these incarnations is known to be over.
-    fn counts_on_the_past(&self, incarnations: &Incarnations) -> bool {
-        incarnations.iter().any(|(peer, counted_on)| {
+    /// Whether one of these incarnations is known to have ended.
+    fn relies_on_ended_incarnation(&self, incarnations: &Incarnations) -> bool {
+        incarnations.iter().any(|(peer, relied_on)| {
             if *peer == self.me {
-                return *counted_on != self.incarnation;
+                return *relied_on != self.incarnation;
             }
-            self.known_incarnations.get(peer).is_some_and(|present| present > counted_on)
+            self.known_incarnations.get(peer).is_some_and(|current| current > relied_on)
         })
     }
 
@@ -409,29 +409,30 @@
         AcceptorReply::Accepted { id, ballot, version, incarnation: self.incarnation }
     }
 
-    /// Whether a query that was opened then, and of which there is no record, may have had one here.
+    /// Whether a query that was opened then, and has no record, may have had one here.
     fn may_have_forgotten(&self, opened_at: &OpenedAt) -> bool {
         let epoch = opened_at.epochs.get(&self.me);
         opened_at.incarnations.get(&self.me) != Some(&self.incarnation)
             || epoch.is_none_or(|epoch| epoch + 1 < self.epoch)
     }
 
-    /// Whether another record fits. A query without a chosen outcome is never forgotten, and one with a
-    /// chosen outcome is kept for as long as it may be submitted again.
+    /// Whether another record fits. A record without a chosen outcome is never removed, and one with a chosen
+    /// outcome is kept for as long as the query may be submitted again.
     fn has_capacity(&self, payload_bytes: usize) -> bool {
         self.table.records.len() < self.limits.records
             && self.table.bytes + payload_bytes <= self.limits.bytes
     }
 
-    /// Ends an epoch that has lasted for the longest lifetime of a query, and forgets the queries whose
-    /// outcome was chosen three epochs ago. `true` if a new epoch began, which the other acceptors are to be
-    /// told of.
+    /// Ends an epoch that has lasted for the longest lifetime of a query, and removes the records of queries
+    /// whose outcome was chosen three epochs ago. Returns `true` if a new epoch began; the other acceptors
+    /// have to be informed of it.
     ///
-    /// Epochs count the times at which a record may have been forgotten. An opening that knew of an epoch
-    /// before the last one is not accepted: so one that is accepted was submitted, at the earliest, in the
-    /// epoch after the one that followed the end of what was forgotten, which is later than that may be
-    /// submitted again. However late an opening arrives, a forgotten query is never taken for a new one. The
-    /// clock only chooses when an epoch ends, and a process that was paused ends one epoch, not several.
+    /// Epochs count the times at which records may have been removed. An `Open` request that names an epoch
+    /// before the previous one is not accepted. So the earliest submission that is accepted lies in the
+    /// second epoch after the one in which a removed query's outcome was chosen; by then that query may no
+    /// longer be submitted again. However late an `Open` request arrives, a removed query is never mistaken
+    /// for a new one. The clock only decides when an epoch ends, and a process that was paused ends one
+    /// epoch, not several.
     pub fn end_epoch(&mut self, now: Micros) -> bool {
         if now.saturating_sub(self.epoch_started_at) < self.limits.query_lifetime {
             return false;
@@ -447,7 +448,7 @@
         true
     }
 
-    /// The present epoch.
+    /// Returns the current epoch.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
--- a/crates/cluster/src/register/messages.rs
+++ b/crates/cluster/src/register/messages.rs
@@ -1,6 +1,6 @@
-//! What proposers and acceptors send each other about one query. postcard writes these by the order of
-//! variants and fields: that order never changes, new ones go to the end (`tests/stored_format.rs` holds the
-//! bytes).
+//! The messages between proposers and acceptors of one query. The postcard encoding depends on the order of
+//! variants and fields: the order must never change, and new ones are appended (`tests/stored_format.rs`
+//! checks the bytes).
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use super::record::{Proposal, Record};
 use crate::Incarnation;
 
-/// From a proposer to an acceptor.
+/// A request from a proposer to an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ProposerRequest {
     /// Opens a query under a ballot of round 0, without a prepare phase, and proposes its first version.
@@ -20,32 +20,33 @@
         id: QueryId,
         /// The ballot, of round 0.
         ballot: Ballot,
-        /// The incarnations of acceptors that the proposal counts on.
+        /// The acceptor incarnations that the proposal relies on.
         incarnations: Incarnations,
-        /// Each acceptor's epoch, as it was known when the client submitted the query.
+        /// The acceptors' epochs, as the opener knew them when the client submitted the query.
         epochs: Epochs,
-        /// The request, as a process that takes over needs it.
+        /// The client's request, as a process that takes over needs it.
         payload: Arc<[u8]>,
-        /// All that is proposed so far.
+        /// The cumulative proposal.
         proposal: Proposal,
         /// The version of the proposal.
         version: u32,
     },
-    /// Paxos's accept: a version of the proposal under a ballot that was promised or opened. Reply:
-    /// `Accepted`, `Rejected` or `Abstained`.
+    /// Paxos phase 2a (accept): proposes a version under a ballot that was promised or opened. Reply:
+    /// `Accepted`,
+    /// `Rejected` or `Abstained`.
     Accept {
         /// The query.
         id: QueryId,
         /// The ballot.
         ballot: Ballot,
-        /// The incarnations of acceptors that the proposal counts on.
+        /// The acceptor incarnations that the proposal relies on.
         incarnations: Incarnations,
-        /// All that is proposed so far.
+        /// The cumulative proposal.
         proposal: Proposal,
         /// The version of the proposal.
         version: u32,
     },
-    /// Paxos's prepare: asks for a promise, to take the query over. Reply: `Promised`, `Rejected` or
+    /// Paxos phase 1a (prepare): asks for a promise, to take the query over. Reply: `Promised`, `Rejected` or
     /// `Abstained`.
     Prepare {
         /// The query.
@@ -55,7 +56,7 @@
         /// When the query was opened.
         opened_at: OpenedAt,
     },
-    /// A majority has accepted this outcome: the record is kept only to tell it. No reply.
+    /// A majority has accepted this outcome; from now on the record is kept only to report it. No reply.
     Chosen {
         /// The query.
         id: QueryId,
@@ -70,7 +71,7 @@
 }
 
 impl ProposerRequest {
-    /// The query that it is about.
+    /// Returns the query that the message is about.
     #[must_use]
     pub fn id(&self) -> &QueryId {
         match self {
@@ -83,7 +84,7 @@
     }
 }
 
-/// From an acceptor to a proposer.
+/// A reply from an acceptor to a proposer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum AcceptorReply {
     /// This version of the proposal was accepted under this ballot.
@@ -108,7 +109,7 @@
         /// The acceptor's record; `None` if it has never had one.
         record: Option<Record>,
     },
-    /// Another ballot is promised, or the query was opened by another one.
+    /// Another ballot is promised, or the query was opened under another one.
     Rejected {
         /// The query.
         id: QueryId,
@@ -128,19 +129,19 @@
         /// The acceptor's incarnation.
         incarnation: Incarnation,
     },
-    /// The record that was asked for.
+    /// The acceptor's record, in reply to `ReadRecord`.
     RecordRead {
         /// The query.
         id: QueryId,
         /// The record, if there is one.
         record: Option<Record>,
-        /// There is none, and it may have been lost in a restart.
+        /// There is no record, and one may have been lost in a restart.
         possibly_forgotten: bool,
     },
 }
 
 impl AcceptorReply {
-    /// The query that it is about.
+    /// Returns the query that the message is about.
     #[must_use]
     pub fn id(&self) -> &QueryId {
         match self {
@@ -156,12 +157,12 @@
 /// Why an acceptor abstains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum AbstainReason {
-    /// It has restarted, and has not received the records of enough other acceptors.
+    /// It has restarted, and has not yet received the records of enough other acceptors.
     Recovering,
-    /// The proposal counts on an incarnation, this acceptor's own or another's, that is over.
+    /// The proposal relies on an incarnation, of this acceptor or another one, that has ended.
     StaleIncarnation,
-    /// It has no record: the query was never opened here, or has ended and was forgotten.
+    /// It has no record: the query was never opened here, or it ended and its record was removed.
     UnknownQuery,
-    /// It is full of records of queries that have not ended.
+    /// Its record table is full, and no record may be removed yet.
     CapacityExhausted,
 }
--- a/crates/cluster/src/register/proposer.rs
+++ b/crates/cluster/src/register/proposer.rs
@@ -1,5 +1,5 @@
-//! One process that acts for one query, or wants to take it over: its ballot, its proposal and the replies to
-//! it.
+//! The proposer: one process that acts for one query or tries to take it over, with its ballot, its proposal
+//! and the replies of the acceptors.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,39 +10,39 @@
 use crate::fault_injection::{self, Bug};
 use crate::{Incarnation, PeerId};
 
-/// How far a proposer has come.
+/// The phase of a proposer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ProposerPhase {
-    /// It waits for a majority of promises and may do nothing yet.
+    /// It waits for a majority of promises, and may propose nothing yet.
     Preparing,
-    /// It acts for the query: it opened it, or a majority has promised its ballot.
+    /// It acts for the query: it opened the query, or a majority has promised its ballot.
     Active,
-    /// Another ballot was promised: it does nothing new, for good.
+    /// Another ballot was promised: it never proposes anything again.
     Fenced,
 }
 
-/// One process that acts for one query.
+/// One process as the proposer of one query.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposer {
     id: QueryId,
     ballot: Ballot,
     acceptors: Vec<PeerId>,
     phase: ProposerPhase,
-    /// The request: its client's, or the one of the first promise that had it.
+    /// The client's request: the opener's own, or the one from the first promise that had it.
     payload: Arc<[u8]>,
-    /// It opened the query for a client of its own; otherwise it takes it over.
+    /// It opened the query for a client of this process; otherwise it takes the query over.
     is_opener: bool,
-    /// When the query was opened; never changes, whoever takes it over.
+    /// When the query was opened; a takeover does not change it.
     opened_at: OpenedAt,
-    /// Acceptors that promised this ballot, with their incarnations; only replies of these count. For an
-    /// opener, the incarnations that the acceptors are believed to be in.
+    /// Acceptors that promised this ballot, with their incarnations; only their replies are counted. For an
+    /// opener, the last known incarnations of the acceptors.
     promised_by: Incarnations,
     /// Intents of earlier ballots that may have been executed.
     inherited_intents: BTreeSet<AttemptRef>,
-    /// The outcome of the highest earlier ballot; it may have been told to a client.
+    /// The outcome of the highest earlier ballot; it may have been reported to a client.
     inherited_outcome: Option<RecordedOutcome>,
     proposal: Proposal,
-    /// Goes up with each change of the proposal that somebody waits for.
+    /// Incremented with each change of the proposal that has to be accepted before this process can continue.
     version: u32,
     /// The version in which each intent was first proposed.
     intent_versions: BTreeMap<AttemptRef, u32>,
@@ -52,13 +52,13 @@
     pending_outcome: Option<Arc<[u8]>>,
     /// The latest version that each acceptor has accepted.
     accepted_versions: BTreeMap<PeerId, u32>,
-    /// Acceptors that abstained last; they may accept later.
+    /// Acceptors whose last reply was to abstain; they may accept later.
     abstained: BTreeSet<PeerId>,
 }
 
 impl Proposer {
-    /// Opens a query for a client, counting on the incarnations that its acceptors are believed to be in. It
-    /// is active from the start, as far as acceptors accept its opening.
+    /// Creates the proposer that opens a query for a client, relying on the last known incarnations of the
+    /// acceptors. It is active from the start, without a prepare phase.
     #[must_use]
     pub fn open(
         id: QueryId,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Takes a query over: it may do nothing before a majority has promised `ballot`.
+    /// Creates a proposer that takes a query over. It is active once a majority has promised `ballot`.
     #[must_use]
     pub fn prepare(id: QueryId, ballot: Ballot, acceptors: Vec<PeerId>, opened_at: OpenedAt) -> Self {
         Self { opened_at, ..Self::new(id, ballot, acceptors, Arc::from([])) }
@@ -104,31 +104,31 @@
         }
     }
 
-    /// How far it has come.
+    /// Returns its phase.
     #[must_use]
     pub fn phase(&self) -> ProposerPhase {
         self.phase
     }
 
-    /// Its ballot.
+    /// Returns its ballot.
     #[must_use]
     pub fn ballot(&self) -> Ballot {
         self.ballot
     }
 
-    /// When the query was opened.
+    /// Returns when the query was opened.
     #[must_use]
     pub fn opened_at(&self) -> &OpenedAt {
         &self.opened_at
     }
 
-    /// The version of its proposal: goes up with each change that somebody waits for.
+    /// Returns the version of its proposal.
     #[must_use]
     pub fn version(&self) -> u32 {
         self.version
     }
 
-    /// The request; empty if no acceptor that promised has it.
+    /// Returns the client's request; empty if no acceptor that promised has it.
     #[must_use]
     pub fn payload(&self) -> &Arc<[u8]> {
         &self.payload
@@ -146,14 +146,13 @@
         !self.inherited_intents.is_empty()
     }
 
-    /// An outcome of an earlier ballot, which has to be proposed in the place of any other.
+    /// Returns the outcome of an earlier ballot, which has to be proposed instead of any other.
     #[must_use]
     pub fn inherited_outcome(&self) -> Option<&Arc<[u8]>> {
         self.inherited_outcome.as_ref().map(|recorded| &recorded.outcome)
     }
 
-    /// The acceptors that have not promised, or not accepted the present version; requests to them may be
-    /// sent again.
+    /// Returns the acceptors that have not promised, or not accepted the current version.
     #[must_use]
     pub fn pending_acceptors(&self) -> Vec<PeerId> {
         let is_pending = |acceptor: &&PeerId| match self.phase {
@@ -166,7 +165,7 @@
         self.acceptors.iter().filter(is_pending).copied().collect()
     }
 
-    /// The request that an acceptor is to get now.
+    /// Returns the request to send to an acceptor now.
     #[must_use]
     pub fn request_for(&self, acceptor: PeerId) -> Option<ProposerRequest> {
         match self.phase {
@@ -181,7 +180,7 @@
                 proposal: self.proposal.clone(),
                 version: self.version,
             }),
-            // An acceptor accepts nothing under a ballot that it has not promised.
+            // An acceptor accepts no proposal under a ballot that it has not promised.
             ProposerPhase::Active if !self.promised_by.contains_key(&acceptor) => {
                 Some(self.prepare_request())
             }
@@ -200,9 +199,9 @@
         ProposerRequest::Prepare { id, ballot: self.ballot, opened_at }
     }
 
-    /// Proposes the intent to send an attempt; it may be sent once [`Proposer::is_permitted`] says so. `None`
-    /// if it never may be: an attempt of the same part under an earlier ballot may have been executed, the
-    /// query has an outcome, or this process does not act for it.
+    /// Proposes the intent to send an attempt, which may be sent once [`Proposer::is_permitted`] is true.
+    /// Returns `None` if it must never be sent: an attempt of the same part under an earlier ballot may have
+    /// been executed, the query has an outcome, or this process does not act for it.
     pub fn propose_intent(&mut self, part: u32, attempt: u32) -> Option<AttemptRef> {
         let has_ended = self.outcome_version.is_some() || self.inherited_outcome.is_some();
         if self.phase != ProposerPhase::Active || has_ended || self.may_have_executed(part) {
@@ -216,20 +215,20 @@
         Some(intent)
     }
 
-    /// Notes that an attempt was never executed. Nobody waits for that: it goes along with the next version.
+    /// Marks an attempt as not executed. This creates no new version: it is sent with the next one.
     pub fn mark_not_executed(&mut self, intent: AttemptRef) {
         if self.phase == ProposerPhase::Active && self.proposal.intents.contains(&intent) {
             self.proposal.not_executed.insert(intent);
         }
     }
 
-    /// Notes attempts of this process's own earlier ballots that were never sent.
+    /// Marks attempts under this process's own earlier ballots that were never sent as not executed.
     pub fn inherit_not_executed(&mut self, unsent: impl IntoIterator<Item = AttemptRef>) {
         self.proposal.not_executed.extend(unsent);
     }
 
-    /// The last requests of a fenced proposer, to the acceptors that accepted its proposal: it does nothing
-    /// more, and `unsent`, the attempts that were proposed and never permitted, were not executed.
+    /// Returns the last requests of a fenced proposer: it gives its ballot up, and `unsent`, the attempts
+    /// that were proposed and never permitted, were not executed.
     pub fn relinquish(
         &mut self,
         unsent: impl IntoIterator<Item = AttemptRef>,
@@ -249,12 +248,12 @@
         self.acceptors.iter().map(request).collect()
     }
 
-    /// Proposes how the query ended. An outcome of an earlier ballot is proposed in its place, since it may
-    /// have been told to a client.
+    /// Proposes an outcome. An outcome of an earlier ballot is proposed instead, since it may have been
+    /// reported to a client.
     ///
-    /// An opener proposes no outcome before a majority has accepted its opening: several processes may open
-    /// one id at once without a prepare phase, a majority accepts the opening of one of them at most, and so
-    /// no two outcomes of round 0 can ever stand beside each other.
+    /// An opener proposes no outcome before a majority has accepted its `Open` request. Several processes may
+    /// open one id at once without a prepare phase, but a majority accepts at most one of them, so there are
+    /// never two outcomes of round 0.
     pub fn propose_outcome(&mut self, outcome: Arc<[u8]>) {
         if self.phase != ProposerPhase::Active || self.outcome_version.is_some() {
             return;
@@ -275,7 +274,7 @@
         self.intent_versions.get(&intent).is_some_and(|version| self.is_accepted_by_majority(*version))
     }
 
-    /// The outcome, once a majority has accepted it and it may be told.
+    /// Returns the outcome once a majority has accepted it, so that it may be reported.
     #[must_use]
     pub fn chosen_outcome(&self) -> Option<&Arc<[u8]>> {
         self.outcome_version.filter(|version| self.is_accepted_by_majority(*version))?;
@@ -292,26 +291,26 @@
         2 * count > self.acceptors.len()
     }
 
-    /// Whether so many acceptors abstained that there is no majority for now.
+    /// Whether too many acceptors abstained for a majority at present.
     #[must_use]
     pub fn lacks_quorum(&self) -> bool {
         !self.is_majority(self.acceptors.len() - self.abstained.len())
     }
 
-    /// Whether an acceptor is known to have accepted any version.
+    /// Whether any acceptor is known to have accepted a version.
     #[must_use]
     pub fn is_accepted_anywhere(&self) -> bool {
         !self.accepted_versions.is_empty()
     }
 
-    /// Whether this acceptor is known to have accepted any version.
+    /// Whether this acceptor is known to have accepted a version.
     #[must_use]
     pub fn has_accepted(&self, acceptor: PeerId) -> bool {
         self.accepted_versions.contains_key(&acceptor)
     }
 
-    /// An acceptor's reply has come. Gives back that acceptor's record if it rejected the ballot: this
-    /// proposer is fenced from then on.
+    /// Handles an acceptor's reply. If the acceptor rejected the ballot, this proposer is fenced from then
+    /// on, and the acceptor's record is returned.
     pub fn handle_reply(&mut self, from: PeerId, reply: AcceptorReply) -> Option<Record> {
         if !self.acceptors.contains(&from) || self.phase == ProposerPhase::Fenced {
             return None;
@@ -340,7 +339,8 @@
     }
 
     fn accepted(&mut self, from: PeerId, incarnation: Incarnation, version: u32) {
-        // Only in the incarnation that was counted on: another one may have forgotten.
+        // Only the incarnation that the proposal relies on counts: another one may have forgotten its
+        // promise.
         if self.promised_by.get(&from) != Some(&incarnation) {
             return;
         }
@@ -353,22 +353,23 @@
     }
 
     fn promised(&mut self, from: PeerId, incarnation: Incarnation, record: Option<Record>) {
-        // A second promise by a later incarnation counts for nothing: the proposal counts on the first one.
+        // A second promise, by a later incarnation, is ignored: the proposal relies on the first one.
         if self.promised_by.contains_key(&from) {
             return;
         }
         self.promised_by.insert(from, incarnation);
         self.abstained.remove(&from);
         if self.phase != ProposerPhase::Preparing {
-            // The first majority's records count: what only a later one has was never permitted and never
-            // told, and an outcome that is found after an attempt was sent would be untrue.
+            // Only the records of the first majority are inherited: an intent or outcome that only a later
+            // record has was never permitted or reported, and adopting an outcome after an attempt was sent
+            // would report a wrong one.
             return;
         }
         if let Some(record) = record {
             self.inherit(record);
         }
         let majority = self.is_majority(self.promised_by.len())
-            || fault_injection::is_injected(Bug::AdoptWithoutAMajority);
+            || fault_injection::is_injected(Bug::TakeOverWithoutMajority);
         if majority {
             self.phase = ProposerPhase::Active;
             self.proposal.intents.extend(&self.inherited_intents);
@@ -376,14 +377,14 @@
         }
     }
 
-    /// Takes over what an acceptor that promised knows of earlier ballots.
+    /// Inherits the state under earlier ballots from the record in a promise.
     fn inherit(&mut self, record: Record) {
         if self.payload.is_empty() {
             self.payload = record.payload;
         }
         let earlier = record.intents.iter().filter(|intent| intent.ballot != self.ballot);
         self.inherited_intents.extend(earlier);
-        // A fact that one acceptor knows counts for all.
+        // One acceptor's knowledge that an attempt was not executed is sufficient.
         self.proposal.not_executed.extend(&record.not_executed);
         let not_executed = &self.proposal.not_executed;
         self.inherited_intents.retain(|intent| !not_executed.contains(intent));
--- a/crates/cluster/src/register/record.rs
+++ b/crates/cluster/src/register/record.rs
@@ -1,5 +1,5 @@
-//! What an acceptor stores of one query, and how a proposal, an outcome or another acceptor's record is
-//! merged into it.
+//! The record that an acceptor stores of one query, and how proposals, outcomes and other acceptors' records
+//! are merged into it.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,36 +8,36 @@
 
 use super::ballot::{AttemptRef, Ballot, OpenedAt};
 
-/// Leading bytes of a payload that tell two different requests under one id apart.
+/// Length of the digest at the start of a payload, which distinguishes different requests under one id.
 const PAYLOAD_DIGEST_BYTES: usize = 8;
-/// Bytes of memory that a record is counted with beside its payload, outcome and attempts.
+/// Estimated bytes of memory of a record without its payload, outcome and attempts.
 const RECORD_OVERHEAD_BYTES: usize = 256;
-/// Bytes of memory that an attempt in a record is counted with.
+/// Estimated bytes of memory of an attempt in a record.
 const ATTEMPT_BYTES: usize = 16;
 
-/// An acceptor's record of one query. Stored and sent by the order of its fields.
+/// An acceptor's record of one query. The encoding depends on the order of the fields.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// The highest ballot that was promised; proposals under any other are rejected.
+    /// The highest promised ballot; proposals under any other are rejected.
     pub promised: Ballot,
-    /// The request, as a process that takes over needs it to run it; its first bytes are a digest of it. Cut
-    /// down to that digest once an outcome is chosen.
+    /// The client's request, as a process that takes over needs it, preceded by a digest. Truncated to the
+    /// digest once an outcome is chosen.
     pub payload: Arc<[u8]>,
     /// Attempts that may have been sent.
     pub intents: BTreeSet<AttemptRef>,
-    /// Those of the intents that are known never to have been executed.
+    /// The intents that are known not to have been executed.
     pub not_executed: BTreeSet<AttemptRef>,
-    /// The outcome that was accepted last.
+    /// The last accepted outcome.
     pub outcome: Option<RecordedOutcome>,
-    /// The outcome is known to be accepted by a majority; it never changes from then on.
+    /// A majority is known to have accepted the outcome; it never changes from then on.
     pub chosen: bool,
-    /// The proposer of the promised ballot has said that it does nothing more under it.
+    /// The proposer of the promised ballot has given that ballot up.
     pub relinquished: bool,
     /// When the query was opened.
     pub opened_at: OpenedAt,
 }
 
-/// An outcome, and the ballot under which it was accepted. The one of the higher ballot counts.
+/// An outcome, and the ballot under which it was accepted. The one with the higher ballot takes precedence.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RecordedOutcome {
     /// The ballot under which it was accepted.
@@ -46,22 +46,22 @@
     pub outcome: Arc<[u8]>,
 }
 
-/// What a proposer has written so far. Each request carries all of it, so that a lost, repeated or late copy
-/// is harmless. Sent by the order of its fields.
+/// The cumulative proposal of a proposer. Each request carries all of it, so that lost, duplicated and late
+/// requests are harmless. The encoding depends on the order of the fields.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Proposal {
     /// Attempts that are about to be sent.
     pub intents: BTreeSet<AttemptRef>,
-    /// Attempts that were never executed.
+    /// Attempts that are known not to have been executed.
     pub not_executed: BTreeSet<AttemptRef>,
     /// How the query ended.
     pub outcome: Option<Arc<[u8]>>,
-    /// The proposer does nothing more under its ballot.
+    /// The proposer has given its ballot up.
     pub relinquished: bool,
 }
 
 impl Record {
-    /// The record of a query of which nothing has been accepted.
+    /// Creates the record of a query for which nothing has been accepted.
     pub(super) fn new(promised: Ballot, payload: Arc<[u8]>, opened_at: OpenedAt) -> Self {
         Self {
             promised,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Accepts a proposal under `ballot`. A chosen outcome stays.
+    /// Accepts a proposal under `ballot`. A chosen outcome is not replaced.
     pub(super) fn accept(&mut self, ballot: Ballot, proposal: &Proposal) {
         self.intents.extend(&proposal.intents);
         self.not_executed.extend(&proposal.not_executed);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Takes over another acceptor's record of the same query: facts add up, the highest promise counts.
+    /// Merges another acceptor's record of the same query: intents accumulate, and the highest promise wins.
     pub(super) fn merge(&mut self, theirs: Record) {
         if theirs.promised > self.promised {
             (self.promised, self.relinquished) = (theirs.promised, theirs.relinquished);
@@ -95,13 +95,13 @@
         if self.chosen {
             return;
         }
-        // A chosen outcome counts, whatever else was accepted anywhere.
+        // A chosen outcome takes precedence over any other that was accepted.
         self.outcome = if theirs.chosen { theirs.outcome } else { self.outcome.take().max(theirs.outcome) };
         self.chosen = theirs.chosen;
     }
 
-    /// Notes that `outcome` was accepted by a majority. The query is not run again, so only the payload's
-    /// digest stays.
+    /// Records that a majority has accepted `outcome`. The query will not be run again, so only the digest of
+    /// the payload is kept.
     pub(super) fn choose(&mut self, outcome: Arc<[u8]>) {
         self.outcome = Some(RecordedOutcome { ballot: self.promised, outcome });
         self.chosen = true;
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Bytes of memory that the record is counted with.
+    /// Returns the estimated memory of the record, in bytes.
     pub(super) fn memory_bytes(&self) -> usize {
         let outcome = self.outcome.as_ref().map_or(0, |recorded| recorded.outcome.len());
         let attempts = self.intents.len() + self.not_executed.len();
@@ -118,7 +118,7 @@
     }
 }
 
-/// The bytes of a payload that tell two different requests under one id apart.
+/// Returns the digest at the start of a payload, which distinguishes different requests under one id.
 pub(crate) fn payload_digest(payload: &[u8]) -> &[u8] {
     &payload[..payload.len().min(PAYLOAD_DIGEST_BYTES)]
 }
--- a/crates/cluster/src/takeover/client_requests.rs
+++ b/crates/cluster/src/takeover/client_requests.rs
@@ -84,7 +84,7 @@
     pub fn query_ended(&mut self, now: Micros, id: &QueryId, end: QueryEnd) {
         let Some(query) = self.queries.get_mut(id) else { return };
         query.pending_permits.clear();
-        if fault_injection::is_injected(Bug::AnswerBeforeTheRecord) && query.has_local_clients {
+        if fault_injection::is_injected(Bug::RespondBeforeRecord) && query.has_local_clients {
             self.actions.push(Action::QueryEnded { id: Arc::clone(id), end: end.clone() });
         }
         query.end = Some(end);
--- a/crates/cluster/src/takeover/proposals.rs
+++ b/crates/cluster/src/takeover/proposals.rs
@@ -73,7 +73,7 @@
         let last_requests = proposer.relinquish(permits.iter().map(|permit| permit.intent));
         (query.resend_at, query.resends) = (now + OUTCOME_POLL_INTERVAL, 0);
         let (has_local_clients, payload) = (query.has_local_clients, Arc::clone(&query.payload));
-        if fault_injection::is_injected(Bug::SendAfterTheFence) {
+        if fault_injection::is_injected(Bug::SendAfterFencing) {
             permits.iter().for_each(|permit| self.decide_permit(id, *permit, true));
         }
         self.deny_permits(id, permits);
--- a/crates/cluster/src/takeover/query_state.rs
+++ b/crates/cluster/src/takeover/query_state.rs
@@ -124,7 +124,7 @@
         let mut granted = Vec::new();
         self.pending_permits.retain(|permit| {
             let is_granted =
-                proposer.is_permitted(permit.intent) || fault_injection::is_injected(Bug::SkipTheIntent);
+                proposer.is_permitted(permit.intent) || fault_injection::is_injected(Bug::SendWithoutIntent);
             if is_granted {
                 granted.push(*permit);
             }
