--- a/crates/cluster/src/connections/handshake.rs
+++ b/crates/cluster/src/connections/handshake.rs
@@ -1,14 +1,14 @@
-//! The handshake: what each side says first on a connection, and whether the other side takes it for a peer.
+//! The handshake: the hello that each side sends first on a connection, and its verification.
 
 use crate::membership::{MemberState, MemberUpdate, SuspicionEvidence};
 use crate::{Incarnation, PeerId};
 
 /// Major version of the messages between peers. Another major version is rejected.
 pub const MAJOR: u32 = 1;
-/// Minor version of the messages between peers. A higher one only adds what an older build may ignore.
+/// Minor version of the messages between peers. A higher one only adds data that an older build may ignore.
 pub const MINOR: u32 = 0;
 
-/// What each side says first on a connection.
+/// The first message of each side on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Hello {
     /// Major version of the sender's messages.
@@ -27,11 +27,11 @@
     pub refutation: u32,
     /// The sender is shutting down.
     pub leaving: bool,
-    /// Key of the update that the sender has of the receiver, if it knows the receiver already.
+    /// Key of the sender's highest update about the receiver, if it has one.
     pub known: Option<(Incarnation, u32, MemberState)>,
 }
 
-/// Why a hello is rejected. The texts go into logs and to the other side.
+/// Why a hello is rejected. The texts are logged and sent to the other side.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HandshakeError {
     /// The sender's messages are of another major version.
@@ -40,32 +40,33 @@
     /// The sender's name is not in the list.
     #[error("{0:.40?} is not in the list of peers")]
     UnknownPeer(String),
-    /// The sender has the name of this process.
+    /// The sender uses this process's name.
     #[error("it has this gatherer's own name")]
     OwnName,
-    /// Another peer was dialed.
+    /// The sender is not the peer that was dialed.
     #[error("it calls itself {0:.40?}")]
     WrongPeer(String),
     /// The sender's list is of another version.
     #[error("its list of peers is of version {0}")]
     ListVersion(u64),
-    /// The sender's list has the same version and other names.
+    /// The sender's list has the same version, but different names.
     #[error("its list of peers has the same version and other names")]
     ListNames,
-    /// A later incarnation of the sender's name is known.
+    /// A later incarnation of the sender is known.
     #[error("a later life of it is known, {0}")]
     Superseded(Incarnation),
 }
 
 impl HandshakeError {
-    /// Whether trying again soon can help: a process that learned of its earlier incarnation goes above it.
+    /// Whether an early retry can succeed: a process that learns of its earlier incarnation raises its own
+    /// above it.
     #[must_use]
     pub fn is_transient(&self) -> bool {
         matches!(self, Self::Superseded(_))
     }
 }
 
-/// The fixed list of peers, and this process's place in it.
+/// The fixed list of peers, and this process's index in it.
 #[derive(Clone, Debug)]
 pub struct PeerList {
     names: Vec<String>,
@@ -75,7 +76,7 @@
 }
 
 impl PeerList {
-    /// The peers' names in the list's order, this process's place in it, and the list's version.
+    /// Creates a list from the peers' names in order, this process's index, and the list's version.
     #[must_use]
     pub fn new(names: Vec<String>, me: PeerId, version: u64) -> Self {
         let bytes = names.iter().flat_map(|name| name.bytes().chain([0]));
@@ -83,19 +84,19 @@
         Self { names, me, version, digest }
     }
 
-    /// A peer's name.
+    /// Returns a peer's name.
     #[must_use]
     pub fn name(&self, peer: PeerId) -> &str {
         self.names.get(usize::from(peer.0)).map_or("?", String::as_str)
     }
 
-    /// This process.
+    /// Returns this process's id.
     #[must_use]
     pub fn me(&self) -> PeerId {
         self.me
     }
 
-    /// Peers in the list, this process included.
+    /// Returns the number of peers in the list, including this process.
     #[must_use]
     pub fn len(&self) -> usize {
         self.names.len()
@@ -107,12 +108,13 @@
         self.names.is_empty()
     }
 
-    /// All peers of the list, this process included.
+    /// Returns all peers of the list, including this process.
     pub fn peers(&self) -> impl Iterator<Item = PeerId> {
         (0..self.names.len()).filter_map(|index| u16::try_from(index).ok()).map(PeerId)
     }
 
-    /// This side's hello; `known` is what is known of the receiver, if it is known who that is.
+    /// Returns this side's hello; `known` is the highest update about the receiver, if the receiver is
+    /// identified and has one.
     #[must_use]
     pub fn hello(&self, own: &MemberUpdate, known: Option<MemberUpdate>) -> Hello {
         Hello {
@@ -128,13 +130,13 @@
         }
     }
 
-    /// The peer that says this hello, as far as the list can tell; `dialed` is the peer that this side has
-    /// dialed.
+    /// Checks a hello against the list and returns its sender; `dialed` is the peer that this side dialed, if
+    /// any.
     ///
     /// # Errors
-    /// The hello does not fit the list, the versions or the peer that was dialed.
+    /// The hello does not match the list, the versions or the dialed peer.
     pub fn verify(&self, hello: &Hello, dialed: Option<PeerId>) -> Result<PeerId, HandshakeError> {
-        // Nothing else of another major version can be relied on.
+        // The other fields of a hello are only defined within a major version.
         if hello.major != MAJOR {
             return Err(HandshakeError::UnsupportedVersion(hello.major));
         }
@@ -155,7 +157,7 @@
         Ok(peer)
     }
 
-    /// What a peer's hello says of the peer itself, and of this process.
+    /// Returns the updates that a peer's hello contains: about the peer itself, and about this process.
     #[must_use]
     pub fn hello_updates(&self, peer: PeerId, hello: &Hello) -> (MemberUpdate, Option<MemberUpdate>) {
         let state = if hello.leaving { MemberState::Left } else { MemberState::Alive };
@@ -172,7 +174,7 @@
     }
 }
 
-/// Checks that the process that says this hello is the latest that is known under its name.
+/// Checks that no later incarnation of the sender of this hello is known.
 ///
 /// # Errors
 /// A later incarnation is known.
--- a/crates/cluster/src/connections/limits.rs
+++ b/crates/cluster/src/connections/limits.rs
@@ -1,42 +1,42 @@
-//! What connections to peers may hold, from the sockets and the memory that the process may.
+//! The limits of connections to peers, derived from the sockets and the memory of the process.
 
-/// Connections whose handshake is not complete, at the most.
+/// Greatest number of connections with an incomplete handshake.
 const MAX_UNIDENTIFIED: usize = 8;
-/// One part in so many of the process's sockets is for peers.
+/// One in this many of the process's sockets is for peers.
 const SOCKET_SHARE: usize = 4;
-/// One part in so many of the process's memory is for connections to peers, and as much for records.
+/// One in this many bytes of the process's memory is for connections to peers, and as many again for records.
 const MEMORY_SHARE: usize = 16;
-/// Bytes that a record of a query is reckoned with.
+/// Estimated bytes of memory of a query's record.
 const RECORD_BYTES: usize = 2048;
-/// The least bound on a message, in bytes: 64 updates of up to 64 bytes have to fit.
+/// Lower bound of the message size limit, in bytes: 64 updates of up to 64 bytes have to fit.
 const MIN_MESSAGE_BYTES: usize = 8192;
-/// The greatest bound on a message, in bytes.
+/// Upper bound of the message size limit, in bytes.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024;
-/// Messages that are taken from one connection in one iteration of the event loop.
+/// Messages read from one connection in one event-loop iteration.
 const MESSAGES_PER_ITERATION: usize = 256;
-/// Messages that are taken from one connection in a second, unless the settings say otherwise.
+/// Default limit on messages read from one connection per second.
 const MESSAGES_PER_SECOND: u64 = 20_000;
 
-/// What connections to peers may hold.
+/// The limits of connections to peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerConnectionLimits {
-    /// Connections whose handshake is not complete.
+    /// Connections with an incomplete handshake.
     pub unidentified: usize,
-    /// Sockets for all of it: connections to peers, unidentified ones and the listener.
+    /// Sockets needed for connections to peers, unidentified connections and the listener.
     pub sockets_needed: usize,
-    /// The longest message, in bytes.
+    /// Message size, in bytes.
     pub message_bytes: usize,
-    /// Bytes that wait to be sent on one connection.
+    /// Outbound queue of one connection, in bytes.
     pub queue_bytes: usize,
-    /// Records of queries that are kept as an acceptor.
+    /// Records stored as an acceptor.
     pub records: usize,
-    /// Messages taken from one connection in one iteration of the event loop.
+    /// Messages read from one connection in one event-loop iteration.
     pub messages_per_iteration: usize,
-    /// Messages taken from one connection in a second.
+    /// Messages read from one connection per second.
     pub messages_per_second: u64,
 }
 
-/// Why the process's own limits are too low for its peers. The texts go to the operator.
+/// Why the process's limits are too low for its peers. The texts are shown to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LimitsError {
     /// Too few sockets.
@@ -44,7 +44,7 @@
     Sockets {
         /// Peers in the list.
         peers: usize,
-        /// The least number of sockets.
+        /// The least sufficient value of `limits.sockets`.
         wanted: usize,
     },
     /// Too little memory.
@@ -56,11 +56,11 @@
 }
 
 impl PeerConnectionLimits {
-    /// The limits for a list of so many peers in a process that may hold so many sockets and bytes of memory.
-    /// A connection holds its queue and two of the longest messages.
+    /// Derives the limits for a number of peers from the process's limits on sockets and memory (in bytes). A
+    /// connection uses up to the size of its queue and of two messages.
     ///
     /// # Errors
-    /// The process may hold too little.
+    /// The process's limits are too low for that many peers.
     pub fn of(peers: usize, sockets: usize, memory: usize) -> Result<Self, LimitsError> {
         let unidentified = MAX_UNIDENTIFIED.min(peers.max(2));
         let sockets_needed = peers.saturating_sub(1) + unidentified + 1;
--- a/crates/cluster/src/connections/mod.rs
+++ b/crates/cluster/src/connections/mod.rs
@@ -1,7 +1,7 @@
-//! Connections between peers: who may be connected, who dials whom and when, and what connections may hold.
+//! Connections between peers: the handshake, the schedule of dials, and the limits of connections.
 //!
-//! There is one connection a pair: the peer earlier in the list dials, the later one waits, so that two never
-//! open two.
+//! Each pair of peers has one connection. The peer earlier in the list dials and the later one listens, so
+//! that a pair never opens two.
 
 mod dial_scheduler;
 mod handshake;
--- a/crates/cluster/src/inbound_rate_limit.rs
+++ b/crates/cluster/src/inbound_rate_limit.rs
@@ -1,11 +1,12 @@
-//! How fast a peer's messages are taken: a token bucket. What comes faster waits in the peer's own socket.
+//! A token bucket that limits the rate of messages read from a peer. Messages beyond it wait in the peer's
+//! own socket (TCP back-pressure).
 
 use crate::Micros;
 
-/// Tokens are counted in millionths of a message, so that a microsecond gains `rate` of them.
+/// Tokens are counted in millionths of a message, so that each microsecond adds `rate` of them.
 const MICROTOKENS: u64 = 1_000_000;
-/// A connection whose bucket is empty is looked at again after so many microseconds, for several messages at
-/// once.
+/// Wait before a connection with an empty bucket is read again, in microseconds. It is long enough to read
+/// several messages at once.
 const RETRY_INTERVAL: Micros = 20_000;
 
 fn microtokens(messages: u64) -> i64 {
@@ -15,21 +16,21 @@
 /// The token bucket of one connection.
 #[derive(Debug)]
 pub struct InboundRateLimit {
-    /// Messages in a second, and at once.
+    /// Messages per second, and the capacity of the bucket.
     rate: u64,
-    /// Below zero after a batch that held more messages than there were tokens.
+    /// Negative after a batch with more messages than there were tokens.
     microtokens: i64,
     refilled_at: Micros,
 }
 
 impl InboundRateLimit {
-    /// Takes `rate` messages a second, and as many at once.
+    /// Creates a full bucket for `rate` messages per second, with a burst of the same number.
     #[must_use]
     pub fn new(now: Micros, rate: u64) -> Self {
         Self { rate, microtokens: microtokens(rate), refilled_at: now }
     }
 
-    /// Takes a message, unless it comes too fast.
+    /// Admits a message if there is a token for it.
     pub fn admit(&mut self, now: Micros) -> bool {
         let elapsed = now.saturating_sub(self.refilled_at);
         self.refilled_at = now;
@@ -42,12 +43,12 @@
         is_admitted
     }
 
-    /// A message that was taken held so many more.
+    /// Charges further messages that an admitted message contained.
     pub fn charge(&mut self, messages: u64) {
         self.microtokens = self.microtokens.saturating_sub(microtokens(messages));
     }
 
-    /// When there are tokens for several messages again.
+    /// Returns when to read again after a message was not admitted.
     #[must_use]
     pub fn retry_at(&self) -> Micros {
         self.refilled_at + RETRY_INTERVAL
--- a/crates/cluster/src/membership/updates.rs
+++ b/crates/cluster/src/membership/updates.rs
@@ -12,7 +12,7 @@
 /// Lifeguard's curve log(c + 1) / log(k + 1) for c independent confirmations and k = 2, in thousandths of the
 /// difference between the longest and the shortest suspicion time-out.
 const CONFIRMATION_CURVE: [Micros; 3] = [0, 631, 1000];
-/// The shortest suspicion time-out is the longest one over this.
+/// The shortest suspicion time-out is the longest one divided by this.
 const SHORTEST_TIMEOUT_DIVISOR: Micros = 3;
 
 impl Membership {
--- a/crates/cluster/src/register/mod.rs
+++ b/crates/cluster/src/register/mod.rs
@@ -30,7 +30,7 @@
 //! forgotten.
 //!
 //! If all acceptors restart at once, none of them remembers anything, and they abstain for twice the longest
-//! lifetime of a query. This is the only rule of the register that depends on time. It protects against a
+//! lifetime of a query. This is the register's only wait. It protects against a
 //! query that is submitted *again* under its old id (a client that retries later than that breaks its
 //! contract), not against side effects of former proposers: these are fenced by incarnations.
 
--- a/crates/cluster/src/takeover/actions.rs
+++ b/crates/cluster/src/takeover/actions.rs
@@ -1,4 +1,4 @@
-//! What the takeover manager is asked to do for clients, and what it wants done.
+//! The inputs of the takeover manager on behalf of clients, and its actions.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use crate::register::QueryId;
 use crate::{Micros, PeerId};
 
-/// What is to be done by the program.
+/// An action for the caller to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a message to a peer.
@@ -17,7 +17,7 @@
         /// The message.
         message: Box<Message>,
     },
-    /// An attempt may be sent, or never may be.
+    /// Send an attempt, or never send it.
     PermitDecided {
         /// The query.
         id: QueryId,
@@ -28,20 +28,20 @@
         /// Whether it may be sent.
         granted: bool,
     },
-    /// Tell the clients that wait here how a query ended.
+    /// Report the outcome of a query to its clients here.
     QueryEnded {
         /// The query.
         id: QueryId,
         /// How it ended.
         end: QueryEnd,
     },
-    /// Another instance acts for this query: do nothing more for it here, and keep its clients until it has
-    /// ended.
+    /// Another instance acts for this query: stop running it here, and keep its clients waiting for the
+    /// outcome.
     OwnedByPeer {
         /// The query.
         id: QueryId,
     },
-    /// Another request was submitted under the same id.
+    /// A different request was submitted under the same id.
     RequestIdConflict {
         /// The query.
         id: QueryId,
@@ -50,40 +50,40 @@
     TakeOver {
         /// The query.
         id: QueryId,
-        /// The request.
+        /// The client's request.
         payload: Arc<[u8]>,
         /// Microseconds since this process learned of the query.
         age: Micros,
     },
-    /// No majority of the query's acceptors was reached in the time that its clients have.
+    /// The outcome is unknown: no majority of the query's acceptors was reached in time.
     OutcomeUnknown {
         /// The query.
         id: QueryId,
-        /// No attempt was executed, and none will be: clients may be told that it was rejected.
+        /// No attempt was executed, and none will be: the query may be reported as rejected.
         not_executed: bool,
     },
 }
 
-/// A query that a client has submitted here.
+/// A query that a client submitted to this instance.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientRequest<'a> {
     /// The query.
     pub id: &'a QueryId,
-    /// The request, as another instance needs it to run it; begins with an eight-byte digest of it.
+    /// The request, as another instance needs it, preceded by an eight-byte digest.
     pub payload: &'a Arc<[u8]>,
-    /// When its client stops waiting.
+    /// The client's deadline.
     pub deadline: Micros,
-    /// The client says that it has not submitted the query before, so that no other instance has seen it.
+    /// The client declares that it has not submitted the query before, so no other instance has seen it.
     pub is_first_attempt: bool,
 }
 
-/// What is being done here for a query.
+/// The state of a query at this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestState {
-    /// Nothing.
+    /// This process does nothing for it.
     Unknown,
-    /// This process runs it: for a client of its own, or taken over.
+    /// This process runs it, for a client here or after a takeover.
     Running,
-    /// It is being taken over, or its outcome is awaited; nothing may be run for it.
+    /// It is being taken over, or its outcome is awaited; no attempt may be sent for it.
     AwaitingOutcome,
 }
--- a/crates/cluster/src/takeover/client_requests.rs
+++ b/crates/cluster/src/takeover/client_requests.rs
@@ -1,4 +1,4 @@
-//! What the program asks for on behalf of the clients of this process.
+//! The calls of the program on behalf of this process's clients.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::Micros;
 
 impl TakeoverManager {
-    /// Opens a query for a client here, unless something is done for it already.
+    /// Opens a query for a client here, unless this process already has state for it.
     fn open(&mut self, now: Micros, request: ClientRequest) {
         let ClientRequest { id, payload, deadline, is_first_attempt } = request;
         if self.queries.get(id).is_some() {
@@ -31,12 +31,12 @@
         self.queries.insert(id, query);
     }
 
-    /// An attempt is about to be sent; [`Action::PermitDecided`] says whether it may be.
+    /// Requests the permit to send an attempt. [`Action::PermitDecided`] reports the decision.
     pub fn request_permit(&mut self, now: Micros, request: ClientRequest, part: u32, attempt: u32) {
         self.open(now, request);
         let id = request.id;
         let Some(query) = self.queries.get_mut(id) else { return };
-        // A permit after an end was proposed would make that end untrue.
+        // A permit after the query has ended here would contradict the outcome that is proposed.
         let proposer = query.proposer.as_mut().filter(|_| query.end.is_none());
         let Some(intent) = proposer.and_then(|proposer| proposer.propose_intent(part, attempt)) else {
             let denied = Action::PermitDecided { id: Arc::clone(id), part, attempt, granted: false };
@@ -48,10 +48,10 @@
         self.advance(now, id);
     }
 
-    /// A query that a client has submitted before is rejected here, and nothing was sent for it. Its client
-    /// may be told that nothing was executed only once no other instance can execute it: `NotExecuted` is
-    /// proposed as the outcome, and whichever outcome is chosen is told. Without a majority nothing is known,
-    /// and the client hears that soon.
+    /// Handles a rejected query that its client had submitted before, and for which nothing was sent here.
+    /// The client may be told that nothing was executed only once no other instance can execute it. So
+    /// `NotExecuted` is proposed as the outcome, and whichever outcome is chosen is reported. If no majority
+    /// is reached within [`PERMIT_TIMEOUT`], the outcome is reported as unknown.
     pub fn reject(&mut self, now: Micros, request: ClientRequest) {
         self.open(now, request);
         let Some(query) = self.queries.get_mut(request.id) else { return };
@@ -61,7 +61,8 @@
         self.advance(now, request.id);
     }
 
-    /// One more client here waits for a query, until `deadline`; `false` if nothing is done for it.
+    /// Adds a client here that waits for a query's outcome until `deadline`. Returns `false` if this process
+    /// has no state for the query.
     pub fn await_outcome(&mut self, id: &str, deadline: Micros) -> bool {
         let Some(query) = self.queries.get_mut(&Arc::from(id)) else { return false };
         query.has_local_clients = true;
@@ -69,7 +70,7 @@
         true
     }
 
-    /// An attempt that was permitted, or waits for that, was never executed and will not be sent.
+    /// Marks an attempt, permitted or waiting for its permit, that was not executed and will not be sent.
     pub fn mark_not_executed(&mut self, id: &str, part: u32, attempt: u32) {
         let Some(query) = self.queries.get_mut(&Arc::from(id)) else { return };
         query.any_revoked = true;
@@ -80,7 +81,7 @@
         }
     }
 
-    /// The query has ended here. [`Action::QueryEnded`] says which outcome was chosen.
+    /// Handles the end of a query that ran here. [`Action::QueryEnded`] reports which outcome was chosen.
     pub fn query_ended(&mut self, now: Micros, id: &QueryId, end: QueryEnd) {
         let Some(query) = self.queries.get_mut(id) else { return };
         query.pending_permits.clear();
--- a/crates/cluster/src/takeover/decisions.rs
+++ b/crates/cluster/src/takeover/decisions.rs
@@ -1,4 +1,4 @@
-//! Whether and when this process, as an acceptor, tries to take a query over.
+//! Decides whether and when this process, as an acceptor, tries to take a query over.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,18 +8,17 @@
 use crate::register::{Proposer, ProposerRequest, QueryId, Record};
 use crate::{Micros, PeerId};
 
-/// Each acceptor tries this many microseconds later than the one before it in the query's order.
+/// Delay between the takeover attempts of successive acceptors in the query's order, in microseconds.
 const TAKEOVER_STAGGER: Micros = 60_000;
-/// Where a takeover is uncertain, or messages may have been lost, it is looked at again after so long.
+/// Delay before an undecided takeover is reconsidered, since messages may have been lost, in microseconds.
 const TAKEOVER_RETRY: Micros = 2 * TAKEOVER_STAGGER;
 
 impl TakeoverManager {
-    /// Schedules the takeover of queries that a peer acted for, in an incarnation that is over or while it is
-    /// away.
+    /// Schedules the takeover of queries that a peer acted for, if it is unavailable or has restarted since.
     pub(super) fn schedule_takeovers_from(&mut self, now: Micros, peer: PeerId) {
         let Some(acceptor) = &self.acceptor else { return };
-        let its = acceptor.open_records().filter(|(_, record)| record.promised.proposer == peer);
-        let orphaned = its.filter(|(_, record)| self.is_owner_lost(record));
+        let owned = acceptor.open_records().filter(|(_, record)| record.promised.proposer == peer);
+        let orphaned = owned.filter(|(_, record)| self.is_owner_lost(record));
         let orphaned: Vec<QueryId> = orphaned.map(|(id, _)| Arc::clone(id)).collect();
         for id in orphaned {
             self.schedule_takeover(now, &id);
@@ -32,28 +31,28 @@
         self.candidates.schedule(id, at);
     }
 
-    /// Whether the proposer of the promised ballot is held to be lost: in another incarnation, or away.
-    /// Advice.
+    /// Whether the proposer of the promised ballot seems to be lost: in another incarnation, or unavailable.
+    /// This is advice.
     fn is_owner_lost(&self, record: &Record) -> bool {
         let (owner, incarnation) = (record.promised.proposer, record.promised.incarnation);
-        let restarted = self.incarnations.get(&owner).is_some_and(|present| *present != incarnation);
+        let restarted = self.incarnations.get(&owner).is_some_and(|current| *current != incarnation);
         restarted || (owner != self.config.me && self.unavailable.contains(&owner))
     }
 
-    /// Whether nobody seems to act for a query.
+    /// Whether no instance seems to act for a query.
     fn is_orphaned(&self, record: &Record) -> bool {
         record.relinquished || self.is_owner_lost(record)
     }
 
-    /// How many acceptors of a query that are held to be there come before this one.
+    /// Returns how many available acceptors precede this one in the query's order.
     fn takeover_rank(&self, id: &str) -> Micros {
         let acceptors = self.acceptors_for(id);
         let before = acceptors.iter().take_while(|peer| **peer != self.config.me);
         before.filter(|peer| !self.unavailable.contains(peer)).count() as Micros
     }
 
-    /// The time to try for a query has come. One whose owner relinquished it lost to another ballot, which
-    /// may have a majority and be at work: the other acceptors are asked first.
+    /// Handles a due takeover. If the owner relinquished its ballot, it was fenced by another one, whose
+    /// proposer may have a majority and act for the query. So the acceptors are asked first.
     pub(super) fn takeover_due(&mut self, now: Micros, id: &QueryId) {
         let record = self.acceptor.as_ref().and_then(|acceptor| acceptor.record(id));
         if !record.is_some_and(|record| record.relinquished && !record.chosen) {
@@ -64,8 +63,8 @@
         self.send_to_acceptors(now, id, || ProposerRequest::ReadRecord { id: Arc::clone(id) });
     }
 
-    /// An acceptor's record has come, of a query whose outcome is awaited here, or that nobody seems to act
-    /// for.
+    /// Handles an acceptor's record of a query whose outcome is awaited here, or whose acceptors are being
+    /// asked whether any instance acts for it.
     pub(super) fn handle_record_read(
         &mut self,
         now: Micros,
@@ -84,13 +83,13 @@
                 self.take_over(now, id);
             }
         } else if self.candidates.end_vote(id) && self.candidates.is_watched(id) {
-            // Somebody acts for it, perhaps with a majority.
+            // Another instance acts for it, perhaps with a majority.
             self.candidates.schedule(id, now + TAKEOVER_RETRY);
         }
     }
 
-    /// Prepares a higher ballot for a query that has no chosen outcome, unless this process acts for it
-    /// already.
+    /// Prepares a higher ballot for a query without a chosen outcome, unless this process already acts for
+    /// it.
     fn take_over(&mut self, now: Micros, id: &QueryId) {
         let record = self.acceptor.as_ref().and_then(|acceptor| acceptor.record(id));
         let Some(record) = record.filter(|record| !record.chosen) else {
@@ -111,7 +110,7 @@
         self.send_requests(now, id);
     }
 
-    /// Looks through all open records for queries that nobody ends.
+    /// Scans all open records and schedules the takeover of orphaned and overdue queries.
     pub(super) fn scan_open_records(&mut self, now: Micros) {
         let Some(acceptor) = &self.acceptor else { return };
         let orphaned: BTreeMap<QueryId, bool> =
@@ -119,7 +118,8 @@
         self.candidates.retain(|id| orphaned.contains_key(id));
         for (id, is_orphaned) in orphaned {
             let first_seen = self.candidates.watch(now, &id);
-            // One whose owner is there and does not end it may be cut off from its acceptors.
+            // The owner of an overdue query may be available here, but partitioned from the query's
+            // acceptors.
             let is_overdue = now.saturating_sub(first_seen) >= self.config.limits.query_lifetime;
             if (is_orphaned || is_overdue) && !self.candidates.is_scheduled(&id) {
                 self.schedule_takeover(now, &id);
--- a/crates/cluster/src/takeover/manager.rs
+++ b/crates/cluster/src/takeover/manager.rs
@@ -1,4 +1,4 @@
-//! The state of takeovers in one process, its peers, and the messages that come from them.
+//! The takeover manager of one process: its state, and the handling of peers and their messages.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,50 +13,50 @@
 };
 use crate::{Incarnation, Micros, PeerId};
 
-/// What a takeover manager is set up with.
+/// The configuration of a takeover manager.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TakeoverConfig {
     /// This process.
     pub me: PeerId,
-    /// Peers in the list, this process included.
+    /// Number of peers in the list, including this process.
     pub peer_count: usize,
-    /// Acceptors of a query.
+    /// Number of acceptors of a query.
     pub group_size: usize,
-    /// What this process holds as an acceptor.
+    /// Limits of this process as an acceptor.
     pub limits: AcceptorLimits,
 }
 
-/// What a takeover manager holds.
+/// What a takeover manager currently stores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TakeoverUsage {
-    /// Queries that this process does something for.
+    /// Queries that this process proposes for or awaits the outcome of.
     pub queries: usize,
-    /// What it holds as an acceptor.
+    /// Records that it stores as an acceptor.
     pub acceptor: AcceptorUsage,
 }
 
-/// One process's part in all queries: as their acceptor, and as their proposer.
+/// One process's role in all non-idempotent queries, as their acceptor and as their proposer.
 #[derive(Debug)]
 pub struct TakeoverManager {
     pub(super) config: TakeoverConfig,
-    /// `None` before the first peer is connected: until then this process's own incarnation is not certain.
+    /// `None` before the first peer is connected: until then this process's own incarnation is not final.
     pub(super) acceptor: Option<Acceptor>,
-    /// The present incarnations of peers that have been connected, and of this process.
+    /// The last known incarnations of peers that have been connected, and of this process.
     pub(super) incarnations: Incarnations,
-    /// Their epochs, as far as they have said them in these incarnations.
+    /// The last epochs that they announced in these incarnations.
     pub(super) epochs: Epochs,
-    /// Peers that are held to be away: advice.
+    /// Peers that membership considers unavailable: advice.
     pub(super) unavailable: BTreeSet<PeerId>,
     pub(super) queries: QueryTable,
     pub(super) candidates: Candidates,
-    /// Ballots that this incarnation has made so far.
+    /// Number of ballots created in this incarnation.
     pub(super) ballot_sequence: u64,
     pub(super) last_scan: Micros,
     pub(super) actions: Vec<Action>,
 }
 
 impl TakeoverManager {
-    /// A manager that knows no peer; no acceptor can be reached before a first peer is connected.
+    /// Creates a manager that knows no peer. No acceptor can be reached before a first peer is connected.
     #[must_use]
     pub fn new(config: TakeoverConfig) -> Self {
         Self {
@@ -73,20 +73,20 @@
         }
     }
 
-    /// What is to be done since the last call, in this order.
+    /// Returns the actions since the last call, in the order to execute them.
     pub fn take_actions(&mut self) -> Vec<Action> {
         self.queries.update_timers();
         std::mem::take(&mut self.actions)
     }
 
-    /// What it holds.
+    /// Returns the number of queries and what is stored as an acceptor.
     #[must_use]
     pub fn usage(&self) -> TakeoverUsage {
         let acceptor = self.acceptor.as_ref().map(Acceptor::usage).unwrap_or_default();
         TakeoverUsage { queries: self.queries.len(), acceptor }
     }
 
-    /// What is being done for a query here.
+    /// Returns the state of a query at this instance.
     #[must_use]
     pub fn request_state(&self, id: &str) -> RequestState {
         match self.queries.get(id) {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// A ballot that no proposer has ever had.
+    /// Returns a new ballot, which no proposer has ever used.
     pub(super) fn next_ballot(&mut self, round: u32) -> Ballot {
         self.ballot_sequence += 1;
         Ballot {
@@ -117,7 +117,7 @@
         acceptors_for(id, self.config.peer_count, self.config.group_size)
     }
 
-    /// Sends a message to a peer, or handles it at once if it is to this process.
+    /// Sends a message to a peer, or handles it at once if it is addressed to this process.
     pub(super) fn send(&mut self, now: Micros, to: PeerId, message: Message) {
         if to == self.config.me {
             self.handle_message(now, to, message);
@@ -156,14 +156,14 @@
         self.epochs.insert(me, 0);
     }
 
-    /// A connection to a peer is up; `own` is the incarnation that this process has on it.
+    /// Handles a new connection to a peer; `own` is this process's incarnation in the handshake.
     pub fn peer_connected(&mut self, now: Micros, peer: PeerId, incarnation: Incarnation, own: Incarnation) {
         if self.acceptor.is_none() {
             self.start_acceptor(now, own);
         }
         let before = self.incarnations.insert(peer, incarnation);
         if before != Some(incarnation) {
-            // Its epoch is known again once it says it.
+            // The epoch is unknown until the peer announces it.
             self.epochs.remove(&peer);
         }
         self.unavailable.remove(&peer);
@@ -173,8 +173,8 @@
         }
     }
 
-    /// Asks a peer for its records if they are wanted. A peer that restarted is asked in any case: it no
-    /// longer knows this process's incarnation.
+    /// Requests a peer's records if they are needed. A peer that restarted gets the request in any case,
+    /// since it no longer knows this process's incarnation.
     fn request_transfer(&mut self, peer: PeerId, restarted: bool) {
         let pending = self.acceptor.as_ref().map(Acceptor::pending_transfers).unwrap_or_default();
         let pending = pending.into_iter().find(|pending| pending.peer == peer);
@@ -186,7 +186,7 @@
         self.actions.push(Action::Send { to: peer, message: Box::new(message) });
     }
 
-    /// This process goes on under another incarnation. What it was permitted, it no longer is.
+    /// Continues under another incarnation of this process. Permits of the former one are void.
     pub fn incarnation_changed(&mut self, now: Micros, own: Incarnation) {
         self.start_acceptor(now, own);
         self.candidates = Candidates::default();
@@ -197,7 +197,8 @@
         }
     }
 
-    /// Membership holds a peer to be away (suspect, dead or shut down), or to be there again: advice.
+    /// Handles a change of a peer's availability in membership; a suspect, dead or left peer is unavailable.
+    /// This is advice.
     pub fn peer_availability_changed(&mut self, now: Micros, peer: PeerId, unavailable: bool) {
         let changed =
             if unavailable { self.unavailable.insert(peer) } else { self.unavailable.remove(&peer) };
@@ -206,7 +207,7 @@
         }
     }
 
-    /// A message from a peer, or from this process itself.
+    /// Handles a message from a peer, or from this process itself.
     pub fn handle_message(&mut self, now: Micros, from: PeerId, message: Message) {
         match message {
             Message::Request(request) => self.handle_request(now, from, request),
@@ -221,7 +222,7 @@
         }
     }
 
-    /// A proposer's request to this process as an acceptor.
+    /// Handles a proposer's request to this process as an acceptor.
     fn handle_request(&mut self, now: Micros, from: PeerId, request: ProposerRequest) {
         let id = Arc::clone(request.id());
         let is_read = matches!(request, ProposerRequest::ReadRecord { .. });
@@ -236,7 +237,7 @@
                 record.relinquished
             }
             _ => {
-                self.tell_subscribers(&id, from);
+                self.notify_subscribers(&id, from);
                 self.candidates.unwatch(&id);
                 false
             }
@@ -249,8 +250,8 @@
         }
     }
 
-    /// Tells the peers that asked for it how a query ended, except the one that brought the outcome.
-    fn tell_subscribers(&mut self, id: &QueryId, except: PeerId) {
+    /// Sends the record of an ended query to its subscribers, except the one that reported the outcome.
+    fn notify_subscribers(&mut self, id: &QueryId, except: PeerId) {
         let subscribers = self.candidates.take_subscribers(id);
         let record = self.acceptor.as_ref().and_then(|acceptor| acceptor.record(id));
         let Some(record) = record else { return };
@@ -261,7 +262,7 @@
         }
     }
 
-    /// A page of another acceptor's records.
+    /// Handles a page of another acceptor's records.
     fn handle_transfer(&mut self, now: Micros, from: PeerId, transfer: StateTransfer) {
         self.learn_epoch(transfer.from, transfer.incarnation, transfer.epoch);
         let Some(acceptor) = &mut self.acceptor else { return };
--- a/crates/cluster/src/takeover/messages.rs
+++ b/crates/cluster/src/takeover/messages.rs
@@ -1,24 +1,24 @@
-//! What instances send each other about queries. postcard writes it by the order of variants and fields: that
-//! order never changes, new ones go to the end (`tests/stored_format.rs` holds the bytes).
+//! The messages between instances about queries. The postcard encoding depends on the order of variants and
+//! fields: the order must never change, and new ones are appended (`tests/stored_format.rs` checks the
+//! bytes).
 
 use serde::{Deserialize, Serialize};
 
 use crate::register::{AcceptorReply, ProposerRequest, QueryId, StateTransfer};
 use crate::Incarnation;
 
-/// Between two instances.
+/// A message between two instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// To an acceptor.
+    /// A request to an acceptor.
     Request(ProposerRequest),
-    /// From an acceptor.
+    /// An acceptor's reply.
     Reply(AcceptorReply),
-    /// An acceptor that has restarted announces its incarnation and asks for the records of queries after
-    /// this one.
+    /// A restarted acceptor announces its incarnation and requests the next page of records.
     TransferRequest {
         /// The sender's incarnation.
         incarnation: Incarnation,
-        /// The last query that it has; `None` for the first page.
+        /// The last query on the previous page; `None` for the first page.
         after: Option<QueryId>,
     },
     /// A page of records.
@@ -33,8 +33,8 @@
 }
 
 impl Message {
-    /// Whether the receiver, or a client, waits for it. A chosen outcome or an epoch only lets others forget;
-    /// whoever asks for these meanwhile is answered all the same.
+    /// Whether the receiver or a client waits for the message. A chosen outcome or an epoch only lets others
+    /// remove records; requests for these are answered regardless.
     #[must_use]
     pub fn is_awaited(&self) -> bool {
         !matches!(self, Self::Request(ProposerRequest::Chosen { .. }) | Self::Epoch { .. })
--- a/crates/cluster/src/takeover/mod.rs
+++ b/crates/cluster/src/takeover/mod.rs
@@ -1,26 +1,25 @@
-//! Who takes a query over after its instance is lost, and what may be done for it here.
+//! Takeover of queries whose instance is lost.
 //!
 //! # Who may act for a query, and why that is safe
 //!
 //! The instance that a client submitted a query to opens it in the register and acts for it. If membership
-//! holds that instance to be suspect, dead or gone, or it has restarted or relinquished its ballot, the query's
-//! acceptors try to take it over: each one later than the one before it in the query's own order, so that
-//! mostly a single one does. A query that nobody ends within its lifetime is tried for as well, since its
-//! instance may be cut off from the acceptors.
+//! reports that instance as suspect, dead or left, or it has restarted or relinquished its ballot, the
+//! query's acceptors try to take it over. They try one after the other, in the query's own order of
+//! acceptors, so that usually only one does. A query without an outcome at the end of its lifetime is taken
+//! over as well, since its instance may be partitioned from the acceptors.
 //!
-//! An acceptor that tries becomes a proposer with a higher ballot. It may do nothing before a majority has
-//! promised that ballot, and from then on no majority accepts anything under the former one: the former
-//! instance gets no further attempt permitted and no outcome chosen, even if it is alive and only seemed
-//! lost. The promises tell the new owner every attempt that may have been sent:
+//! An acceptor that takes a query over becomes a proposer with a higher ballot. It may propose nothing before
+//! a majority has promised that ballot. From then on no majority accepts anything under the former ballot:
+//! the former instance gets no further attempt permitted and no outcome chosen, even if it is alive after
+//! all. The promises report every attempt that may have been sent to the new owner:
 //!
-//! - if an outcome is found, that one is proposed again, since a client may have been told it;
+//! - if an outcome is found, that one is proposed again, since it may have been reported to a client;
 //! - if any attempt may have been executed, nothing is run again, and the outcome is `PossiblyExecuted`;
-//! - otherwise the query is run here with what is left of its client's time.
+//! - otherwise the query is run here within its remaining time.
 //!
-//! Two instances that try at once cost a round of messages, never a second execution. All timers and all
-//! membership knowledge in here choose when to send again, when to try, and when to tell a client that
-//! nothing can be known; none of them permits anything. What is permitted is decided in [`crate::register`]
-//! alone.
+//! If two instances try at the same time, that costs a round of messages, never a second execution. Timers
+//! and membership only decide when to resend, when to try a takeover, and when to report to a client that the
+//! outcome is unknown; they never permit anything. Only [`crate::register`] decides what is permitted.
 
 mod actions;
 mod candidates;
--- a/crates/cluster/src/takeover/outcome.rs
+++ b/crates/cluster/src/takeover/outcome.rs
@@ -1,25 +1,25 @@
-//! How a query ended, and the bytes in which records hold it.
+//! The outcome of a query, and its encoding in records.
 
 use std::sync::Arc;
 
-/// How a query ended; the same for every client that asks.
+/// How a query ended. Every client that submitted it gets the same end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueryEnd {
-    /// With this response, in the form of the program's own.
+    /// With this response, in the program's own encoding.
     Answered(Arc<[u8]>),
-    /// Its instance was lost, or gave up, while an attempt may have been executed.
+    /// Without a response, while an attempt may have been executed: its instance was lost or gave up.
     PossiblyExecuted,
     /// No attempt was executed, and none will be.
     NotExecuted,
 }
 
-/// First bytes of the stored forms.
+/// First bytes of the stored encodings.
 const ANSWERED: u8 = 0;
 const POSSIBLY_EXECUTED: u8 = 1;
 const NOT_EXECUTED: u8 = 2;
 
 impl QueryEnd {
-    /// The form that records hold.
+    /// Returns the encoding for records.
     #[must_use]
     pub fn to_bytes(&self) -> Arc<[u8]> {
         match self {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Reads the form that records hold; what is unknown may have been executed.
+    /// Decodes the encoding of records; an unknown one is read as `PossiblyExecuted`.
     #[must_use]
     pub fn from_bytes(bytes: &[u8]) -> Self {
         match bytes.split_first() {
--- a/crates/cluster/src/takeover/proposals.rs
+++ b/crates/cluster/src/takeover/proposals.rs
@@ -1,4 +1,4 @@
-//! Acting for a query: sending its proposer's requests and drawing the conclusions from the replies.
+//! The proposer side: sends the requests of proposers and handles the replies.
 
 use std::sync::Arc;
 
@@ -13,11 +13,11 @@
 };
 use crate::{Micros, PeerId};
 
-/// Queries that are taken over and run here at a time; the others wait.
+/// Limit on queries that are run here after a takeover at the same time; others wait.
 const CONCURRENT_TAKEOVERS: usize = 32;
 
 impl TakeoverManager {
-    /// Sends the proposer's requests to the acceptors that lack them.
+    /// Sends the proposer's requests to the pending acceptors.
     pub(super) fn send_requests(&mut self, now: Micros, id: &QueryId) {
         let Some(query) = self.queries.get_mut(id) else { return };
         query.schedule_resend(now);
@@ -27,8 +27,8 @@
         let is_first = query.sending_version(version);
         let Some(proposer) = &query.proposer else { return };
         if is_first && phase == ProposerPhase::Active {
-            // At first a majority alone: further replies would only cost both sides. Advice chooses which
-            // majority, and the next time all others are asked as well.
+            // The first time, only a majority gets the request: further replies would only be a cost to both
+            // sides. Advice chooses which majority. A resend goes to all pending acceptors.
             let (me, unavailable) = (self.config.me, &self.unavailable);
             pending
                 .sort_by_key(|peer| (unavailable.contains(peer), !proposer.has_accepted(*peer), *peer != me));
@@ -41,7 +41,7 @@
         }
     }
 
-    /// An acceptor's reply to this process as a proposer.
+    /// Handles an acceptor's reply to this process as a proposer.
     pub(super) fn handle_reply(&mut self, now: Micros, from: PeerId, reply: AcceptorReply) {
         let id = Arc::clone(reply.id());
         if let AcceptorReply::RecordRead { record, .. } = reply {
@@ -57,15 +57,15 @@
         if stale && lacks_quorum {
             return self.retry_with_higher_ballot(now, &id);
         }
-        // Most acceptors abstained a second time: the permits are given up at once, not only after their
-        // time-out.
+        // No majority is left even after a resend: the permits are abandoned at once, without waiting for
+        // their time-out.
         if lacks_quorum && query.resends > 0 && !query.pending_permits.is_empty() {
             return self.abandon_permits(now, &id);
         }
         self.advance(now, &id);
     }
 
-    /// Another ballot has won: nothing more is done for the query under this process's one.
+    /// Handles the fencing of this process's ballot by another one: nothing more is done under it.
     fn fenced(&mut self, now: Micros, id: &QueryId, record: &Record) {
         let Some(query) = self.queries.get_mut(id) else { return };
         let permits = std::mem::take(&mut query.pending_permits);
@@ -82,7 +82,7 @@
         }
         let (ours, theirs) = (payload_digest(&payload), payload_digest(&record.payload));
         if !has_local_clients {
-            // The owner of the other ballot ends it.
+            // The owner of the other ballot ends the query.
             self.queries.remove(id);
         } else if !ours.is_empty() && !theirs.is_empty() && ours != theirs {
             self.queries.remove(id);
@@ -93,19 +93,19 @@
         }
     }
 
-    /// Gives up the permits that wait. The intents stay where they were accepted, and whoever takes over
-    /// counts them as possibly executed.
+    /// Abandons the pending permits. Acceptors that accepted the intents keep them, and a takeover counts
+    /// them as possibly executed.
     pub(super) fn abandon_permits(&mut self, now: Micros, id: &QueryId) {
         let Some(query) = self.queries.get_mut(id) else { return };
         let permits = std::mem::take(&mut query.pending_permits);
         let not_executed = query.is_certainly_not_executed();
         let is_accepted_anywhere = query.proposer.as_ref().is_none_or(Proposer::is_accepted_anywhere);
-        // The outcome is recorded all the same once a majority can be reached.
+        // The outcome is still recorded once a majority can be reached.
         let end = if query.any_permitted { QueryEnd::PossiblyExecuted } else { QueryEnd::NotExecuted };
         query.end.get_or_insert(end);
         if not_executed && !is_accepted_anywhere {
-            // No acceptor knows of it, so there is nothing to record, and hundreds of such queries are not
-            // sent again.
+            // No acceptor knows of the query, so there is nothing to record, and resending hundreds of such
+            // queries is avoided.
             self.queries.remove(id);
         }
         self.deny_permits(id, permits);
@@ -113,8 +113,8 @@
         self.advance(now, id);
     }
 
-    /// An acceptor that was counted on has restarted: this ballot is of no more use, and a higher one is
-    /// prepared.
+    /// Prepares a higher ballot after an acceptor that the proposal relied on has restarted: the current
+    /// ballot can get no majority any more.
     fn retry_with_higher_ballot(&mut self, now: Micros, id: &QueryId) {
         let former = self.queries.get(id).and_then(|query| query.proposer.as_ref());
         let Some((former, opened_at)) = former.map(|former| (former.ballot(), former.opened_at().clone()))
@@ -126,7 +126,7 @@
         let Some(query) = self.queries.get_mut(id) else { return };
         let mut proposer = Proposer::prepare(Arc::clone(id), ballot, acceptors, opened_at);
         let permits = std::mem::take(&mut query.pending_permits);
-        // What waited for a permit was not sent, and will not be: the attempts that come in its place may be.
+        // Attempts that waited for a permit were not sent and will not be. Attempts that replace them may be.
         proposer.inherit_not_executed(permits.iter().map(|permit| permit.intent));
         query.any_revoked |= !permits.is_empty();
         query.proposer = Some(proposer);
@@ -134,10 +134,11 @@
         self.send_requests(now, id);
     }
 
-    /// Does what the replies so far allow: grants permits, proposes the outcome, runs the query, ends it.
+    /// Takes all steps that the replies so far allow: grants permits, proposes the outcome, runs the query or
+    /// ends it.
     pub(super) fn advance(&mut self, now: Micros, id: &QueryId) {
-        let wants_to_run = self.queries.get(id).is_some_and(|query| query.wants_to_run());
-        let has_capacity = !(wants_to_run && self.queries.has_taken_over(CONCURRENT_TAKEOVERS));
+        let needs_run = self.queries.get(id).is_some_and(|query| query.needs_run());
+        let has_capacity = !(needs_run && self.queries.has_taken_over(CONCURRENT_TAKEOVERS));
         let Some(query) = self.queries.get_mut(id) else { return };
         if !query.is_active() {
             return;
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Hands a query that was taken over to the program: none of its attempts was executed.
+    /// Hands a query that was taken over, and of which no attempt was executed, to the program to run.
     fn run_here(&mut self, now: Micros, id: &QueryId) {
         let first_seen = self.candidates.first_seen(id).unwrap_or(now);
         let Some(query) = self.queries.get_mut(id) else { return };
@@ -179,17 +180,18 @@
         self.actions.push(Action::TakeOver { id: Arc::clone(id), payload, age });
     }
 
-    /// An acceptor's record of a query whose outcome is awaited here.
+    /// Ends a query whose outcome is awaited here, if an acceptor's record has the chosen outcome.
     pub(super) fn learn_outcome(&mut self, now: Micros, id: &QueryId, record: &Record) {
         let Some(recorded) = record.outcome.as_ref().filter(|_| record.chosen) else { return };
         self.queries.remove(id);
         let end = QueryEnd::from_bytes(&recorded.outcome);
         self.actions.push(Action::QueryEnded { id: Arc::clone(id), end });
-        // Whatever else is recorded of it, here or where this process opened it in vain, is over with that.
+        // This closes the remaining records of the query, here and where this process's own ballot was
+        // accepted.
         self.announce_outcome(now, id, &recorded.outcome);
     }
 
-    /// Tells the acceptors that an outcome is chosen.
+    /// Sends the chosen outcome to the acceptors.
     fn announce_outcome(&mut self, now: Micros, id: &QueryId, outcome: &Arc<[u8]>) {
         self.send_to_acceptors(now, id, || ProposerRequest::Chosen {
             id: Arc::clone(id),
--- a/crates/cluster/src/takeover/timers.rs
+++ b/crates/cluster/src/takeover/timers.rs
@@ -1,4 +1,4 @@
-//! The takeover manager's timers: takeovers, requests that are sent again, deadlines and the periodic scan.
+//! The timers of the takeover manager: takeovers, resends, deadlines and the periodic scan.
 
 use std::sync::Arc;
 
@@ -9,20 +9,20 @@
 use crate::register::{Acceptor, PendingTransfer, ProposerRequest, QueryId};
 use crate::{Micros, PeerId};
 
-/// Between two scans for records that are still wanted and queries that nobody ends, in microseconds.
+/// Time between two scans for missing records and for orphaned queries, in microseconds.
 const SCAN_INTERVAL: Micros = 250_000;
 
 impl TakeoverManager {
-    /// When [`TakeoverManager::handle_timeout`] is to be called next.
+    /// Returns when [`TakeoverManager::handle_timeout`] is due next.
     #[must_use]
     pub fn poll_timeout(&self) -> Option<Micros> {
-        // Before a first peer is connected there is no acceptor to scan; clients' queries have their timers
-        // all the same.
+        // Before a first peer is connected there is no acceptor to scan, but clients' queries already have
+        // timers.
         let scan = self.acceptor.as_ref().map(|_| self.last_scan + SCAN_INTERVAL);
         [self.queries.poll_timeout(), self.candidates.poll_timeout(), scan].into_iter().flatten().min()
     }
 
-    /// Does all that is due.
+    /// Handles all timers that are due.
     pub fn handle_timeout(&mut self, now: Micros) {
         if self.poll_timeout().is_none_or(|due| due > now) {
             return;
@@ -59,7 +59,7 @@
         self.send_to_acceptors(now, id, || ProposerRequest::ReadRecord { id: Arc::clone(id) });
     }
 
-    /// A query's time is over.
+    /// Gives a query up whose deadline has passed.
     fn give_up(&mut self, id: &QueryId) {
         let Some(query) = self.queries.get_mut(id) else { return };
         let permits = std::mem::take(&mut query.pending_permits);
--- a/crates/cluster/src/timer_queue.rs
+++ b/crates/cluster/src/timer_queue.rs
@@ -1,4 +1,4 @@
-//! One deadline for each of many queries, found without looking at all of them.
+//! A timer queue: at most one deadline per query, ordered by time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 }
 
 impl TimerQueue {
-    /// Sets a query's deadline in the place of an earlier one; `None` removes it.
+    /// Replaces a query's deadline; `None` removes it.
     pub fn set(&mut self, id: &QueryId, deadline: Option<Micros>) {
         if self.deadline(id) == deadline {
             return;
@@ -26,7 +26,7 @@
         }
     }
 
-    /// A query's deadline.
+    /// Returns a query's deadline.
     #[must_use]
     pub fn deadline(&self, id: &str) -> Option<Micros> {
         self.deadlines.get(id).copied()
@@ -39,13 +39,13 @@
         }
     }
 
-    /// The earliest deadline.
+    /// Returns the earliest deadline.
     #[must_use]
     pub fn poll_timeout(&self) -> Option<Micros> {
         self.order.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Takes out the queries whose deadline has come, the earliest first.
+    /// Removes and returns the queries whose deadline has passed, the earliest first.
     pub fn take_due(&mut self, now: Micros) -> Vec<QueryId> {
         let mut due = Vec::new();
         while self.poll_timeout().is_some_and(|deadline| deadline <= now) {
