--- a/crates/cluster/tests/register.rs
+++ b/crates/cluster/tests/register.rs
@@ -1,4 +1,4 @@
-//! The register's acceptors one by one: what they forget, what they never do, and what they say of it.
+//! Acceptors and proposers of the register: recovery, removal of records, limits and state transfer.
 
 use std::sync::Arc;
 
@@ -8,21 +8,23 @@
 };
 use mallowgauge_cluster::{Incarnation, PeerId};
 
-const LIFE: u64 = 1_000_000;
-const BOUNDS: AcceptorLimits = AcceptorLimits { records: 4, bytes: 1 << 20, query_lifetime: LIFE };
+const QUERY_LIFETIME: u64 = 1_000_000;
+const LIMITS: AcceptorLimits = AcceptorLimits { records: 4, bytes: 1 << 20, query_lifetime: QUERY_LIFETIME };
 
 fn incarnation(number: u64) -> Incarnation {
     Incarnation { number, nonce: 0 }
 }
 
-fn ballot(round: u32, by: u16) -> Ballot {
-    Ballot { round, proposer: PeerId(by), incarnation: incarnation(1), sequence: 0 }
+fn ballot(round: u32, proposer: u16) -> Ballot {
+    Ballot { round, proposer: PeerId(proposer), incarnation: incarnation(1), sequence: 0 }
 }
 
-fn fresh(number: u64) -> Acceptor {
-    Acceptor::new(0, PeerId(0), incarnation(number), 3, 3, BOUNDS)
+/// Returns an acceptor that has just started.
+fn fresh_acceptor(number: u64) -> Acceptor {
+    Acceptor::new(0, PeerId(0), incarnation(number), 3, 3, LIMITS)
 }
 
+/// Returns an empty state transfer.
 fn transfer(from: u16, remembers_all: bool) -> StateTransfer {
     let (records, after, next) = (Vec::new(), None, None);
     StateTransfer {
@@ -37,9 +39,9 @@
     }
 }
 
-/// One that remembers, for there was nothing before it.
-fn founder() -> Acceptor {
-    let mut acceptor = fresh(1);
+/// Returns an acceptor that has recovered from empty state transfers.
+fn recovered_acceptor() -> Acceptor {
+    let mut acceptor = fresh_acceptor(1);
     acceptor.receive_transfer(0, transfer(1, true));
     acceptor.receive_transfer(0, transfer(2, true));
     acceptor
@@ -49,10 +51,10 @@
     open_in(0, id, ballot, sequence)
 }
 
-/// What opens an id, asked while this acceptor was in that epoch.
+/// Returns the request to open a query that was submitted during this epoch of the acceptor.
 fn open_in(epoch: u64, id: &str, ballot: Ballot, sequence: u64) -> ProposerRequest {
     let ballot = Ballot { sequence, ..ballot };
-    let (id, payload): (QueryId, Arc<[u8]>) = (id.into(), b"what"[..].into());
+    let (id, payload): (QueryId, Arc<[u8]>) = (id.into(), b"request"[..].into());
     let incarnations: Incarnations = [(PeerId(0), incarnation(1))].into();
     let epochs = [(PeerId(0), epoch)].into();
     ProposerRequest::Open {
@@ -78,8 +80,8 @@
 }
 
 #[test]
-fn one_that_starts_gives_no_word_until_it_has_heard_from_enough_others() {
-    let mut acceptor = fresh(1);
+fn a_started_acceptor_abstains_until_enough_others_sent_their_records() {
+    let mut acceptor = fresh_acceptor(1);
     assert_eq!(
         reason(acceptor.handle_request(0, open("a", ballot(0, 9), 1))),
         Some(AbstainReason::Recovering)
@@ -90,11 +92,11 @@
     assert_eq!(reason(acceptor.handle_request(0, take.clone())), Some(AbstainReason::Recovering));
     acceptor.receive_transfer(0, transfer(1, true));
     assert_eq!(reason(acceptor.handle_request(0, take.clone())), Some(AbstainReason::Recovering));
-    // One that does not remember itself is no help.
+    // The records of an acceptor that is recovering itself are not sufficient.
     acceptor.receive_transfer(0, transfer(2, false));
     assert_eq!(reason(acceptor.handle_request(0, take.clone())), Some(AbstainReason::Recovering));
     assert_eq!(acceptor.pending_transfers(), [PendingTransfer { peer: PeerId(2), after: None }]);
-    // What was meant for an earlier incarnation of it is none either.
+    // Nor is a transfer to an earlier incarnation.
     acceptor.receive_transfer(0, StateTransfer { to: incarnation(0), ..transfer(2, true) });
     assert!(!acceptor.remembers_every_query(0));
     acceptor.receive_transfer(0, transfer(2, true));
@@ -103,59 +105,60 @@
 }
 
 #[test]
-fn where_all_started_at_once_they_wait_until_no_id_from_before_can_be_asked() {
-    let mut acceptor = fresh(1);
+fn acceptors_that_all_restarted_abstain_until_earlier_queries_have_expired() {
+    let mut acceptor = fresh_acceptor(1);
     acceptor.receive_transfer(0, transfer(1, false));
     acceptor.receive_transfer(0, transfer(2, false));
     assert_eq!(
-        reason(acceptor.handle_request(2 * LIFE - 1, open("a", ballot(0, 9), 1))),
+        reason(acceptor.handle_request(2 * QUERY_LIFETIME - 1, open("a", ballot(0, 9), 1))),
         Some(AbstainReason::Recovering)
     );
     assert!(matches!(
-        acceptor.handle_request(2 * LIFE, open("a", ballot(0, 9), 1)),
+        acceptor.handle_request(2 * QUERY_LIFETIME, open("a", ballot(0, 9), 1)),
         Some(AcceptorReply::Accepted { .. })
     ));
-    // Time alone is not enough: whom it has not met may count on an earlier incarnation of it.
+    // Time alone is not sufficient: a proposal may rely on an earlier incarnation of this acceptor until the
+    // other acceptors know the current one.
     assert_eq!(
-        reason(fresh(1).handle_request(9 * LIFE, open("a", ballot(0, 9), 1))),
+        reason(fresh_acceptor(1).handle_request(9 * QUERY_LIFETIME, open("a", ballot(0, 9), 1))),
         Some(AbstainReason::Recovering)
     );
 }
 
 #[test]
-fn an_id_that_was_forgotten_is_not_opened_again_by_what_comes_late() {
-    let mut acceptor = founder();
+fn a_late_request_does_not_reopen_a_query_whose_record_was_removed() {
+    let mut acceptor = recovered_acceptor();
     acceptor.handle_request(0, open("a", ballot(0, 9), 7));
     acceptor.handle_request(0, chosen("a"));
-    // However long it was paused, what it was told of meanwhile finds the record.
-    assert!(acceptor.end_epoch(100 * LIFE) && !acceptor.end_epoch(100 * LIFE));
+    // A paused acceptor ends only one epoch, so a request from before the pause still finds the record.
+    assert!(acceptor.end_epoch(100 * QUERY_LIFETIME) && !acceptor.end_epoch(100 * QUERY_LIFETIME));
     assert!(matches!(
-        acceptor.handle_request(100 * LIFE, open("a", ballot(0, 8), 1)),
+        acceptor.handle_request(100 * QUERY_LIFETIME, open("a", ballot(0, 8), 1)),
         Some(AcceptorReply::Rejected { .. })
     ));
-    assert!(acceptor.end_epoch(101 * LIFE) && acceptor.record("a").is_some());
-    assert!(acceptor.end_epoch(102 * LIFE));
+    assert!(acceptor.end_epoch(101 * QUERY_LIFETIME) && acceptor.record("a").is_some());
+    assert!(acceptor.end_epoch(102 * QUERY_LIFETIME));
     assert_eq!((acceptor.epoch(), acceptor.usage()), (3, AcceptorUsage { records: 0, bytes: 0 }));
-    // Now it is forgotten, and so is whatever was asked by then.
-    let late = acceptor.handle_request(101 * LIFE, open("a", ballot(0, 8), 1));
+    // The record is removed now, and requests that were submitted before that are not accepted.
+    let late = acceptor.handle_request(101 * QUERY_LIFETIME, open("a", ballot(0, 8), 1));
     assert_eq!(reason(late), Some(AbstainReason::UnknownQuery));
     assert!(matches!(
-        acceptor.handle_request(101 * LIFE, open_in(2, "b", ballot(0, 9), 8)),
+        acceptor.handle_request(101 * QUERY_LIFETIME, open_in(2, "b", ballot(0, 9), 8)),
         Some(AcceptorReply::Accepted { .. })
     ));
-    let write = ProposerRequest::Accept {
+    let accept = ProposerRequest::Accept {
         id: "a".into(),
         ballot: Ballot { sequence: 7, ..ballot(0, 9) },
         incarnations: Incarnations::new(),
         proposal: Proposal::default(),
         version: 2,
     };
-    assert_eq!(reason(acceptor.handle_request(LIFE, write)), Some(AbstainReason::UnknownQuery));
+    assert_eq!(reason(acceptor.handle_request(QUERY_LIFETIME, accept)), Some(AbstainReason::UnknownQuery));
 }
 
 #[test]
-fn a_full_keeper_takes_no_more_and_forgets_nothing_that_has_not_ended() {
-    let mut acceptor = founder();
+fn a_full_acceptor_abstains_from_new_queries_and_keeps_open_records() {
+    let mut acceptor = recovered_acceptor();
     for (number, id) in ["a", "b", "c", "d"].into_iter().enumerate() {
         acceptor.handle_request(0, open(id, ballot(0, 9), number as u64));
     }
@@ -164,69 +167,72 @@
         reason(acceptor.handle_request(0, open("e", ballot(0, 9), 5))),
         Some(AbstainReason::CapacityExhausted)
     );
-    acceptor.end_epoch(LIFE);
+    acceptor.end_epoch(QUERY_LIFETIME);
     assert_eq!(
-        reason(acceptor.handle_request(LIFE, open_in(1, "e", ballot(0, 9), 5))),
+        reason(acceptor.handle_request(QUERY_LIFETIME, open_in(1, "e", ballot(0, 9), 5))),
         Some(AbstainReason::CapacityExhausted)
     );
     for times in 2..4 {
-        acceptor.end_epoch(times * LIFE);
+        acceptor.end_epoch(times * QUERY_LIFETIME);
     }
     assert!(matches!(
-        acceptor.handle_request(3 * LIFE, open_in(3, "e", ballot(0, 9), 5)),
+        acceptor.handle_request(3 * QUERY_LIFETIME, open_in(3, "e", ballot(0, 9), 5)),
         Some(AcceptorReply::Accepted { .. })
     ));
     assert!(acceptor.record("b").is_none() && acceptor.record("a").is_some());
     for times in 4..20 {
-        acceptor.end_epoch(times * LIFE);
+        acceptor.end_epoch(times * QUERY_LIFETIME);
     }
     assert_eq!(acceptor.open_records().count(), 4);
 }
 
+/// Successive proposers both number their first attempt 0. That one of them was not executed must not be
+/// recorded for the other.
 #[test]
-fn an_attempt_that_is_void_under_one_ballot_is_not_void_under_another() {
-    let names = || vec![PeerId(0), PeerId(1), PeerId(2)];
-    let mut all: Vec<Acceptor> = (0..3_u16)
-        .map(|at| {
-            let mut acceptor = Acceptor::new(0, PeerId(at), incarnation(1), 3, 3, BOUNDS);
+fn not_executed_is_recorded_per_ballot() {
+    let peers = || vec![PeerId(0), PeerId(1), PeerId(2)];
+    let mut acceptors: Vec<Acceptor> = (0..3_u16)
+        .map(|index| {
+            let mut acceptor = Acceptor::new(0, PeerId(index), incarnation(1), 3, 3, LIMITS);
             (0..3)
-                .filter(|from| *from != at)
+                .filter(|from| *from != index)
                 .for_each(|from| drop(acceptor.receive_transfer(0, transfer(from, true))));
             acceptor
         })
         .collect();
-    let mut tell = |proposer: &mut Proposer, to: &[u16]| {
-        for &at in to {
-            let request = proposer.request_for(PeerId(at)).expect("something to say");
-            let reply = all[usize::from(at)].handle_request(0, request).expect("a word");
-            proposer.handle_reply(PeerId(at), reply);
+    let mut exchange = |proposer: &mut Proposer, to: &[u16]| {
+        for &index in to {
+            let request = proposer.request_for(PeerId(index)).expect("a request");
+            let reply = acceptors[usize::from(index)].handle_request(0, request).expect("a reply");
+            proposer.handle_reply(PeerId(index), reply);
         }
     };
-    let incarnations: Incarnations = names().into_iter().map(|peer| (peer, incarnation(1))).collect();
-    let opened_at = OpenedAt { incarnations, epochs: names().into_iter().map(|peer| (peer, 0)).collect() };
-    let mut owner = Proposer::open("a".into(), ballot(0, 9), names(), opened_at.clone(), b"what"[..].into());
-    // Its first attempt is known to acceptor 2 alone, and so is that it never ran.
+    let incarnations: Incarnations = peers().into_iter().map(|peer| (peer, incarnation(1))).collect();
+    let opened_at = OpenedAt { incarnations, epochs: peers().into_iter().map(|peer| (peer, 0)).collect() };
+    let mut owner =
+        Proposer::open("a".into(), ballot(0, 9), peers(), opened_at.clone(), b"request"[..].into());
+    // Only acceptor 2 knows of the first attempt, and that it was not executed.
     let first = owner.propose_intent(0, 0).expect("an attempt");
     owner.mark_not_executed(first);
-    tell(&mut owner, &[2]);
+    exchange(&mut owner, &[2]);
     assert!(!owner.is_permitted(first));
-    let mut second = Proposer::prepare("a".into(), ballot(1, 8), names(), opened_at.clone());
-    tell(&mut second, &[0, 1]);
+    let mut second = Proposer::prepare("a".into(), ballot(1, 8), peers(), opened_at.clone());
+    exchange(&mut second, &[0, 1]);
     let sent = second.propose_intent(0, 0).expect("an attempt");
-    tell(&mut second, &[0, 1]);
+    exchange(&mut second, &[0, 1]);
     assert!(second.is_permitted(sent));
-    // It dies. Whoever comes next hears of both attempts, and of one that it is void.
-    let mut third = Proposer::prepare("a".into(), ballot(2, 7), names(), opened_at);
-    tell(&mut third, &[1, 2]);
+    // The second proposer is lost. The third one learns of both attempts, and that one was not executed.
+    let mut third = Proposer::prepare("a".into(), ballot(2, 7), peers(), opened_at);
+    exchange(&mut third, &[1, 2]);
     assert!(third.may_have_executed(0));
     assert_eq!(third.propose_intent(0, 0), None);
 }
 
 #[test]
-fn who_opens_an_id_again_after_it_ended_is_told_how() {
-    let mut acceptor = founder();
+fn reopening_an_ended_query_returns_its_record() {
+    let mut acceptor = recovered_acceptor();
     acceptor.handle_request(0, open("a", ballot(0, 9), 1));
-    // The same process, the same life, another time.
+    // The same incarnation of the same process, with another ballot.
     assert!(matches!(
         acceptor.handle_request(0, open("a", ballot(0, 9), 2)),
         Some(AcceptorReply::Rejected { .. })
@@ -238,35 +244,35 @@
 }
 
 #[test]
-fn every_process_finds_the_same_keepers_and_all_have_their_share() {
-    let mut count = [0_u32; 7];
+fn acceptors_are_evenly_distributed_over_the_peers() {
+    let mut counts = [0_u32; 7];
     for id in 0..7000 {
-        let found = acceptors_for(&format!("{id:x}"), 7, 3);
-        assert_eq!(found.len(), 3);
-        assert!(found[0] != found[1] && found[1] != found[2] && found[0] != found[2]);
-        found.iter().for_each(|peer| count[usize::from(peer.0)] += 1);
+        let acceptors = acceptors_for(&format!("{id:x}"), 7, 3);
+        assert_eq!(acceptors.len(), 3);
+        assert!(acceptors[0] != acceptors[1] && acceptors[1] != acceptors[2] && acceptors[0] != acceptors[2]);
+        acceptors.iter().for_each(|peer| counts[usize::from(peer.0)] += 1);
     }
-    assert!(count.iter().all(|n| (2700..=3300).contains(n)), "{count:?}");
-    // The loss of one that keeps nothing of an id changes nothing for it: the list is fixed, and so is the order.
+    assert!(counts.iter().all(|count| (2700..=3300).contains(count)), "{counts:?}");
+    // The order of a query's acceptors depends only on its id and the fixed list of peers.
     assert_eq!(acceptors_for("q", 7, 3), acceptors_for("q", 7, 5)[..3]);
 }
 
-/// However much an acceptor holds, another hears it in pieces that a link takes; one that is lost is asked for again,
-/// one that comes twice or late changes nothing, and nothing is remembered before the last one.
+/// Records are transferred in pages of bounded size. A lost page is requested again, a duplicate or late one
+/// changes nothing, and recovery does not end before the last page.
 #[test]
-fn what_a_keeper_holds_goes_over_in_pages() {
-    let many = AcceptorLimits { records: 1000, ..BOUNDS };
-    let mut full = Acceptor::new(0, PeerId(0), incarnation(1), 3, 3, many);
+fn records_are_transferred_in_pages() {
+    let limits = AcceptorLimits { records: 1000, ..LIMITS };
+    let mut full = Acceptor::new(0, PeerId(0), incarnation(1), 3, 3, limits);
     full.receive_transfer(0, transfer(1, true));
     full.receive_transfer(0, transfer(2, true));
-    let ids: Vec<QueryId> = (0..200).map(|at| format!("q{at:03}").into()).collect();
+    let ids: Vec<QueryId> = (0..200).map(|number| format!("q{number:03}").into()).collect();
     for (id, sequence) in ids.iter().zip(1..) {
         assert!(matches!(
             full.handle_request(0, open(id, ballot(0, 2), sequence)),
             Some(AcceptorReply::Accepted { .. })
         ));
     }
-    let mut late = Acceptor::new(0, PeerId(1), incarnation(2), 3, 3, many);
+    let mut late = Acceptor::new(0, PeerId(1), incarnation(2), 3, 3, limits);
     late.receive_transfer(0, StateTransfer { to: incarnation(2), ..transfer(2, true) });
     let (mut after, mut pages) = (None, 0);
     loop {
@@ -275,7 +281,7 @@
         assert!(!late.remembers_every_query(0), "not before the last page");
         pages += 1;
         let last = page.next.is_none();
-        // It comes twice, and an early one comes late.
+        // The page is duplicated, and the first page arrives late.
         let next = late.receive_transfer(0, page.clone());
         assert_eq!(next, page.next);
         if last {
@@ -287,7 +293,7 @@
         assert_eq!(
             pending,
             Some(PendingTransfer { peer: PeerId(0), after: next.clone() }),
-            "a lost one is asked for again, not all of them"
+            "only the lost page is requested again"
         );
         after = next;
     }
@@ -295,28 +301,29 @@
     assert!(ids.iter().all(|id| late.record(id) == full.record(id)));
 }
 
-/// Acceptors that start one after the other do not tell each other of all that ever ended, for good.
+/// Guards against records of ended queries that acceptors which restart one after the other pass on forever.
 #[test]
-fn what_ended_long_ago_is_not_passed_on_for_ever() {
+fn records_of_ended_queries_are_not_transferred_forever() {
     let mut now = 0;
-    let mut acceptors: Vec<Acceptor> = vec![founder(), founder()];
-    acceptors[1] = Acceptor::new(0, PeerId(1), incarnation(1), 3, 3, BOUNDS);
+    let mut acceptors: Vec<Acceptor> = vec![recovered_acceptor(), recovered_acceptor()];
+    acceptors[1] = Acceptor::new(0, PeerId(1), incarnation(1), 3, 3, LIMITS);
     acceptors[1].receive_transfer(0, StateTransfer { from: PeerId(0), ..transfer(0, true) });
     acceptors[1].receive_transfer(0, transfer(2, true));
     acceptors[0].handle_request(now, open("old", ballot(0, 9), 1));
     acceptors[0].handle_request(now, chosen("old"));
     for number in 3..10 {
-        // Each is told by the other one just after its start, and starts again before it forgets anything.
-        now += LIFE * 7 / 10;
-        let (at, other) = (number % 2, 1 - number % 2);
-        let me = PeerId(at as u16);
-        let mut fresh = Acceptor::new(now, me, incarnation(number as u64), 3, 3, BOUNDS);
+        // Each acceptor gets the other one's records just after its start, and restarts before it removes
+        // any.
+        now += QUERY_LIFETIME * 7 / 10;
+        let (index, other) = (number % 2, 1 - number % 2);
+        let me = PeerId(index as u16);
+        let mut restarted = Acceptor::new(now, me, incarnation(number as u64), 3, 3, LIMITS);
         let page = acceptors[other].serve_transfer(now + 5, me, incarnation(number as u64), None);
-        assert!(fresh.receive_transfer(now + 10, page).is_none());
-        // Asked for within its life, it is known.
-        let known = fresh.record("old").is_some();
-        assert!(known || now >= LIFE, "forgotten after {now}");
-        assert!(!known || now <= 3 * LIFE, "still passed on after {now}");
-        acceptors[at] = fresh;
+        assert!(restarted.receive_transfer(now + 10, page).is_none());
+        // The record is kept for at least the query's lifetime.
+        let known = restarted.record("old").is_some();
+        assert!(known || now >= QUERY_LIFETIME, "removed after {now} us");
+        assert!(!known || now <= 3 * QUERY_LIFETIME, "still transferred after {now} us");
+        acceptors[index] = restarted;
     }
 }
--- a/crates/cluster/tests/stored_format.rs
+++ b/crates/cluster/tests/stored_format.rs
@@ -1,6 +1,6 @@
-//! The bytes of what acceptors hold and of what peers send each other: an older and a newer build run side by
-//! side while a cluster is updated, so each has to read what the other writes. postcard goes by the order of
-//! variants and fields; moving one breaks these.
+//! The bytes of acceptors' records and of the messages between peers. During a rolling update older and newer
+//! builds run side by side, so each has to read what the other writes. The postcard encoding depends on the
+//! order of variants and fields; these tests fail if one is moved.
 
 use std::fmt::{Debug, Write as _};
 use std::sync::Arc;
@@ -21,11 +21,11 @@
 }
 
 fn unhex(text: &str) -> Vec<u8> {
-    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
+    (0..text.len()).step_by(2).map(|start| u8::from_str_radix(&text[start..start + 2], 16).unwrap()).collect()
 }
 
-/// The value is written as these bytes, and these bytes are read as the value.
-fn pin<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, bytes: &str) {
+/// Asserts that the value is encoded as these bytes, and that these bytes are decoded as the value.
+fn assert_encoding<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, bytes: &str) {
     assert_eq!(hex(&postcard::to_stdvec(value).unwrap()), bytes, "written: {value:?}");
     assert_eq!(postcard::from_bytes::<T>(&unhex(bytes)).as_ref(), Ok(value), "read: {bytes}");
 }
@@ -93,7 +93,7 @@
     }
 }
 
-fn abstains(reason: AbstainReason) -> Message {
+fn abstained(reason: AbstainReason) -> Message {
     Message::Reply(AcceptorReply::Abstained {
         id: id(),
         ballot: ballot(),
@@ -104,7 +104,7 @@
 
 #[test]
 fn each_request_of_a_proposer_has_these_bytes() {
-    pin(
+    assert_encoding(
         &Message::Request(ProposerRequest::Open {
             id: id(),
             ballot: ballot(),
@@ -116,7 +116,7 @@
         }),
         "00000771756572792d3103ac0202ef9bafcdf8acd19101c801020001ef9bafcdf8acd191010405ef9bafcdf8acd1910102000604800104626f647902000103ac0202ef9bafcdf8acd19101c801020303ac0202ef9bafcdf8acd19101c80101020303ac0202ef9bafcdf8acd19101c8010103656e6401ac02",
     );
-    pin(
+    assert_encoding(
         &Message::Request(ProposerRequest::Accept {
             id: id(),
             ballot: ballot(),
@@ -126,24 +126,30 @@
         }),
         "00010771756572792d3103ac0202ef9bafcdf8acd19101c801020001ef9bafcdf8acd191010405ef9bafcdf8acd191010000000002",
     );
-    pin(&Message::Request(ProposerRequest::Prepare { id: id(), ballot: ballot(), opened_at: opened_at() }), "00020771756572792d3103ac0202ef9bafcdf8acd19101c801020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
-    pin(
+    assert_encoding(&Message::Request(ProposerRequest::Prepare { id: id(), ballot: ballot(), opened_at: opened_at() }), "00020771756572792d3103ac0202ef9bafcdf8acd19101c801020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
+    assert_encoding(
         &Message::Request(ProposerRequest::Chosen { id: id(), outcome: bytes("end") }),
         "00030771756572792d3103656e64",
     );
-    pin(&Message::Request(ProposerRequest::ReadRecord { id: id() }), "00040771756572792d31");
+    assert_encoding(&Message::Request(ProposerRequest::ReadRecord { id: id() }), "00040771756572792d31");
 }
 
 #[test]
 fn each_reply_of_an_acceptor_has_these_bytes() {
     let (id, ballot, incarnation) = (id(), ballot(), incarnation(7));
-    let done = AcceptorReply::Accepted { id: Arc::clone(&id), ballot, version: 129, incarnation };
-    pin(&Message::Reply(done), "01000771756572792d3103ac0202ef9bafcdf8acd19101c801810107ef9bafcdf8acd19101");
+    let accepted = AcceptorReply::Accepted { id: Arc::clone(&id), ballot, version: 129, incarnation };
+    assert_encoding(
+        &Message::Reply(accepted),
+        "01000771756572792d3103ac0202ef9bafcdf8acd19101c801810107ef9bafcdf8acd19101",
+    );
     let promised =
         |record| Message::Reply(AcceptorReply::Promised { id: Arc::clone(&id), ballot, incarnation, record });
-    pin(&promised(None), "01010771756572792d3103ac0202ef9bafcdf8acd19101c80107ef9bafcdf8acd1910100");
-    pin(&promised(Some(record())), "01010771756572792d3103ac0202ef9bafcdf8acd19101c80107ef9bafcdf8acd191010103ac0202ef9bafcdf8acd19101c80104626f647902000103ac0202ef9bafcdf8acd19101c801020303ac0202ef9bafcdf8acd19101c80101000103ac0202ef9bafcdf8acd19101c8010101ac0202ef9bafcdf8acd19101c80103656e640100020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
-    pin(
+    assert_encoding(
+        &promised(None),
+        "01010771756572792d3103ac0202ef9bafcdf8acd19101c80107ef9bafcdf8acd1910100",
+    );
+    assert_encoding(&promised(Some(record())), "01010771756572792d3103ac0202ef9bafcdf8acd19101c80107ef9bafcdf8acd191010103ac0202ef9bafcdf8acd19101c80104626f647902000103ac0202ef9bafcdf8acd19101c801020303ac0202ef9bafcdf8acd19101c80101000103ac0202ef9bafcdf8acd19101c8010101ac0202ef9bafcdf8acd19101c80103656e640100020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
+    assert_encoding(
         &Message::Reply(AcceptorReply::Rejected {
             id: Arc::clone(&id),
             rejected: ballot,
@@ -151,37 +157,40 @@
         }),
         "01020771756572792d3103ac0202ef9bafcdf8acd19101c80103ac0202ef9bafcdf8acd19101c8010000000000010000",
     );
-    pin(
-        &abstains(AbstainReason::Recovering),
+    assert_encoding(
+        &abstained(AbstainReason::Recovering),
         "01030771756572792d3103ac0202ef9bafcdf8acd19101c8010007ef9bafcdf8acd19101",
     );
-    pin(
-        &abstains(AbstainReason::StaleIncarnation),
+    assert_encoding(
+        &abstained(AbstainReason::StaleIncarnation),
         "01030771756572792d3103ac0202ef9bafcdf8acd19101c8010107ef9bafcdf8acd19101",
     );
-    pin(
-        &abstains(AbstainReason::UnknownQuery),
+    assert_encoding(
+        &abstained(AbstainReason::UnknownQuery),
         "01030771756572792d3103ac0202ef9bafcdf8acd19101c8010207ef9bafcdf8acd19101",
     );
-    pin(
-        &abstains(AbstainReason::CapacityExhausted),
+    assert_encoding(
+        &abstained(AbstainReason::CapacityExhausted),
         "01030771756572792d3103ac0202ef9bafcdf8acd19101c8010307ef9bafcdf8acd19101",
     );
-    let known = |record, possibly_forgotten| {
+    let record_read = |record, possibly_forgotten| {
         Message::Reply(AcceptorReply::RecordRead { id: Arc::clone(&id), record, possibly_forgotten })
     };
-    pin(&known(None, true), "01040771756572792d310001");
-    pin(&known(Some(record()), false), "01040771756572792d310103ac0202ef9bafcdf8acd19101c80104626f647902000103ac0202ef9bafcdf8acd19101c801020303ac0202ef9bafcdf8acd19101c80101000103ac0202ef9bafcdf8acd19101c8010101ac0202ef9bafcdf8acd19101c80103656e640100020001ef9bafcdf8acd191010405ef9bafcdf8acd1910102000604800100");
+    assert_encoding(&record_read(None, true), "01040771756572792d310001");
+    assert_encoding(&record_read(Some(record()), false), "01040771756572792d310103ac0202ef9bafcdf8acd19101c80104626f647902000103ac0202ef9bafcdf8acd19101c801020303ac0202ef9bafcdf8acd19101c80101000103ac0202ef9bafcdf8acd19101c8010101ac0202ef9bafcdf8acd19101c80103656e640100020001ef9bafcdf8acd191010405ef9bafcdf8acd1910102000604800100");
 }
 
 #[test]
 fn each_message_of_state_transfer_has_these_bytes() {
-    pin(&Message::TransferRequest { incarnation: incarnation(9), after: None }, "0209ef9bafcdf8acd1910100");
-    pin(
+    assert_encoding(
+        &Message::TransferRequest { incarnation: incarnation(9), after: None },
+        "0209ef9bafcdf8acd1910100",
+    );
+    assert_encoding(
         &Message::TransferRequest { incarnation: incarnation(9), after: Some(id()) },
         "0209ef9bafcdf8acd19101010771756572792d31",
     );
-    let meeting = StateTransfer {
+    let transfer = StateTransfer {
         from: PeerId(1),
         incarnation: incarnation(2),
         to: incarnation(3),
@@ -194,19 +203,22 @@
         after: Some("a".into()),
         next: None,
     };
-    pin(&Message::StateTransfer(meeting.clone()), "030102ef9bafcdf8acd1910103ef9bafcdf8acd19101900301020771756572792d3103ac0202ef9bafcdf8acd19101c80104626f647902000103ac0202ef9bafcdf8acd19101c801020303ac0202ef9bafcdf8acd19101c80101000103ac0202ef9bafcdf8acd19101c8010101ac0202ef9bafcdf8acd19101c80103656e640100020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001c0843d017a03ac0202ef9bafcdf8acd19101c80100000000000100000001016100");
+    assert_encoding(&Message::StateTransfer(transfer.clone()), "030102ef9bafcdf8acd1910103ef9bafcdf8acd19101900301020771756572792d3103ac0202ef9bafcdf8acd19101c80104626f647902000103ac0202ef9bafcdf8acd19101c801020303ac0202ef9bafcdf8acd19101c80101000103ac0202ef9bafcdf8acd19101c8010101ac0202ef9bafcdf8acd19101c80103656e640100020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001c0843d017a03ac0202ef9bafcdf8acd19101c80100000000000100000001016100");
     let page =
-        StateTransfer { remembers_all: false, records: vec![], after: None, next: Some(id()), ..meeting };
-    pin(
+        StateTransfer { remembers_all: false, records: vec![], after: None, next: Some(id()), ..transfer };
+    assert_encoding(
         &Message::StateTransfer(page),
         "030102ef9bafcdf8acd1910103ef9bafcdf8acd191019003000000010771756572792d31",
     );
-    pin(&Message::Epoch { incarnation: incarnation(9), epoch: 1000 }, "0409ef9bafcdf8acd19101e807");
+    assert_encoding(
+        &Message::Epoch { incarnation: incarnation(9), epoch: 1000 },
+        "0409ef9bafcdf8acd19101e807",
+    );
 }
 
 #[test]
-fn a_record_as_an_acceptor_holds_it_has_these_bytes() {
-    pin(&record(), "03ac0202ef9bafcdf8acd19101c80104626f647902000103ac0202ef9bafcdf8acd19101c801020303ac0202ef9bafcdf8acd19101c80101000103ac0202ef9bafcdf8acd19101c8010101ac0202ef9bafcdf8acd19101c80103656e640100020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
+fn an_acceptors_record_has_these_bytes() {
+    assert_encoding(&record(), "03ac0202ef9bafcdf8acd19101c80104626f647902000103ac0202ef9bafcdf8acd19101c801020303ac0202ef9bafcdf8acd19101c80101000103ac0202ef9bafcdf8acd19101c8010101ac0202ef9bafcdf8acd19101c80103656e640100020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
     let limits = AcceptorLimits { records: 4, bytes: 1 << 20, query_lifetime: 1_000_000 };
     let mut acceptor = Acceptor::new(0, PeerId(0), incarnation(1), 3, 3, limits);
     for from in [1, 2] {
@@ -238,7 +250,7 @@
             version: 1,
         },
     );
-    pin(acceptor.record("query-1").unwrap(), "00ac0202ef9bafcdf8acd19101c80104626f647901000000ac0202ef9bafcdf8acd19101c80100000000020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
+    assert_encoding(acceptor.record("query-1").unwrap(), "00ac0202ef9bafcdf8acd19101c80104626f647901000000ac0202ef9bafcdf8acd19101c80100000000020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
     acceptor
         .handle_request(0, ProposerRequest::Prepare { id: id(), ballot: ballot(), opened_at: opened_at() });
     let outcome = Some(bytes("end"));
@@ -253,9 +265,9 @@
             version: 2,
         },
     );
-    pin(acceptor.record("query-1").unwrap(), "03ac0202ef9bafcdf8acd19101c80104626f647901000000ac0202ef9bafcdf8acd19101c80101000000ac0202ef9bafcdf8acd19101c8010103ac0202ef9bafcdf8acd19101c80103656e640000020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
+    assert_encoding(acceptor.record("query-1").unwrap(), "03ac0202ef9bafcdf8acd19101c80104626f647901000000ac0202ef9bafcdf8acd19101c80101000000ac0202ef9bafcdf8acd19101c8010103ac0202ef9bafcdf8acd19101c80103656e640000020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
     acceptor.handle_request(0, ProposerRequest::Chosen { id: id(), outcome: bytes("end") });
-    pin(acceptor.record("query-1").unwrap(), "03ac0202ef9bafcdf8acd19101c80104626f647901000000ac0202ef9bafcdf8acd19101c80101000000ac0202ef9bafcdf8acd19101c8010103ac0202ef9bafcdf8acd19101c80103656e640100020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
+    assert_encoding(acceptor.record("query-1").unwrap(), "03ac0202ef9bafcdf8acd19101c80104626f647901000000ac0202ef9bafcdf8acd19101c80101000000ac0202ef9bafcdf8acd19101c8010103ac0202ef9bafcdf8acd19101c80103656e640100020001ef9bafcdf8acd191010405ef9bafcdf8acd19101020006048001");
 }
 
 #[test]
@@ -270,7 +282,7 @@
         assert_eq!(hex(&end.to_bytes()), bytes, "written: {end:?}");
         assert_eq!(QueryEnd::from_bytes(&unhex(bytes)), end, "read: {bytes}");
     }
-    // What a later build may write, and this one does not know, may have run.
+    // An encoding of a later build that this one does not know is read as possibly executed.
     for bytes in ["", "0100", "0200", "03", "ff"] {
         assert_eq!(QueryEnd::from_bytes(&unhex(bytes)), QueryEnd::PossiblyExecuted, "read: {bytes}");
     }
--- a/crates/cluster/tests/timer_queue.rs
+++ b/crates/cluster/tests/timer_queue.rs
@@ -1,4 +1,4 @@
-//! The deadlines of queries.
+//! The timer queue of queries' deadlines.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 use mallowgauge_cluster::timer_queue::TimerQueue;
 
 #[test]
-fn each_id_is_due_once_at_the_time_that_was_set_last() {
+fn each_query_is_due_once_at_its_last_set_deadline() {
     let mut timers = TimerQueue::default();
     let ids: Vec<QueryId> = ["a", "b", "c"].map(QueryId::from).into();
     timers.set(&ids[0], Some(30));
