--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -4,7 +4,7 @@
 
 use crate::Micros;
 
-/// Unix time in microseconds that never runs backwards.
+/// A clock of Unix time in microseconds that never runs backwards.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_at: Micros,
@@ -12,14 +12,15 @@
 }
 
 impl Clock {
-    /// Reads the system's time once; from there on elapsed time counts, whatever the system's time does.
+    /// Reads the system time once. Later times are computed from the elapsed monotonic time, so that changes of the
+    /// system time have no effect.
     #[must_use]
     pub fn start() -> Self {
         let started_at = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros);
         Self { started_at, start: Instant::now() }
     }
 
-    /// The present time.
+    /// The current time.
     #[must_use]
     pub fn now(&self) -> Micros {
         self.started_at + self.start.elapsed().as_micros() as Micros
--- a/crates/net/src/event_loop.rs
+++ b/crates/net/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! How a socket gets into the event loop and out of it, and who is told that it is ready.
+//! Registers sockets in the event loop, and notifies the loop's data when they are ready.
 
 use std::io;
 use std::os::fd::{AsFd, BorrowedFd};
@@ -7,43 +7,43 @@
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction};
 
-/// What a socket is registered under: a kind that the event handler gave out, and a number within that kind.
+/// Identifies a registered socket: a kind assigned by the event handler, and an id within that kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Token {
-    /// Which part of the event handler looks after it.
+    /// The kind, which determines the component that handles the socket.
     pub kind: u8,
-    /// Which of that part's sockets it is.
+    /// The socket's id within its kind.
     pub id: u64,
 }
 
-/// The event loop's own data, which is told of events.
+/// The event loop's data, which handles events.
 pub trait EventHandler: 'static {
-    /// The socket under this token is newly readable or writable. That is said once (edge-triggered), so it has to
-    /// be read and written until it blocks.
+    /// Handles a socket that has become readable or writable. Events are edge-triggered, so the socket has to be read
+    /// and written until it blocks.
     fn ready(&mut self, token: Token);
 }
 
-/// Registers sockets in an event loop, whatever the loop's data is.
+/// A handle to an event loop with any type of data, to register sockets.
 #[derive(Clone)]
 pub struct Handle(Rc<dyn Register>);
 
 impl Handle {
-    /// Registers sockets in the loop with that handle.
+    /// Wraps the handle of an event loop.
     #[must_use]
     pub fn new<D: EventHandler>(handle: LoopHandle<'static, D>) -> Self {
         Self(Rc::new(handle))
     }
 }
 
-/// Hides the type of the event loop's data.
+/// Abstracts over the type of the event loop's data.
 trait Register {
-    /// Registers a socket, and gives back what removes it again.
+    /// Registers a socket, and returns a function that removes it.
     fn register(&self, fd: Rc<dyn AsFd>, token: Token) -> io::Result<Box<dyn FnOnce()>>;
 }
 
 impl<D: EventHandler> Register for LoopHandle<'static, D> {
     fn register(&self, fd: Rc<dyn AsFd>, token: Token) -> io::Result<Box<dyn FnOnce()>> {
-        let source = Generic::new(Fd(fd), Interest::BOTH, Mode::Edge);
+        let source = Generic::new(SharedFd(fd), Interest::BOTH, Mode::Edge);
         let ready = move |_, _: &mut _, handler: &mut D| {
             handler.ready(token);
             Ok(PostAction::Continue)
@@ -54,16 +54,16 @@
     }
 }
 
-/// A shared descriptor, in the form that the event loop takes.
-struct Fd(Rc<dyn AsFd>);
+/// A shared file descriptor that implements `AsFd`, as the event loop requires.
+struct SharedFd(Rc<dyn AsFd>);
 
-impl AsFd for Fd {
+impl AsFd for SharedFd {
     fn as_fd(&self) -> BorrowedFd<'_> {
         (*self.0).as_fd()
     }
 }
 
-/// A socket in the event loop, for as long as this is held.
+/// Keeps a socket registered in the event loop until it is dropped.
 pub(crate) struct Registration(Option<Box<dyn FnOnce()>>);
 
 impl Registration {
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -7,7 +7,7 @@
 use crate::event_loop::Registration;
 use crate::{Handle, Token};
 
-/// Connections that may wait to be accepted; the system lets one more than that try again only a second later.
+/// Maximum number of connections in the backlog. A connection attempt beyond it is retried only after a second.
 const BACKLOG: i32 = 1024;
 
 /// A listening socket.
@@ -17,7 +17,7 @@
 }
 
 impl Listener {
-    /// Listens on this address only.
+    /// Binds a listening socket to this address and registers it.
     ///
     /// # Errors
     /// The address cannot be bound.
@@ -32,18 +32,18 @@
         Ok(Self { socket, _registration: registration })
     }
 
-    /// The address that it listens on.
+    /// The address that the socket is bound to.
     ///
     /// # Errors
-    /// The system's own.
+    /// The operating system's error.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// The next connection that waits; `None` when none does.
+    /// Accepts the next pending connection; `None` if there is none.
     ///
     /// # Errors
-    /// No more can be held now (such as EMFILE); the connection stays in the backlog.
+    /// No further connection can be accepted now (such as EMFILE); the connection stays in the backlog.
     pub fn accept(&self) -> io::Result<Option<TcpStream>> {
         loop {
             match self.socket.accept() {
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -12,18 +12,18 @@
 /// Why reading ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadEnd {
-    /// All that has come is read.
+    /// All received bytes are read.
     Blocked,
-    /// The buffer holds all that it may; the socket may hold more.
+    /// The buffer has reached its limit; the socket may hold more bytes.
     Full,
-    /// The other side has ended the connection, and all that it sent is read.
+    /// The other side has closed the connection, and all that it sent is read.
     Closed,
-    /// The connection broke: what was on its way is lost, and what came may be incomplete.
+    /// The connection failed: bytes in transit are lost, and the received bytes may be incomplete.
     Broken,
 }
 
 impl ReadEnd {
-    /// Nothing more will come.
+    /// Whether no more bytes will be received.
     #[must_use]
     pub fn is_over(self) -> bool {
         matches!(self, ReadEnd::Closed | ReadEnd::Broken)
@@ -33,19 +33,19 @@
 /// A connected socket, or one that is being connected.
 pub struct Stream {
     socket: Rc<TcpStream>,
-    /// A read or write has failed: what is still to be read may be incomplete.
+    /// Whether a read or write has failed, so that further input may be incomplete.
     broken: Cell<bool>,
     _registration: Registration,
 }
 
-/// Bytes of room that a buffer has at least when a socket is read.
-const READ_RESERVE: usize = 16 * 1024;
+/// Bytes reserved in a buffer before a socket is read.
+const READ_RESERVE_BYTES: usize = 16 * 1024;
 
 impl Stream {
-    /// Takes an accepted socket.
+    /// Registers an accepted socket.
     ///
     /// # Errors
-    /// The system's own.
+    /// The operating system's error.
     pub fn from_accepted(handle: &Handle, socket: TcpStream, token: Token) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
         socket.set_nodelay(true)?;
@@ -54,23 +54,23 @@
         Ok(Self { socket, broken: Cell::new(false), _registration: registration })
     }
 
-    /// Begins to connect. Once the socket is ready, [`Stream::connected`] says how that went.
+    /// Starts to connect. Once the socket is ready, [`Stream::connected`] returns the result.
     ///
     /// # Errors
-    /// The system's own.
+    /// The operating system's error.
     pub fn connect(handle: &Handle, addr: SocketAddr, token: Token) -> io::Result<Self> {
         let socket = socket2::Socket::new(socket2::Domain::for_address(addr), socket2::Type::STREAM, None)?;
         socket.set_nonblocking(true)?;
         match socket.connect(&addr.into()) {
             Ok(()) => {}
-            // "In progress" has no `ErrorKind` of its own.
+            // EINPROGRESS has no stable `ErrorKind`.
             Err(e) if e.raw_os_error() == Some(libc::EINPROGRESS) => {}
             Err(e) => return Err(e),
         }
         Self::from_accepted(handle, socket.into(), token)
     }
 
-    /// Whether the connection is up; `None` while it is being opened, `Some(false)` once that has failed.
+    /// Whether the connection is established; `None` while it is being opened, `Some(false)` if that failed.
     pub fn connected(&self) -> Option<bool> {
         match self.socket.take_error() {
             Ok(None) => match self.socket.peer_addr() {
@@ -82,19 +82,19 @@
         }
     }
 
-    /// Reads what has come, until `buffer` holds `most` bytes.
-    pub fn read(&self, buffer: &mut Vec<u8>, most: usize) -> ReadEnd {
+    /// Reads received bytes until the socket blocks or `buffer` holds `max_length` bytes.
+    pub fn read(&self, buffer: &mut Vec<u8>, max_length: usize) -> ReadEnd {
         if self.broken.get() {
             return ReadEnd::Broken;
         }
-        let room = most.saturating_sub(buffer.len());
-        if room == 0 {
+        let capacity = max_length.saturating_sub(buffer.len());
+        if capacity == 0 {
             return ReadEnd::Full;
         }
-        // Reserved room is not zeroed for each read, as a slice would have to be.
-        buffer.reserve(READ_RESERVE.min(room));
-        match (&*self.socket).take(room as u64).read_to_end(buffer) {
-            Ok(_) if buffer.len() >= most => ReadEnd::Full,
+        // Unlike a slice to read into, reserved capacity is not zeroed for each read.
+        buffer.reserve(READ_RESERVE_BYTES.min(capacity));
+        match (&*self.socket).take(capacity as u64).read_to_end(buffer) {
+            Ok(_) if buffer.len() >= max_length => ReadEnd::Full,
             Ok(_) => ReadEnd::Closed,
             Err(e) if e.kind() == ErrorKind::WouldBlock => ReadEnd::Blocked,
             Err(_) => {
@@ -107,37 +107,37 @@
     /// Reads once into `buffer`; 0 means that the other side has closed.
     ///
     /// # Errors
-    /// `WouldBlock` when nothing has come, and any that means that the connection is broken.
+    /// `WouldBlock` if no bytes are available; any other error means that the connection has failed.
     pub fn read_once(&self, buffer: &mut [u8]) -> io::Result<usize> {
         (&*self.socket).read(buffer)
     }
 
-    /// Bounds the bytes that the system holds until the other side takes them, at about so many.
+    /// Limits the kernel's send buffer to approximately this many bytes.
     pub fn limit_send_buffer(&self, bytes: usize) {
-        // Where it cannot be set, the system's own bound holds.
+        // If it cannot be set, the system's default applies.
         let _ = socket2::SockRef::from(&*self.socket).set_send_buffer_size(bytes);
     }
 
-    /// Makes the close a reset: what the other side has not taken by then is dropped.
+    /// Makes closing reset the connection, which discards bytes that were not delivered yet.
     pub fn reset_on_close(&self) {
-        // Where it cannot be set, the system gives the rest up by itself after a while.
+        // If it cannot be set, the kernel discards the remaining bytes after a timeout.
         let _ = socket2::SockRef::from(&*self.socket).set_linger(Some(Duration::ZERO));
     }
 
-    /// Ends this side of the connection: nothing more will be written.
+    /// Shuts down the write side of the connection.
     pub fn shutdown_write(&self) {
         // An error means that the connection has ended already.
         let _ = self.socket.shutdown(Shutdown::Write);
     }
 
-    /// Writes separate pieces in one system call, as far as the socket takes them now; returns the bytes written.
+    /// Writes several buffers in one system call, as far as the socket accepts them; returns the bytes written.
     ///
     /// # Errors
-    /// The connection is broken.
-    pub fn write_vectored(&self, pieces: &[IoSlice<'_>]) -> io::Result<usize> {
+    /// The connection has failed.
+    pub fn write_vectored(&self, buffers: &[IoSlice<'_>]) -> io::Result<usize> {
         loop {
-            match (&*self.socket).write_vectored(pieces) {
-                Ok(0) if pieces.iter().any(|piece| !piece.is_empty()) => {
+            match (&*self.socket).write_vectored(buffers) {
+                Ok(0) if buffers.iter().any(|buffer| !buffer.is_empty()) => {
                     return Err(ErrorKind::WriteZero.into())
                 }
                 Ok(n) => return Ok(n),
@@ -151,16 +151,16 @@
         }
     }
 
-    /// Writes as far as the socket takes it now; returns the bytes written.
+    /// Writes until the socket blocks; returns the bytes written.
     ///
     /// # Errors
-    /// The connection is broken.
+    /// The connection has failed.
     pub fn write(&self, bytes: &[u8]) -> io::Result<usize> {
-        let mut done = 0;
-        while done < bytes.len() {
-            match (&*self.socket).write(&bytes[done..]) {
+        let mut written = 0;
+        while written < bytes.len() {
+            match (&*self.socket).write(&bytes[written..]) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
-                Ok(n) => done += n,
+                Ok(n) => written += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => {
@@ -169,6 +169,6 @@
                 }
             }
         }
-        Ok(done)
+        Ok(written)
     }
 }
