--- a/crates/edge/src/peers/dispatch.rs
+++ b/crates/edge/src/peers/dispatch.rs
@@ -84,7 +84,7 @@
             (Phase::Connected(peer), Frame::Takeover(messages)) => {
                 self.handle_takeover(now, id, peer, &messages);
             }
-            // Frames of a later version, or received before or after the connection is in use, are ignored.
+            // Ignores frames of a later version, and frames received before or after the connection is in use.
             (Phase::Connected(_), Frame::Unknown) | (Phase::Closing | Phase::Dialing, _) => {}
             (Phase::Handshaking, _) | (Phase::Connected(_), Frame::Hello(_)) => {
                 self.disconnect(now, id, Disconnect::Rejected(RejectReason::UnexpectedFrame));
--- a/crates/edge/src/peers/wire.rs
+++ b/crates/edge/src/peers/wire.rs
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Decodes an update; `None` if it holds a number that this version does not know.
+    /// Decodes an update; `None` if it holds a number that this version does not know and cannot interpret.
     fn decode(&self) -> Option<MemberUpdate> {
         Some(MemberUpdate {
             member: peer(self.member)?,
--- a/crates/edge/tests/discovery_timing.rs
+++ b/crates/edge/tests/discovery_timing.rs
@@ -1,5 +1,6 @@
-//! How soon a change is told, on every path that a call to discovery can fail on. Sockets are real, time is not:
-//! the connection and the core are given the time, so that a silence of seconds takes none.
+//! How soon the next request to discovery follows a failed one, for every way in which a request can fail. Sockets are
+//! real and time is simulated: the discovery client and the core get the time as an argument, so timeouts of seconds
+//! take no real time.
 
 use std::any::Any;
 use std::net::{TcpListener, TcpStream};
@@ -14,47 +15,49 @@
 use mallowgauge_testkit::hand::{accept, addr, listener, Held, Wire};
 use mallowgauge_testkit::settings;
 
-/// A change counts as told this long after discovery had it, on whatever path.
-const TOLD: Micros = 6_000_000;
-/// Left of that for the answer to the call that gets through: discovery ends one that has waited 2 s for its turn,
-/// and in the worst case the watch before it has used up most of the time.
-const ANSWER: Micros = 1_000_000;
-const TURN: Micros = 5_000;
+/// A change counts as notified this long after discovery had it, in microseconds.
+const NOTIFIED_AFTER: Micros = 6_000_000;
+/// The share of that for the response to the request that succeeds, in microseconds. Discovery ends a request that was
+/// queued for 2 s, and in the worst case the watch before it has used most of the time.
+const RESPONSE_TIME: Micros = 1_000_000;
+/// The interval of event-loop iterations, in microseconds.
+const TICK: Micros = 5_000;
 
+/// Counts socket events.
 #[derive(Default)]
-struct Ready(usize);
+struct ReadyEvents(usize);
 
-impl EventHandler for Ready {
+impl EventHandler for ReadyEvents {
     fn ready(&mut self, _: Token) {
         self.0 += 1;
     }
 }
 
-/// Discovery's connection and the core that says when to ask, in a time of their own.
-struct World {
-    events: EventLoop<'static, Ready>,
+/// The discovery client and the core, which schedules its requests, in simulated time.
+struct Simulation {
+    events: EventLoop<'static, ReadyEvents>,
     handle: Handle,
-    ready: Ready,
+    ready: ReadyEvents,
     discovery: Discovery,
     core: Core,
     now: Micros,
-    lists: usize,
+    received_lists: usize,
     failures: Vec<Micros>,
-    /// What holds the ports that may still be dialled: one that is free would be given to the listener of another test,
-    /// which would then be dialled in its place.
-    ports: Vec<Box<dyn Any>>,
+    /// Keeps ports in use that may still be dialed. A free port could be assigned to the listener of another test, which
+    /// would then be dialed instead.
+    held_ports: Vec<Box<dyn Any>>,
 }
 
-impl World {
-    fn new(seed: u64, at: &TcpListener) -> Self {
+impl Simulation {
+    fn new(seed: u64, listener: &TcpListener) -> Self {
         let events = EventLoop::try_new().expect("an event loop");
         let handle = Handle::new(events.handle());
         let Site { settings, classes, .. } = Site::read(&settings()).expect("settings");
-        let bounds = CoreLimits { max_open: 20, shards: 10 };
-        let mut core = Core::new(seed, settings, classes, bounds).expect("a core");
+        let limits = CoreLimits { max_open: 20, shards: 10 };
+        let mut core = Core::new(seed, settings, classes, limits).expect("a core");
         core.endpoint_update(EndpointUpdate::CachedSnapshot(Vec::new()));
-        let discovery = Discovery::new(addr(at), 1, false);
-        let (ready, now) = (Ready::default(), 1_000_000);
+        let discovery = Discovery::new(addr(listener), 1, false);
+        let (ready, now) = (ReadyEvents::default(), 1_000_000);
         Self {
             events,
             handle,
@@ -62,21 +65,21 @@
             discovery,
             core,
             now,
-            lists: 0,
+            received_lists: 0,
             failures: Vec::new(),
-            ports: Vec::new(),
+            held_ports: Vec::new(),
         }
     }
 
-    fn keep(&mut self, port: impl Any) {
-        self.ports.push(Box::new(port));
+    fn hold_port(&mut self, port: impl Any) {
+        self.held_ports.push(Box::new(port));
     }
 
-    fn take(&mut self, events: impl IntoIterator<Item = DiscoveryEvent>) {
+    fn handle_events(&mut self, events: impl IntoIterator<Item = DiscoveryEvent>) {
         for event in events {
             match event {
                 DiscoveryEvent::Endpoints(_) => {
-                    self.lists += 1;
+                    self.received_lists += 1;
                     self.core.endpoint_update(EndpointUpdate::Snapshot(Vec::new()));
                 }
                 DiscoveryEvent::Failed(_) => {
@@ -87,77 +90,77 @@
         }
     }
 
-    /// Does all that is due, without letting time pass.
-    fn settle(&mut self) {
+    /// Handles all timers that are due, without advancing the time.
+    fn handle_due(&mut self) {
         let events = self.discovery.handle_timeout(self.now);
-        self.take(events);
+        self.handle_events(events);
         for action in self.core.run_batch(self.now) {
             if action == Action::WatchEndpoints {
                 let events = self.discovery.watch(self.now, &self.handle);
-                self.take(events);
+                self.handle_events(events);
             }
         }
     }
 
-    /// Moves on to the next time at which something is due.
-    fn step(&mut self) {
+    /// Advances the time to the next timer and handles it.
+    fn advance(&mut self) {
         let due = [self.discovery.poll_timeout(), self.core.poll_timeout()].into_iter().flatten().min();
-        self.now = self.now.max(due.expect("something is always due: a call or the next one"));
-        self.settle();
+        self.now = self.now.max(due.expect("there is always a timer: of a request or of the next one"));
+        self.handle_due();
     }
 
-    /// Waits, in no time of the world's, until the socket has been ready and read.
-    fn socket(&mut self) {
+    /// Waits until the socket is ready and handles it. Simulated time does not advance.
+    fn handle_socket(&mut self) {
         let before = self.ready.0;
         while self.ready.0 == before {
             self.events.dispatch(Some(Duration::from_secs(20)), &mut self.ready).expect("an event loop");
-            assert!(self.ready.0 > before, "nothing came");
+            assert!(self.ready.0 > before, "no socket event");
         }
         let events = self.discovery.handle_ready(self.now, &self.handle);
-        self.take(events);
+        self.handle_events(events);
     }
 
-    /// Lets time pass until a call fails, and says when.
-    fn fails(&mut self) -> Micros {
+    /// Advances the time until a request fails. Returns the time of the failure.
+    fn run_until_failure(&mut self) -> Micros {
         let before = self.failures.len();
         while self.failures.len() == before {
-            self.step();
+            self.advance();
         }
         self.now
     }
 
-    /// Lets time pass until a call is under way, or was refused at once.
-    fn calls(&mut self) -> Micros {
+    /// Advances the time until a request is in flight, or failed at once. Returns the time.
+    fn run_until_request(&mut self) -> Micros {
         let before = self.failures.len();
         while self.discovery.poll_timeout().is_none() && self.failures.len() == before {
-            self.step();
+            self.advance();
         }
         self.now
     }
 
-    /// The connection is up, and the call stands at its other end.
-    fn arrives(&mut self, at: &TcpListener) -> (Wire, String) {
-        self.calls();
-        let mut wire = accept(at);
-        self.socket();
+    /// Accepts the connection for the next request. Returns it with the head of the request.
+    fn accept_request(&mut self, listener: &TcpListener) -> (Wire, String) {
+        self.run_until_request();
+        let mut wire = accept(listener);
+        self.handle_socket();
         let head = wire.head();
         (wire, head)
     }
 
-    /// A watch that has been answered once, and the next one after it under way.
-    fn watched(seed: u64) -> (Self, Wire, TcpListener) {
-        let at = listener();
-        let mut world = Self::new(seed, &at);
-        let (mut wire, _) = world.arrives(&at);
+    /// A simulation with one answered watch, and the next watch in flight.
+    fn with_watch(seed: u64) -> (Self, Wire, TcpListener) {
+        let listener = listener();
+        let mut simulation = Self::new(seed, &listener);
+        let (mut wire, _) = simulation.accept_request(&listener);
         wire.list(2, true, &[]);
-        world.socket();
+        simulation.handle_socket();
         assert!(wire.head().starts_with("GET /v1/servers?index=2&wait="));
-        assert_eq!(world.lists, 1);
-        (world, wire, at)
+        assert_eq!(simulation.received_lists, 1);
+        (simulation, wire, listener)
     }
 }
 
-/// A port that refuses connections; the one that was accepted on it holds it.
+/// A port that refuses connections. An established connection keeps the port in use.
 struct ClosedPort {
     _client: TcpStream,
     _accepted: TcpStream,
@@ -171,206 +174,206 @@
     }
 }
 
-/// The longest time, over many seeds, from `from` until the next call is under way.
-fn worst(path: impl Fn(u64) -> (World, Micros)) -> Micros {
+/// The longest time, over many seeds, from the time that `path` returns until the next request is in flight.
+fn longest_gap(path: impl Fn(u64) -> (Simulation, Micros)) -> Micros {
     let gap = |seed| {
-        let (mut world, from) = path(seed);
-        world.calls() - from
+        let (mut simulation, from) = path(seed);
+        simulation.run_until_request() - from
     };
     (0..40).map(gap).max().expect("some seeds")
 }
 
-fn in_time(what: &str, gap: Micros) {
-    assert!(gap + TURN + ANSWER <= TOLD, "{what}: the next call only after {gap} us");
+fn assert_in_time(what: &str, gap: Micros) {
+    assert!(gap + TICK + RESPONSE_TIME <= NOTIFIED_AFTER, "{what}: the next request only after {gap} us");
 }
 
-// The fault behind requests to hosts that had been announced as leaving on calm+brink: a watch waited 10 s, and
-// 1.8 s more before it was given up.
+// Guards against sending queries to backends that were announced as draining, as seen in the scenario calm+brink: a watch
+// waited 10 s, and timed out only 1.8 s after that.
 #[test]
-fn a_silent_watch_is_given_up_and_the_next_call_answered_in_time() {
-    in_time(
+fn silent_watch_times_out_and_next_request_is_answered_in_time() {
+    assert_in_time(
         "a silent watch",
-        worst(|seed| {
-            let (mut world, _wire, at) = World::watched(seed);
-            let from = world.now;
-            world.fails();
-            world.keep(at);
-            (world, from)
+        longest_gap(|seed| {
+            let (mut simulation, _wire, port) = Simulation::with_watch(seed);
+            let from = simulation.now;
+            simulation.run_until_failure();
+            simulation.hold_port(port);
+            (simulation, from)
         }),
     );
 }
 
 #[test]
-fn half_an_answer_is_given_up_in_time() {
-    in_time(
-        "half an answer",
-        worst(|seed| {
-            let (mut world, mut wire, at) = World::watched(seed);
-            let from = world.now;
+fn incomplete_response_times_out_in_time() {
+    assert_in_time(
+        "an incomplete response",
+        longest_gap(|seed| {
+            let (mut simulation, mut wire, port) = Simulation::with_watch(seed);
+            let from = simulation.now;
             wire.send("HTTP/1.1 200 OK\r\nContent-Length: 60\r\n\r\n{\"generation\":3,");
-            world.socket();
-            world.fails();
-            world.keep(at);
-            (world, from)
+            simulation.handle_socket();
+            simulation.run_until_failure();
+            simulation.hold_port(port);
+            (simulation, from)
         }),
     );
 }
 
 #[test]
-fn a_silent_call_for_the_whole_list_is_given_up_in_time() {
-    in_time(
-        "a silent fetch",
-        worst(|seed| {
-            let (mut world, _wire, at) = World::watched(seed);
+fn silent_snapshot_request_times_out_in_time() {
+    assert_in_time(
+        "a silent snapshot request",
+        longest_gap(|seed| {
+            let (mut simulation, _wire, port) = Simulation::with_watch(seed);
             let other = listener();
-            let events = world.discovery.relocate(world.now, &world.handle, addr(&other));
-            world.take(events);
-            let (wire, head) = world.arrives(&other);
+            let events = simulation.discovery.relocate(simulation.now, &simulation.handle, addr(&other));
+            simulation.handle_events(events);
+            let (wire, head) = simulation.accept_request(&other);
             assert!(head.starts_with("GET /v1/servers HTTP"), "{head}");
-            let from = world.now;
-            world.fails();
+            let from = simulation.now;
+            simulation.run_until_failure();
             drop(wire);
-            world.keep(at);
-            world.keep(other);
-            (world, from)
+            simulation.hold_port(port);
+            simulation.hold_port(other);
+            (simulation, from)
         }),
     );
 }
 
 #[test]
-fn a_refused_call_is_made_again_in_time() {
-    in_time(
+fn request_answered_with_503_is_retried_in_time() {
+    assert_in_time(
         "503",
-        worst(|seed| {
-            let (mut world, mut wire, at) = World::watched(seed);
-            // Discovery ends a call that has waited 2 s for its turn.
-            let from = world.now;
-            world.now += 2_000_000;
+        longest_gap(|seed| {
+            let (mut simulation, mut wire, port) = Simulation::with_watch(seed);
+            // Discovery ends a request that was queued for 2 s.
+            let from = simulation.now;
+            simulation.now += 2_000_000;
             wire.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-            world.socket();
-            world.keep(at);
-            (world, from)
+            simulation.handle_socket();
+            simulation.hold_port(port);
+            (simulation, from)
         }),
     );
 }
 
 #[test]
-fn a_reset_watch_is_opened_anew_in_time() {
-    in_time(
+fn reset_watch_is_reopened_in_time() {
+    assert_in_time(
         "a reset",
-        worst(|seed| {
-            let (mut world, wire, at) = World::watched(seed);
-            let from = world.now;
+        longest_gap(|seed| {
+            let (mut simulation, wire, port) = Simulation::with_watch(seed);
+            let from = simulation.now;
             wire.reset();
-            world.socket();
-            assert_eq!(world.failures.len(), 1);
-            world.keep(at);
-            (world, from)
+            simulation.handle_socket();
+            assert_eq!(simulation.failures.len(), 1);
+            simulation.hold_port(port);
+            (simulation, from)
         }),
     );
 }
 
-// However long discovery was away, and however it was: what it has at its return is asked for in time. The longest
-// silence of a call and the longest back-off come one after the other.
+// After an outage of discovery of any length and kind, the next request is sent in time, even if the longest timeout and
+// the longest backoff follow each other.
 #[test]
-fn after_any_number_of_failures_the_next_call_comes_in_time() {
-    in_time(
-        "refused dials",
-        worst(|seed| {
-            let gone = listener();
-            let mut world = World::new(seed, &gone);
-            world.keep(ClosedPort::of(gone));
+fn next_request_is_in_time_after_any_number_of_failures() {
+    assert_in_time(
+        "refused connections",
+        longest_gap(|seed| {
+            let closed = listener();
+            let mut simulation = Simulation::new(seed, &closed);
+            simulation.hold_port(ClosedPort::of(closed));
             for _ in 0..12 {
-                world.refused();
+                simulation.run_until_refused();
             }
-            let from = world.now;
-            (world, from)
+            let from = simulation.now;
+            (simulation, from)
         }),
     );
-    in_time(
-        "dials that nobody answers",
-        worst(|seed| {
+    assert_in_time(
+        "unanswered connection attempts",
+        longest_gap(|seed| {
             let silent = listener();
             let held = Held::dials(&silent);
-            let mut world = World::new(seed, &silent);
+            let mut simulation = Simulation::new(seed, &silent);
             let mut from = 0;
             for _ in 0..12 {
-                from = world.calls();
-                world.fails();
+                from = simulation.run_until_request();
+                simulation.run_until_failure();
             }
             drop(held);
-            world.keep(silent);
-            (world, from)
+            simulation.hold_port(silent);
+            (simulation, from)
         }),
     );
-    in_time(
-        "calls that nobody answers",
-        worst(|seed| {
+    assert_in_time(
+        "unanswered requests",
+        longest_gap(|seed| {
             let silent = listener();
-            let mut world = World::new(seed, &silent);
+            let mut simulation = Simulation::new(seed, &silent);
             let mut from = 0;
             for _ in 0..12 {
-                let _wire = world.arrives(&silent);
-                from = world.now;
-                world.fails();
+                let _wire = simulation.accept_request(&silent);
+                from = simulation.now;
+                simulation.run_until_failure();
             }
-            world.keep(silent);
-            (world, from)
+            simulation.hold_port(silent);
+            (simulation, from)
         }),
     );
 }
 
-impl World {
-    /// The next dial is refused, which ends the call at once.
-    fn refused(&mut self) {
+impl Simulation {
+    /// Runs until the next connection attempt is refused, which fails the request at once.
+    fn run_until_refused(&mut self) {
         let before = self.failures.len();
-        self.calls();
+        self.run_until_request();
         if self.failures.len() == before {
-            self.socket();
+            self.handle_socket();
         }
         assert_eq!((self.failures.len(), self.discovery.poll_timeout()), (before + 1, None));
     }
 }
 
-// After SIGHUP a change counts 4 s later: a dial to an address that says nothing is given up and made again.
+// After SIGHUP a change counts as notified 4 s later: a connection attempt to a silent address times out and is retried.
 #[test]
-fn a_moved_discovery_that_is_silent_at_first_is_asked_again_within_4_s() {
-    let gap = worst(|seed| {
-        let (mut world, _wire, at) = World::watched(seed);
+fn relocated_discovery_that_is_silent_at_first_is_retried_within_4_s() {
+    let gap = longest_gap(|seed| {
+        let (mut simulation, _wire, port) = Simulation::with_watch(seed);
         let silent = listener();
         let held = Held::dials(&silent);
-        let events = world.discovery.relocate(world.now, &world.handle, addr(&silent));
-        world.take(events);
-        let from = world.now;
-        world.fails();
+        let events = simulation.discovery.relocate(simulation.now, &simulation.handle, addr(&silent));
+        simulation.handle_events(events);
+        let from = simulation.now;
+        simulation.run_until_failure();
         drop(held);
-        world.keep(at);
-        world.keep(silent);
-        (world, from)
+        simulation.hold_port(port);
+        simulation.hold_port(silent);
+        (simulation, from)
     });
-    assert!(gap + TURN + ANSWER <= 4_000_000, "the next call only after {gap} us");
+    assert!(gap + TICK + RESPONSE_TIME <= 4_000_000, "the next request only after {gap} us");
 }
 
-// What all this costs, with nothing to tell and with discovery away: calls of one gatherer in a minute.
+// The number of requests of one instance in a minute, without changes and with discovery unreachable.
 #[test]
-fn calls_stay_few() {
-    let (mut world, mut wire, at) = World::watched(7);
-    let (from, mut calls) = (world.now, 0);
-    while world.now < from + 60_000_000 {
-        world.now += 2_200_000;
+fn request_rate_is_bounded() {
+    let (mut simulation, mut wire, port) = Simulation::with_watch(7);
+    let (from, mut requests) = (simulation.now, 0);
+    while simulation.now < from + 60_000_000 {
+        simulation.now += 2_200_000;
         wire.list(2, false, &[]);
-        world.socket();
+        simulation.handle_socket();
         wire.head();
-        calls += 1;
+        requests += 1;
     }
-    assert_eq!(calls, 28, "watches with nothing to tell");
+    assert_eq!(requests, 28, "watches without changes");
     drop(wire);
-    world.keep(ClosedPort::of(at));
-    world.socket();
-    let (from, before) = (world.now, world.failures.len());
-    while world.now < from + 60_000_000 {
-        world.refused();
+    simulation.hold_port(ClosedPort::of(port));
+    simulation.handle_socket();
+    let (from, before) = (simulation.now, simulation.failures.len());
+    while simulation.now < from + 60_000_000 {
+        simulation.run_until_refused();
     }
-    let refused = world.failures.len() - before;
-    assert!((25..=40).contains(&refused), "{refused} dials to an address that refuses");
+    let refused = simulation.failures.len() - before;
+    assert!((25..=40).contains(&refused), "{refused} connection attempts to an address that refuses");
 }
--- a/crates/edge/tests/parts.rs
+++ b/crates/edge/tests/parts.rs
@@ -272,10 +272,10 @@
     assert!(taken.iter().all(|&count| count > 1_000), "{taken:?}");
 }
 
-// Guards the request that is found by the last look for one: the phases never pass from draining to the
-// exit without asking whether anything is left.
+// Guards requests that are read just before the exit: the phases never pass from draining to stopped without checking
+// whether a request is unanswered.
 #[test]
-fn the_program_stops_only_once_nothing_is_left() {
+fn server_stops_only_once_all_requests_are_answered() {
     let mut lifecycle = Lifecycle::new(3_000_000);
     let mut seen = vec![format!("{:?}", lifecycle.phase())];
     let mut see = |lifecycle: &Lifecycle| seen.push(format!("{:?}", lifecycle.phase()));
@@ -298,20 +298,23 @@
     ");
 }
 
-// Guards what comes after the program was told to end, where deadlines are short or long: the platform kills it
-// no sooner than the longest deadline, of which 3 s count at most, and 0.7 s more.
+// Guards the times of the shutdown, with short and long deadlines: the platform kills the process no sooner than the
+// longest deadline, of which at most 3 s count, plus 0.7 s.
 #[test]
-fn the_last_answer_comes_before_the_program_may_be_killed() {
-    let (told, second) = (10_000_000, 1_000_000);
+fn last_answer_precedes_the_earliest_kill() {
+    let (requested_at, second) = (10_000_000, 1_000_000);
     let end = |longest| {
         let mut lifecycle = Lifecycle::new(longest);
         lifecycle.start_serving();
         assert_eq!(lifecycle.answer_deadline(), None);
-        lifecycle.request_shutdown(told);
-        // A second signal moves nothing, and clients never stop to connect.
-        lifecycle.request_shutdown(told + second);
-        lifecycle.connection_accepted(told + 10 * second);
-        (lifecycle.poll_timeout().map(|at| at - told), lifecycle.answer_deadline().map(|at| at - told))
+        lifecycle.request_shutdown(requested_at);
+        // A second signal changes nothing, and clients never stop connecting.
+        lifecycle.request_shutdown(requested_at + second);
+        lifecycle.connection_accepted(requested_at + 10 * second);
+        (
+            lifecycle.poll_timeout().map(|at| at - requested_at),
+            lifecycle.answer_deadline().map(|at| at - requested_at),
+        )
     };
     assert_eq!(end(300_000), (Some(800_000), Some(900_000)));
     assert_eq!(end(3_000_000), (Some(2_000_000), Some(3_600_000)));
@@ -356,30 +359,30 @@
     "#);
 }
 
-// Guards the memory of a long day: the name of a host that has left, or that a whole list lacks, is
-// forgotten, and its number is not given out again.
+// Guards against memory growth over long runs: the name of a backend that was removed, or that a snapshot lacks, is
+// deleted, and its id is not reused.
 #[test]
-fn hosts_that_have_left_are_forgotten() {
+fn removed_backends_are_deregistered() {
     let mut registry = BackendRegistry::default();
     let mut seen = Vec::new();
-    let mut tell = |reset: bool, told: &[(&str, &str)]| {
-        let host = |(name, state): &(&str, &str)| json!({"instanceId": name, "hostPort": "127.0.0.1:1", "cell": 0, "lifecycle": state});
-        let instances: Vec<Value> = told.iter().map(host).collect();
+    let mut apply = |reset: bool, listed: &[(&str, &str)]| {
+        let instance = |(name, state): &(&str, &str)| json!({"instanceId": name, "hostPort": "127.0.0.1:1", "cell": 0, "lifecycle": state});
+        let instances: Vec<Value> = listed.iter().map(instance).collect();
         let list = parse(&json!({"generation": 1, "reset": reset, "instances": instances})).expect("a list");
         let update = registry.apply(&list);
-        let named: Vec<String> =
+        let listed: Vec<String> =
             update.listed.iter().map(|(id, backend)| format!("{}={}", backend.id, id.0)).collect();
-        let gone: Vec<u32> = update.removed.iter().map(|id| id.0).collect();
-        seen.push(format!("{} forgets {gone:?}", named.join(" ")));
+        let removed: Vec<u32> = update.removed.iter().map(|id| id.0).collect();
+        seen.push(format!("{} removed {removed:?}", listed.join(" ")));
     };
-    tell(true, &[("a", "active"), ("b", "active"), ("c", "active")]);
-    tell(false, &[("a", "left"), ("d", "active")]);
-    tell(false, &[("a", "left"), ("a", "active")]);
-    tell(true, &[("b", "leaving"), ("a", "active")]);
+    apply(true, &[("a", "active"), ("b", "active"), ("c", "active")]);
+    apply(false, &[("a", "left"), ("d", "active")]);
+    apply(false, &[("a", "left"), ("a", "active")]);
+    apply(true, &[("b", "leaving"), ("a", "active")]);
     assert_snapshot!(seen.join("\n"), @r"
-    a=0 b=1 c=2 forgets []
-    a=0 d=3 forgets [0]
-    a=4 forgets []
-    b=1 a=4 forgets [2, 3]
+    a=0 b=1 c=2 removed []
+    a=0 d=3 removed [0]
+    a=4 removed []
+    b=1 a=4 removed [2, 3]
     ");
 }
--- a/crates/edge/tests/stored_requests.rs
+++ b/crates/edge/tests/stored_requests.rs
@@ -1,6 +1,5 @@
-//! The bytes of requests and responses in records: an older and a newer build run side by side while a
-//! cluster is updated, so each has to read what the other writes. The literals were written by 448c769's
-//! code.
+//! The encoding of requests and responses in records. Instances of different versions run side by side during a rolling
+//! update of the cluster, so each has to decode the other's records. The literals were encoded by the code of 448c769.
 
 use std::fmt::Write as _;
 
@@ -47,25 +46,28 @@
 }
 
 #[test]
-fn a_stored_request_has_these_bytes() {
+fn stored_request_encoding_is_stable() {
     assert_eq!(hex(&request_digest(&request())), DIGEST);
     assert_eq!(hex(&encode_request(&request(), 250_000)), REQUEST);
-    let read = decode_request("query-1", &unhex(REQUEST), 100_000).expect("a request");
-    assert_eq!((&*read.id, read.class, read.expires_in, read.retry), ("query-1", ClassId(1), 150_000, true));
-    assert_eq!(&*read.body, b"body");
-    let parts: Vec<(u32, f64)> = read.parts.iter().map(|part| (part.shard.0, part.weight)).collect();
+    let decoded = decode_request("query-1", &unhex(REQUEST), 100_000).expect("a request");
+    assert_eq!(
+        (&*decoded.id, decoded.class, decoded.expires_in, decoded.retry),
+        ("query-1", ClassId(1), 150_000, true)
+    );
+    assert_eq!(&*decoded.body, b"body");
+    let parts: Vec<(u32, f64)> = decoded.parts.iter().map(|part| (part.shard.0, part.weight)).collect();
     assert_eq!(parts, [(3, 0.5), (300, 1.0)]);
     assert!(decode_request("query-1", &unhex(REQUEST), 230_000).is_none(), "too little time is left");
     assert!(decode_request("query-1", &unhex(DIGEST), 0).is_none(), "a digest alone is no request");
 }
 
 #[test]
-fn a_stored_response_has_these_bytes() {
+fn stored_response_encoding_is_stable() {
     for (complete, bytes) in [(true, COMPLETE), (false, PARTIAL)] {
         let end = query_end(&response(complete), true, 1000);
         assert_eq!(hex(&end.to_bytes()), bytes);
-        let QueryEnd::Answered(read) = QueryEnd::from_bytes(&unhex(bytes)) else { panic!("no response") };
-        assert_eq!(decode_response(&read), Some(response(complete)));
+        let QueryEnd::Answered(stored) = QueryEnd::from_bytes(&unhex(bytes)) else { panic!("no response") };
+        assert_eq!(decode_response(&stored), Some(response(complete)));
     }
     assert_eq!(query_end(&response(true), true, 5), QueryEnd::PossiblyExecuted, "too long to be stored");
 }
--- a/crates/mallowgauge/tests/discovery_crossings.rs
+++ b/crates/mallowgauge/tests/discovery_crossings.rs
@@ -1,4 +1,5 @@
-//! Where a list of hosts crosses with something else: the real program, its hosts and discovery in the test's hands.
+//! Endpoint lists from discovery that race with queries, shutdowns of connections and reloads. Runs the real program; the
+//! test plays its backends and discovery.
 
 use std::net::TcpListener;
 use std::time::Duration;
@@ -6,227 +7,230 @@
 use mallowgauge_testkit::hand::{accept, accept_within, addr, list, listener, query, Part, Rig, Wire};
 use serde_json::{json, Value};
 
-/// A list as the body of an answer without a length, which ends with its connection.
-fn endless(body: &str) -> String {
+/// A list as the body of a response without a length, which ends with the connection.
+fn without_length(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n{body}")
 }
 
 /// A list in chunks of one byte each.
-fn crumbs(body: &str) -> String {
+fn in_one_byte_chunks(body: &str) -> String {
     let chunks: String = body.chars().map(|c| format!("1\r\n{c}\r\n")).collect();
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}0\r\n\r\n")
 }
 
-fn pushed(file: &mut Value) {
+fn use_push(file: &mut Value) {
     file["settings"]["MembershipMode"] = json!("automatic");
 }
 
-/// Asks, and says which host got the part; what the others had open is not looked at.
-fn asks(rig: &Rig, id: &str) -> (usize, Wire, Wire) {
+/// Submits a query. Returns the backend that got its part, the connection to it and the client's connection.
+/// Connections that other backends opened before are ignored.
+fn submit(rig: &Rig, id: &str) -> (usize, Wire, Wire) {
     let mut client = rig.client();
     client.send(query(id, "place-hold", 3000, &[0]));
-    let (host, wire) = first(rig);
-    (host, wire, client)
+    let (backend, wire) = accept_at_any_backend(rig);
+    (backend, wire, client)
 }
 
-/// The next connection to any host.
-fn first(rig: &Rig) -> (usize, Wire) {
-    let at = |(host, listener)| Some((host, accept_within(listener, Duration::from_millis(5))?));
-    let mut all = std::iter::repeat_with(|| rig.hosts.iter().enumerate().find_map(at)).take(2000);
-    all.find_map(|found| found).expect("a host is dialled")
+/// The next connection to any backend.
+fn accept_at_any_backend(rig: &Rig) -> (usize, Wire) {
+    let accept = |(index, listener)| Some((index, accept_within(listener, Duration::from_millis(5))?));
+    let mut rounds = std::iter::repeat_with(|| rig.hosts.iter().enumerate().find_map(accept)).take(2000);
+    rounds.find_map(|found| found).expect("a backend is dialed")
 }
 
-/// Serves the one part of a query on this connection.
-fn serve(wire: &mut Wire, client: &mut Wire) -> Part {
+/// Answers the only part of a query on this connection.
+fn answer_part(wire: &mut Wire, client: &mut Wire) -> Part {
     let parts = wire.call();
     wire.end(&parts[0], "good", "x");
     assert_eq!(client.response().expect("an answer").0, 200);
     parts[0].clone()
 }
 
-/// What the platform's front hears when it asks whether the program takes queries.
+/// The response to the platform's health check.
 fn health(rig: &Rig) -> (u16, String) {
     let mut client = rig.client();
     client.send("GET /healthz HTTP/1.1\r\n\r\n");
     client.response().expect("an answer")
 }
 
-/// All hosts but one as they are, that one in another state.
-fn but_one(rig: &Rig, left: usize, state: &str) -> Vec<Value> {
-    let state = |host| rig.instance(host, if host == left { state } else { "active" });
+/// All backends as active, except one in the given state.
+fn with_one_in_state(rig: &Rig, changed: usize, state: &str) -> Vec<Value> {
+    let state = |index| rig.instance(index, if index == changed { state } else { "active" });
     (0..rig.hosts.len()).map(state).collect()
 }
 
-/// The watch that follows an answer shows that the answer was read.
-fn follows(wire: &mut Wire, generation: u64) {
+/// Expects the watch after a list, which shows that the list was applied.
+fn expect_watch(wire: &mut Wire, generation: u64) {
     let head = wire.head();
     assert!(head.starts_with(&format!("GET /v1/servers?index={generation}&wait=")), "{head}");
 }
 
-// With pushed lists no watch was ever opened: hosts that drained or had left were used for good.
+// Guards against a missing watch where lists are pushed: backends that drained or were removed stayed in use.
 #[test]
 fn pushed_lists_are_watched() {
-    let rig = Rig::start(3, pushed);
+    let rig = Rig::start(3, use_push);
     let mut watch = accept(&rig.discovery);
     watch.head();
-    watch.list(2, true, &but_one(&rig, 0, "active"));
-    follows(&mut watch, 2);
+    watch.list(2, true, &with_one_in_state(&rig, 0, "active"));
+    expect_watch(&mut watch, 2);
     watch.list(3, false, &[rig.instance(0, "leaving"), rig.instance(1, "left")]);
-    follows(&mut watch, 3);
-    let (host, mut wire, mut client) = asks(&rig, "1");
-    assert_eq!(host, 2);
-    serve(&mut wire, &mut client);
+    expect_watch(&mut watch, 3);
+    let (backend, mut wire, mut client) = submit(&rig, "1");
+    assert_eq!(backend, 2);
+    answer_part(&mut wire, &mut client);
 }
 
-// What has been pushed counts from the first moment: a query that comes before the saved list is checked waits for
-// that, and the program is not ready.
+// Changes pushed before the start count as notified from the beginning: until the cached snapshot is confirmed, queries
+// wait and the program is not ready.
 #[test]
-fn a_pushed_saved_list_is_checked_before_any_host_is_used() {
-    let rig = Rig::start(3, pushed);
+fn cached_snapshot_is_confirmed_before_use_where_lists_are_pushed() {
+    let rig = Rig::start(3, use_push);
     let mut watch = accept(&rig.discovery);
     let head = watch.head();
-    assert!(head.starts_with("GET /v1/servers?index=1&wait=1 "), "a call that need not wait: {head}");
+    assert!(head.starts_with("GET /v1/servers?index=1&wait=1 "), "a poll: {head}");
     let mut early = rig.client();
     early.send(query("1", "place-hold", 3000, &[0]));
-    // Once these are answered, the query that came before them has been taken.
+    // Once these are answered, the earlier query has been accepted.
     assert_eq!(
         [health(&rig), health(&rig)],
         [(503, "starting\n".to_owned()), (503, "starting\n".to_owned())]
     );
     watch.list(2, false, &[rig.instance(0, "leaving"), rig.instance(1, "left")]);
     let mut wire = accept(&rig.hosts[2]);
-    serve(&mut wire, &mut early);
+    answer_part(&mut wire, &mut early);
     assert_eq!(health(&rig), (200, "ok\n".to_owned()));
 }
 
-// Nine in ten restarted processes are ready within 10 s, also with discovery down: the saved list is all there is.
+// Nine of ten restarted processes have to be ready within 10 s, also with discovery down: only the cached snapshot is
+// available then.
 #[test]
-fn with_discovery_down_a_pushed_saved_list_is_used_in_the_end() {
+fn cached_snapshot_is_used_unconfirmed_while_discovery_is_down() {
     let rig = Rig::start(3, |file| {
-        pushed(file);
+        use_push(file);
         file["discovery"] = json!(addr(&listener()).to_string());
     });
     rig.expect_log("using the cached endpoint list unverified");
     assert_eq!(health(&rig), (200, "ok\n".to_owned()));
-    let (_, mut wire, mut client) = asks(&rig, "1");
-    serve(&mut wire, &mut client);
+    let (_, mut wire, mut client) = submit(&rig, "1");
+    answer_part(&mut wire, &mut client);
 }
 
-// A reset is no end of a body without length, even where all of it seems to have come; a clean end is one.
+// A body without a length ends with a regular close. After a reset it is incomplete, even if all of it seems to have
+// arrived.
 #[test]
-fn a_list_without_length_is_whole_at_a_clean_end_only() {
+fn list_without_length_is_complete_only_after_a_regular_close() {
     let rig = Rig::start(3, |_| {});
     let mut watch = accept(&rig.discovery);
     watch.head();
-    let gone = list(7, true, &[rig.instance(0, "active")]);
-    watch.send(endless(&gone));
-    // Once these are answered, all of it has been read.
+    let truncated = list(7, true, &[rig.instance(0, "active")]);
+    watch.send(without_length(&truncated));
+    // Once these are answered, the body has been read.
     assert_eq!([health(&rig).0, health(&rig).0], [200, 200]);
     watch.reset();
     rig.expect_log("discovery request failed");
     let mut watch = accept(&rig.discovery);
     let head = watch.head();
-    assert!(head.contains("?index=1&"), "the list that was cut does not count: {head}");
-    watch.send(endless(&list(8, true, &but_one(&rig, 0, "leaving"))));
+    assert!(head.contains("?index=1&"), "the truncated list is not applied: {head}");
+    watch.send(without_length(&list(8, true, &with_one_in_state(&rig, 0, "leaving"))));
     drop(watch);
-    follows(&mut accept(&rig.discovery), 8);
-    let (host, mut wire, mut client) = asks(&rig, "1");
-    assert_ne!(host, 0);
-    serve(&mut wire, &mut client);
+    expect_watch(&mut accept(&rig.discovery), 8);
+    let (backend, mut wire, mut client) = submit(&rig, "1");
+    assert_ne!(backend, 0);
+    answer_part(&mut wire, &mut client);
 }
 
 #[test]
-fn a_list_counts_in_every_form_that_it_may_come_in() {
+fn lists_are_read_in_every_encoding() {
     let rig = Rig::start(3, |_| {});
     let mut watch = accept(&rig.discovery);
     watch.head();
-    watch.send(crumbs(&list(2, false, &[rig.instance(0, "leaving")])));
-    follows(&mut watch, 2);
+    watch.send(in_one_byte_chunks(&list(2, false, &[rig.instance(0, "leaving")])));
+    expect_watch(&mut watch, 2);
     let body = serde_json::to_string_pretty(&json!({"generation": 3, "reset": false,
         "instances": [rig.instance(1, "leaving")]}));
     let body = body.expect("JSON");
-    let whole = format!("HTTP/1.1 200 OK\r\ncontent-length:   {}\r\n\r\n{body}", body.len());
-    whole.bytes().for_each(|byte| watch.send([byte]));
-    follows(&mut watch, 3);
+    let response = format!("HTTP/1.1 200 OK\r\ncontent-length:   {}\r\n\r\n{body}", body.len());
+    response.bytes().for_each(|byte| watch.send([byte]));
+    expect_watch(&mut watch, 3);
     watch.list(4, false, &[]);
-    follows(&mut watch, 4);
-    let (host, mut wire, mut client) = asks(&rig, "1");
-    assert_eq!(host, 2);
-    serve(&mut wire, &mut client);
+    expect_watch(&mut watch, 4);
+    let (backend, mut wire, mut client) = submit(&rig, "1");
+    assert_eq!(backend, 2);
+    answer_part(&mut wire, &mut client);
 }
 
-// A whole list older than the present one would bring hosts back that have left since.
+// A snapshot older than the list in use would bring back backends that were removed since.
 #[test]
-fn a_list_older_than_the_present_one_is_asked_for_anew() {
+fn outdated_list_is_rejected_and_the_snapshot_requested() {
     let rig = Rig::start(2, |_| {});
     let mut watch = accept(&rig.discovery);
     watch.head();
     watch.list(9, true, &[rig.instance(1, "active")]);
-    follows(&mut watch, 9);
+    expect_watch(&mut watch, 9);
     watch.list(4, true, &rig.instances("active"));
     rig.expect_log("endpoint list is older than the one in use");
     let mut watch = accept(&rig.discovery);
     let head = watch.head();
-    assert!(head.starts_with("GET /v1/servers HTTP/1.1"), "the whole list: {head}");
-    let (host, mut wire, mut client) = asks(&rig, "1");
-    assert_eq!(host, 1, "meanwhile the present list holds");
-    serve(&mut wire, &mut client);
-    // Asked for as a whole it counts, whatever its version: discovery may have begun anew.
+    assert!(head.starts_with("GET /v1/servers HTTP/1.1"), "a request for the snapshot: {head}");
+    let (backend, mut wire, mut client) = submit(&rig, "1");
+    assert_eq!(backend, 1, "the list in use still applies");
+    answer_part(&mut wire, &mut client);
+    // A requested snapshot is applied whatever its version: discovery may have restarted.
     watch.list(5, true, &[rig.instance(0, "active")]);
-    follows(&mut watch, 5);
-    let (host, mut wire, mut client) = asks(&rig, "2");
-    assert_eq!(host, 0);
-    serve(&mut wire, &mut client);
+    expect_watch(&mut watch, 5);
+    let (backend, mut wire, mut client) = submit(&rig, "2");
+    assert_eq!(backend, 0);
+    answer_part(&mut wire, &mut client);
 }
 
-// What cannot be a list, or never ends, costs its own connection and nothing else.
+// A malformed or endless response only closes its connection.
 #[test]
-fn spoilt_and_endless_answers_change_nothing() {
+fn malformed_and_endless_responses_change_nothing() {
     let rig = Rig::start(2, |_| {});
     let mut watch = accept(&rig.discovery);
     watch.head();
-    let spoilt = list(2, true, &[rig.instance(0, "active")]).replace("\"reset\"", "\"reset");
-    let cut = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{\"ge".to_owned();
-    let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{spoilt}", spoilt.len());
+    let malformed = list(2, true, &[rig.instance(0, "active")]).replace("\"reset\"", "\"reset");
+    let truncated = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{\"ge".to_owned();
+    let complete = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{malformed}", malformed.len());
     let empty = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_owned();
     let noise = "\0\x01\x02 no answer at all\r\n\r\n".to_owned();
     let endless_head = format!("HTTP/1.1 200 OK\r\n{}", "X: y\r\n".repeat(4000));
-    let longer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", 2 << 20);
-    let without_end = endless(&" ".repeat((1 << 20) + 1));
-    for answer in [cut, whole, empty, noise, endless_head, longer, without_end] {
-        // It may be given up before all of it is written.
-        let _ = std::io::Write::write_all(&mut watch.0, answer.as_bytes());
-        assert!(watch.closes(), "the connection of a spoilt answer is given up");
+    let too_long = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", 2 << 20);
+    let endless_body = without_length(&" ".repeat((1 << 20) + 1));
+    for response in [truncated, complete, empty, noise, endless_head, too_long, endless_body] {
+        // The program may close the connection before all of it is written.
+        let _ = std::io::Write::write_all(&mut watch.0, response.as_bytes());
+        assert!(watch.closes(), "the connection of a malformed response is closed");
         watch = accept(&rig.discovery);
         let head = watch.head();
-        assert!(head.contains("?index=1&"), "nothing was taken: {head}");
-        let (_, mut wire, mut client) = asks(&rig, "1");
-        serve(&mut wire, &mut client);
+        assert!(head.contains("?index=1&"), "nothing was applied: {head}");
+        let (_, mut wire, mut client) = submit(&rig, "1");
+        answer_part(&mut wire, &mut client);
     }
 }
 
-// Bytes behind an answer belong to no call: the next one goes over a connection of its own.
+// Bytes after a response belong to no request: the next request uses a new connection.
 #[test]
-fn bytes_behind_an_answer_are_not_the_next_answer() {
+fn bytes_after_a_response_are_not_the_next_response() {
     let rig = Rig::start(2, |_| {});
     let mut watch = accept(&rig.discovery);
     watch.head();
-    let once = |generation, hosts: &[Value]| {
-        let body = list(generation, true, hosts);
+    let response = |generation, instances: &[Value]| {
+        let body = list(generation, true, instances);
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
     };
-    watch.send(once(2, &rig.instances("active")) + &once(3, &[rig.instance(0, "active")]));
-    follows(&mut accept(&rig.discovery), 2);
+    watch.send(response(2, &rig.instances("active")) + &response(3, &[rig.instance(0, "active")]));
+    expect_watch(&mut accept(&rig.discovery), 2);
 }
 
-// A drain and a query that are read in the same turn: the host that drains gets nothing.
+// A query and a list with draining backends, read in the same event-loop iteration: the query is not sent to these.
 #[test]
-fn a_drain_told_in_the_turn_of_a_query_counts_for_it() {
+fn drain_read_in_the_iteration_of_a_query_applies_to_it() {
     let rig = Rig::start(3, |_| {});
     let mut watch = accept(&rig.discovery);
     watch.head();
     watch.list(2, true, &rig.instances("active"));
-    follows(&mut watch, 2);
+    expect_watch(&mut watch, 2);
     let mut client = rig.client();
     client.send("GET /nothing HTTP/1.1\r\n\r\n");
     assert_eq!(client.response().expect("an answer").0, 404);
@@ -235,56 +239,57 @@
     watch.list(3, false, &[rig.instance(0, "leaving"), rig.instance(1, "left")]);
     rig.go_on();
     let mut wire = accept(&rig.hosts[2]);
-    serve(&mut wire, &mut client);
-    follows(&mut watch, 3);
+    answer_part(&mut wire, &mut client);
+    expect_watch(&mut watch, 3);
 }
 
-// SIGHUP in the middle of an answer: what the old address still says is not waited for and does not count, and the
-// first list from the new one counts whatever its version.
+// SIGHUP in the middle of a response: the rest from the old address is neither awaited nor applied, and the first list from
+// the new address is applied whatever its version.
 #[test]
-fn a_move_in_the_middle_of_an_answer_takes_nothing_from_the_old_address() {
+fn relocation_in_the_middle_of_a_response_discards_the_response() {
     let rig = Rig::start(2, |_| {});
     let mut old = accept(&rig.discovery);
     old.head();
     let body = list(50, true, &[rig.instance(0, "active")]);
-    let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    old.send(&whole[..whole.len() - 1]);
+    let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    old.send(&response[..response.len() - 1]);
     let new: TcpListener = listener();
     rig.program.reconfigure(|file| file["discovery"] = json!(addr(&new).to_string()));
     let mut moved = accept(&new);
     let head = moved.head();
     assert!(head.starts_with("GET /v1/servers HTTP/1.1"), "{head}");
-    let _ = std::io::Write::write_all(&mut old.0, &whole.as_bytes()[whole.len() - 1..]);
+    let _ = std::io::Write::write_all(&mut old.0, &response.as_bytes()[response.len() - 1..]);
     assert!(old.closes());
     moved.list(3, true, &[rig.instance(1, "active")]);
-    follows(&mut moved, 3);
-    let (host, mut wire, mut client) = asks(&rig, "1");
-    assert_eq!(host, 1);
-    serve(&mut wire, &mut client);
+    expect_watch(&mut moved, 3);
+    let (backend, mut wire, mut client) = submit(&rig, "1");
+    assert_eq!(backend, 1);
+    answer_part(&mut wire, &mut client);
 }
 
-// A host that leaves and returns under its name, with another address and start, is used there and nowhere else.
+// A backend that returns under its name with another address is used only at the new address, whether or not its removal
+// was listed in between.
 #[test]
-fn a_host_that_returns_under_its_name_is_used_where_it_is_now() {
-    for told_gone in [true, false] {
+fn backend_that_returns_with_another_address_is_used_there() {
+    for removal_listed in [true, false] {
         let rig = Rig::start(1, |_| {});
         let mut watch = accept(&rig.discovery);
         watch.head();
         watch.list(2, true, &rig.instances("active"));
-        follows(&mut watch, 2);
-        let (_, mut old, mut client) = asks(&rig, "1");
-        serve(&mut old, &mut client);
-        if told_gone {
+        expect_watch(&mut watch, 2);
+        let (_, mut old, mut client) = submit(&rig, "1");
+        answer_part(&mut old, &mut client);
+        if removal_listed {
             watch.list(3, false, &[rig.instance(0, "left")]);
-            follows(&mut watch, 3);
+            expect_watch(&mut watch, 3);
         }
-        let elsewhere = listener();
-        let mut back = rig.instance(0, "active");
-        back["hostPort"] = json!(addr(&elsewhere).to_string());
-        watch.list(4, false, &[back]);
-        follows(&mut watch, 4);
+        let new_address = listener();
+        let mut returned = rig.instance(0, "active");
+        returned["hostPort"] = json!(addr(&new_address).to_string());
+        watch.list(4, false, &[returned]);
+        expect_watch(&mut watch, 4);
         client.send(query("2", "place-hold", 3000, &[0]));
-        let mut new = accept(&elsewhere);
-        serve(&mut new, &mut client);
+        let mut new = accept(&new_address);
+        answer_part(&mut new, &mut client);
     }
 }
--- a/crates/mallowgauge/tests/leaving.rs
+++ b/crates/mallowgauge/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! Three gatherers that take over each other's holds, with a host, or one of them, in the test's hands: what becomes
-//! of a hold that is out while its gatherer is told to end, and of a peer that breaks off in its first words.
+//! Three instances that take over each other's non-idempotent queries. The test plays the backend, or one of the
+//! instances. Covers a query in flight while its instance shuts down, and a peer that disconnects within its hello.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
@@ -10,34 +10,34 @@
 use mallowgauge_testkit::{config, Program};
 use serde_json::{json, Value};
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Three gatherers of one list, over one host; clients of holds wait for 2 s at most.
-fn fleet(host: &TcpListener, discovery: &TcpListener) -> Vec<Program> {
-    part_of_fleet(host, discovery, 3).0
+/// Starts three instances with one peer list and one backend. Queries have a deadline of at most 2 s.
+fn start_cluster(backend: &TcpListener, discovery: &TcpListener) -> Vec<Program> {
+    start_instances(backend, discovery, 3).0
 }
 
-/// The first so many of them, and where the first listens for peers and the others would.
-fn part_of_fleet(
-    host: &TcpListener,
+/// Starts the first `running` of three instances. Also returns the peer address of the first instance, and listeners at
+/// the peer addresses of those not started.
+fn start_instances(
+    backend: &TcpListener,
     discovery: &TcpListener,
     running: usize,
 ) -> (Vec<Program>, SocketAddr, Vec<TcpListener>) {
     let mut ports: Vec<TcpListener> = (0..3).map(|_| listener()).collect();
-    let name = |at: usize| format!("g{at}");
-    let peer =
-        |(at, port): (usize, &TcpListener)| json!({"name": name(at), "address": addr(port).to_string()});
+    let name = |index: usize| format!("g{index}");
+    let peer = |(index, port): (usize, &TcpListener)| json!({"name": name(index), "address": addr(port).to_string()});
     let list: Vec<Value> = ports.iter().enumerate().map(peer).collect();
     let listens: Vec<String> = ports.iter().map(|port| addr(port).to_string()).collect();
     let first = addr(&ports[0]);
     let others = ports.split_off(running);
     drop(ports);
-    let start = |(at, listen): (usize, &String)| {
-        let mut file = config(&[addr(host)], addr(discovery));
+    let start = |(index, listen): (usize, &String)| {
+        let mut file = config(&[addr(backend)], addr(discovery));
         for class in file["settings"]["Classes"].as_array_mut().expect("classes") {
             class["DeadlineUs"] = json!(2_000_000);
         }
-        let fleet = json!({"name": name(at), "listen": listen, "group": 3, "handover": {"life_ms": 2_100},
+        let fleet = json!({"name": name(index), "listen": listen, "group": 3, "handover": {"life_ms": 2_100},
                            "peers": {"version": 1, "list": list}});
         let operator = json!({"flight": {"listen": "127.0.0.1:0", "hosts": []}, "fleet": fleet});
         Program::start(&file, &operator, 1024)
@@ -50,85 +50,87 @@
 }
 
 fn expect_log(program: &Program, text: &str) {
-    let until = Instant::now() + PATIENCE;
+    let give_up_at = Instant::now() + TIMEOUT;
     while !logged(program, text) {
-        assert!(Instant::now() < until, "no line {text}: {:#?}", program.log.lock());
+        assert!(Instant::now() < give_up_at, "no line {text}: {:#?}", program.log.lock());
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Asks for holds at the first gatherer until one is let through: its number, its client, and where it reached the
-/// host. All have just started, and holds are refused until no id from before can be asked.
-fn hold(programs: &[Program], host: &TcpListener) -> (u32, Wire, Wire) {
+/// Submits non-idempotent queries to the first instance until one is admitted. Returns its number, the connection of
+/// its client and its connection to the backend. All instances have just started, and reject such queries until no query
+/// id from before the start can be submitted any more.
+fn submit_until_admitted(programs: &[Program], backend: &TcpListener) -> (u32, Wire, Wire) {
     for other in ["g1", "g2"] {
         expect_log(&programs[0], &format!("peer {other} connected"));
     }
-    let until = Instant::now() + PATIENCE;
-    let tries = (0..).find_map(|number| {
-        assert!(Instant::now() < until, "no hold was let through");
+    let give_up_at = Instant::now() + TIMEOUT;
+    let admitted = (0..).find_map(|number| {
+        assert!(Instant::now() < give_up_at, "no query was admitted");
         let mut client = Wire::dial(programs[0].http);
         client.send(query(&format!("hold-{number}"), "place-hold", 2_000, &[0]));
-        accept_within(host, Duration::from_millis(500)).map(|wire| (number, client, wire))
+        accept_within(backend, Duration::from_millis(500)).map(|wire| (number, client, wire))
     });
-    tries.expect("a hold")
+    admitted.expect("an admitted query")
 }
 
-// Found by reading: others held a gatherer that had said that it ends to be away at once, took over what it was
-// still waiting for, and its clients were told that a part may have run, whatever the host said.
+// Guards against treating a draining instance as lost: its peers took over the queries that it was still waiting for,
+// and its clients got "possibly executed" whatever the backend answered.
 #[test]
-fn a_hold_that_is_out_when_its_gatherer_is_told_to_end_ends_as_its_host_says() {
-    let (host, discovery) = (listener(), listener());
-    let programs = fleet(&host, &discovery);
-    let (_, mut client, mut on_host) = hold(&programs, &host);
-    let parts = on_host.call();
+fn query_in_flight_during_shutdown_returns_its_backends_answer() {
+    let (backend, discovery) = (listener(), listener());
+    let programs = start_cluster(&backend, &discovery);
+    let (_, mut client, mut at_backend) = submit_until_admitted(&programs, &backend);
+    let parts = at_backend.call();
     programs[0].signal(libc::SIGTERM);
     for other in &programs[1..] {
         expect_log(other, "peer g0 is left");
     }
     // A second signal changes nothing.
     programs[0].signal(libc::SIGTERM);
-    // Whoever would take it over has the time for that: two steps of 30 ms and a round.
+    // Leaves enough time for a takeover: two steps of 30 ms and a round of messages.
     std::thread::sleep(Duration::from_millis(300));
-    on_host.end(&parts[0], "good", "held");
+    at_backend.end(&parts[0], "good", "held");
     let (status, body) = client.response().expect("a final answer");
     assert_eq!(status, 200, "{body}");
 }
 
-// One that ends with a hold still out is taken over all the same, once its links end: long before the life of the
-// id is over, after which anybody would look for it.
+// A draining instance that dies with a query in flight: the query is taken over once the instance's connections end,
+// long before the lifetime of the query id is over, after which any instance would determine its outcome.
 #[test]
-fn a_hold_whose_gatherer_was_told_to_end_and_is_lost_is_taken_over() {
-    let (host, discovery) = (listener(), listener());
-    let mut programs = fleet(&host, &discovery);
-    let (number, _client, mut on_host) = hold(&programs, &host);
-    on_host.call();
+fn query_of_a_draining_instance_that_dies_is_taken_over() {
+    let (backend, discovery) = (listener(), listener());
+    let mut programs = start_cluster(&backend, &discovery);
+    let (number, _client, mut at_backend) = submit_until_admitted(&programs, &backend);
+    at_backend.call();
     programs[0].signal(libc::SIGTERM);
     for other in &programs[1..] {
         expect_log(other, "peer g0 is left");
     }
     programs[0].child.kill().expect("a process");
     programs[0].child.wait().expect("its end");
-    let mut again = Wire::dial(programs[1].http);
-    let ask = query(&format!("hold-{number}"), "place-hold", 1_500, &[0]);
-    again.send(ask.replace("Req-Kind", "Req-Retry: 1\r\nReq-Kind"));
-    let (status, body) = again.response().expect("a final answer");
+    let mut resubmission = Wire::dial(programs[1].http);
+    let request = query(&format!("hold-{number}"), "place-hold", 1_500, &[0]);
+    resubmission.send(request.replace("Req-Kind", "Req-Retry: 1\r\nReq-Kind"));
+    let (status, body) = resubmission.response().expect("a final answer");
     assert_eq!(status, 502, "{body}");
 }
 
-// The third gatherer is the test: its hello is cut at each byte, by an end and by a reset.
+// The test plays the third instance. Its hello is cut at each byte, by a close and by a reset; no peer may become suspect
+// and no other connection may end.
 #[test]
-fn a_hello_that_is_cut_at_any_byte_is_no_sign_against_anybody() {
-    let (host, discovery) = (listener(), listener());
-    let (programs, first, others) = part_of_fleet(&host, &discovery, 2);
+fn hello_cut_at_any_byte_makes_no_peer_suspect() {
+    let (backend, discovery) = (listener(), listener());
+    let (programs, first, others) = start_instances(&backend, &discovery, 2);
     expect_log(&programs[0], "peer g1 connected");
-    // What the first says to the third, which it dials, tells how a hello of this list reads.
+    // The first instance dials the third. Its hello is the template for one with the same peer list.
     let mut dialed = accept(&others[0]);
-    let mut said = Vec::new();
+    let mut received = Vec::new();
     let hello = loop {
         let mut byte = [0];
         dialed.0.read_exact(&mut byte).expect("a hello");
-        said.push(byte[0]);
-        if let Some((Frame::Hello(hello), _)) = decode(&said, 64 * 1024).expect("a message") {
+        received.push(byte[0]);
+        if let Some((Frame::Hello(hello), _)) = decode(&received, 64 * 1024).expect("a message") {
             break hello;
         }
     };
@@ -137,25 +139,25 @@
     (own.name, own.known, own.incarnation.nonce) = ("g2".to_owned(), None, hello.incarnation.nonce + 1);
     let bytes = encode(&Frame::Hello(own));
     for cut in 0..bytes.len() {
-        let mut ended = Wire::dial(first);
-        ended.send(&bytes[..cut]);
-        drop(ended);
+        let mut closed = Wire::dial(first);
+        closed.send(&bytes[..cut]);
+        drop(closed);
         let mut reset = Wire::dial(first);
         reset.send(&bytes[..cut]);
         reset.reset();
     }
     assert!(!logged(&programs[0], "peer g2 connected"));
-    let mut whole = Wire::dial(first);
-    whole.send(&bytes);
+    let mut complete = Wire::dial(first);
+    complete.send(&bytes);
     expect_log(&programs[0], "peer g2 connected");
     for program in &programs {
-        for sign in [
+        for line in [
             "peer g0 is suspect",
             "peer g1 is suspect",
             "connection to peer g0 ended",
             "connection to peer g1 ended",
         ] {
-            assert!(!logged(program, sign), "{sign}");
+            assert!(!logged(program, line), "{line}");
         }
     }
 }
