--- a/crates/edge/src/discovery.rs
+++ b/crates/edge/src/discovery.rs
@@ -116,7 +116,7 @@
     in_flight: Option<InFlight>,
     /// The version of the list in use.
     generation: u64,
-    /// Whether the next request fetches the snapshot, which is accepted whatever its version. Set when discovery has
+    /// Whether the next request fetches the snapshot, which is accepted regardless of its version. Set when discovery has
     /// moved or returned an older version: its versions need not continue from `generation`.
     needs_snapshot: bool,
     /// Whether the next watch begins with a poll. Set when the cached snapshot has to be confirmed before it is used,
--- a/crates/edge/src/http2_socket.rs
+++ b/crates/edge/src/http2_socket.rs
@@ -159,10 +159,10 @@
     }
 
     fn write(&mut self, socket: &mut PlainSocket, bytes: &[u8]) -> io::Result<usize> {
-        let taken = either!(self, session => session.writer().write(bytes))?;
+        let accepted = either!(self, session => session.writer().write(bytes))?;
         let empty = self.flush(socket)?;
-        if taken > 0 || bytes.is_empty() {
-            return Ok(taken);
+        if accepted > 0 || bytes.is_empty() {
+            return Ok(accepted);
         }
         // The buffer was full. Once all of it is written, it accepts bytes again.
         if empty {
--- a/crates/edge/src/peers/connection.rs
+++ b/crates/edge/src/peers/connection.rs
@@ -49,7 +49,7 @@
     Lost(LostReason),
 }
 
-/// One connection to a peer, or to a host that has not identified itself yet.
+/// One connection to a peer, or an accepted one whose peer is not identified yet.
 pub(super) struct Connection {
     pub(super) stream: Stream,
     pub(super) phase: Phase,
--- a/crates/edge/src/takeover/mod.rs
+++ b/crates/edge/src/takeover/mod.rs
@@ -140,7 +140,7 @@
             .unwrap_or(RequestState::Unknown);
         let is_final =
             matches!(response, QueryResponse::Completed { .. } | QueryResponse::Failed(Failure::Invalid(_)));
-        // A resubmitted query may have been executed by another instance, whatever was decided here.
+        // A resubmitted query may have been executed by another instance, regardless of the outcome here.
         let maybe_elsewhere = request.retry && !is_final;
         if state == RequestState::Unknown && !maybe_elsewhere {
             return reply_to_all(response_handles, &response);
--- a/crates/edge/src/tls.rs
+++ b/crates/edge/src/tls.rs
@@ -38,7 +38,7 @@
     Certificate {
         /// The setting at fault.
         setting: &'static str,
-        /// What rustls says.
+        /// The error of rustls.
         source: rustls::Error,
     },
     /// Trusted roots from which no verifier can be built.
@@ -46,7 +46,7 @@
     Roots {
         /// The setting that names the roots.
         setting: &'static str,
-        /// What rustls says.
+        /// The error of rustls.
         source: VerifierBuilderError,
     },
     /// The configured server name of backends is not a valid DNS name.
