--- a/crates/edge/tests/discovery_timing.rs
+++ b/crates/edge/tests/discovery_timing.rs
@@ -11,7 +11,7 @@
 use mallowgauge_net::{EventHandler, Handle, Token};
 use mallowgauge_router::{EndpointUpdate, Micros};
 use mallowgauge_settings::Site;
-use mallowgauge_testkit::hand::{accept, addr, listener, Held, Wire};
+use mallowgauge_testkit::manual_peers::{accept, addr, listener, Connection, StalledListener};
 use mallowgauge_testkit::settings;
 
 /// A change counts as told this long after discovery had it, on whatever path.
@@ -136,7 +136,7 @@
     }
 
     /// The connection is up, and the call stands at its other end.
-    fn arrives(&mut self, at: &TcpListener) -> (Wire, String) {
+    fn arrives(&mut self, at: &TcpListener) -> (Connection, String) {
         self.calls();
         let mut wire = accept(at);
         self.socket();
@@ -145,11 +145,11 @@
     }
 
     /// A watch that has been answered once, and the next one after it under way.
-    fn watched(seed: u64) -> (Self, Wire, TcpListener) {
+    fn watched(seed: u64) -> (Self, Connection, TcpListener) {
         let at = listener();
         let mut world = Self::new(seed, &at);
         let (mut wire, _) = world.arrives(&at);
-        wire.list(2, true, &[]);
+        wire.send_endpoint_list(2, true, &[]);
         world.socket();
         assert!(wire.head().starts_with("GET /v1/servers?index=2&wait="));
         assert_eq!(world.lists, 1);
@@ -291,7 +291,7 @@
         "dials that nobody answers",
         worst(|seed| {
             let silent = listener();
-            let held = Held::dials(&silent);
+            let held = StalledListener::stall(&silent);
             let mut world = World::new(seed, &silent);
             let mut from = 0;
             for _ in 0..12 {
@@ -338,7 +338,7 @@
     let gap = worst(|seed| {
         let (mut world, _wire, at) = World::watched(seed);
         let silent = listener();
-        let held = Held::dials(&silent);
+        let held = StalledListener::stall(&silent);
         let events = world.discovery.relocate(world.now, &world.handle, addr(&silent));
         world.take(events);
         let from = world.now;
@@ -358,7 +358,7 @@
     let (from, mut calls) = (world.now, 0);
     while world.now < from + 60_000_000 {
         world.now += 2_200_000;
-        wire.list(2, false, &[]);
+        wire.send_endpoint_list(2, false, &[]);
         world.socket();
         wire.head();
         calls += 1;
--- a/crates/edge/tests/parts.rs
+++ b/crates/edge/tests/parts.rs
@@ -12,14 +12,14 @@
 use mallowgauge_flight::{ipc, rows};
 use mallowgauge_router::ShardId;
 use mallowgauge_settings::endpoint_list::parse;
-use mallowgauge_testkit::inner::inside;
+use mallowgauge_testkit::core_scenario::play_in_core;
 use prost::Message;
 use serde_json::{json, Value};
 
 // Guards the cost of calls: what a turn sends to one host is one call, for several queries too.
 #[test]
 fn sends_of_a_turn_share_a_call() {
-    assert_snapshot!(inside("
+    assert_snapshot!(play_in_core("
         wait 10
         send a search 3000 0 1 2 3
         send b search 3000 4 5
@@ -36,7 +36,7 @@
 // Guards against a turn for each event: the next comes a tick after the last.
 #[test]
 fn events_gather_until_the_next_turn() {
-    assert_snapshot!(inside("
+    assert_snapshot!(play_in_core("
         wait 10
         send a search 3000 0
         wait 1
@@ -54,7 +54,7 @@
 
 #[test]
 fn an_answer_goes_out_in_the_turn_after_the_last_part() {
-    assert_snapshot!(inside("
+    assert_snapshot!(play_in_core("
         send a place-hold 3000 0 1
         wait 100
         send part 0 good x
@@ -73,7 +73,7 @@
 // Guards against holding an answer back: a hold that cannot be repeated fails in the same turn.
 #[test]
 fn a_lost_hold_fails_at_once_and_drops_the_rest() {
-    assert_snapshot!(inside("
+    assert_snapshot!(play_in_core("
         send a place-hold 3000 0 1
         wait 100
         send part 0 bad
@@ -91,7 +91,7 @@
 
 #[test]
 fn the_end_of_the_time_is_answered_before_it() {
-    assert_snapshot!(inside("
+    assert_snapshot!(play_in_core("
         send a place-hold 400 0
         wait 1000
         expect
@@ -105,7 +105,7 @@
 
 #[test]
 fn nothing_is_owed_to_a_client_that_left() {
-    assert_snapshot!(inside("
+    assert_snapshot!(play_in_core("
         send a search 3000 0
         wait 100
         close a
@@ -127,7 +127,7 @@
 // Guards the bound: queries and parts are counted, and room comes back with the answer.
 #[test]
 fn the_bound_on_what_is_open_holds() {
-    assert_snapshot!(inside("
+    assert_snapshot!(play_in_core("
         send a search 3000 0 1 2 3 4 5 6 7 8
         send b search 3000 0 1 2 3 4 5 6 7 8
         send c search 3000 0
@@ -160,7 +160,7 @@
 // An id names parts on their way to hosts, so two open queries must not share one.
 #[test]
 fn an_id_that_is_open_is_not_taken_again() {
-    assert_snapshot!(inside("
+    assert_snapshot!(play_in_core("
         send a search 3000 0
         send a search 3000 0
         wait 100
@@ -174,7 +174,7 @@
 
 #[test]
 fn a_spent_deadline_is_said() {
-    assert_snapshot!(inside("
+    assert_snapshot!(play_in_core("
         send a search 0 0
         expect
     "), @r"
@@ -186,7 +186,7 @@
 // Guards the room for queries: a client that states an endless time does not keep its place.
 #[test]
 fn no_query_outlasts_its_class() {
-    assert_snapshot!(inside("
+    assert_snapshot!(play_in_core("
         send a place-hold 3600000 0
         wait 10000
         expect
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -8,10 +8,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use mallowgauge_testkit::trial::discovery::{self, Discovery, Known};
-use mallowgauge_testkit::trial::hosts::Host;
-use mallowgauge_testkit::trial::relay::Relays;
-use mallowgauge_testkit::trial::{held, Notebook};
+use mallowgauge_testkit::fault_injection::backends::RecordingBackend;
+use mallowgauge_testkit::fault_injection::discovery::{self, Discovery, KnownBackend};
+use mallowgauge_testkit::fault_injection::relay::Relays;
+use mallowgauge_testkit::fault_injection::{lock_ignoring_poison, Recorder};
 use serde_json::{json, Value};
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::Child;
@@ -40,7 +40,7 @@
 impl Logs {
     /// The lines so far.
     pub fn timeline(&self) -> std::sync::MutexGuard<'_, Timeline> {
-        held(&self.timeline)
+        lock_ignoring_poison(&self.timeline)
     }
 
     fn line(&self, process: &str, text: &str) {
@@ -123,11 +123,11 @@
     /// Between them.
     pub relays: Relays,
     /// Hosts.
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<RecordingBackend>,
     /// Discovery.
     pub discovery: Discovery,
     /// What is written down.
-    pub notes: Notebook,
+    pub notes: Recorder,
     /// Logs.
     pub logs: Logs,
     setup: Setup,
@@ -154,12 +154,12 @@
         let folder = std::env::temp_dir().join(folder);
         std::fs::create_dir_all(&folder)?;
         let names: Vec<String> = (1..=setup.processes).map(|at| format!("n{at}")).collect();
-        let notes = Notebook::default();
+        let notes = Recorder::default();
         let relays = Relays::start(setup.processes, setup.seed).await?;
         let (mut hosts, mut known) = (Vec::new(), Vec::new());
         for at in 0..setup.hosts {
-            let host = Host::start(at, &names, &notes).await?;
-            known.push(Known { addresses: host.addresses.clone(), state: "active", started: 0 });
+            let host = RecordingBackend::start(at, &names, &notes).await?;
+            known.push(KnownBackend { addresses: host.addresses.clone(), state: "active", started_at_ms: 0 });
             hosts.push(host);
         }
         let discovery = Discovery::start(&names, known, &notes).await?;
@@ -185,7 +185,7 @@
             "discovery": self.discovery.addresses[at].to_string(),
             "seed": format!("{:016x}", self.setup.seed.wrapping_mul(31).wrapping_add(self.started.into())),
             "limits": {"cores": 1.0, "memory_mb": self.setup.memory_mb, "sockets": self.setup.descriptors},
-            "known": discovery::list(&self.discovery.state(), at), "settings": settings
+            "known": discovery::endpoint_list(&self.discovery.state(), at), "settings": settings
         })
     }
 
@@ -214,7 +214,7 @@
     pub async fn launch(&mut self, at: usize) -> io::Result<()> {
         self.logs.timeline().forget(&self.names[at]);
         let process = self.spawn(at).await?;
-        process.peers.into_iter().for_each(|addr| self.relays.target(at, addr));
+        process.peers.into_iter().for_each(|addr| self.relays.set_target(at, addr));
         self.processes[at] = Some(process);
         Ok(())
     }
@@ -225,7 +225,7 @@
     /// It did not start.
     pub async fn double(&mut self, at: usize) -> io::Result<()> {
         let process = self.spawn(at).await?;
-        process.peers.into_iter().for_each(|addr| self.relays.target(at, addr));
+        process.peers.into_iter().for_each(|addr| self.relays.set_target(at, addr));
         self.doubles.push((self.names[at].clone(), process));
         Ok(())
     }
@@ -241,7 +241,7 @@
         let limit = format!("ulimit -n {}; exec \"$0\" \"$1\"", self.setup.held_to);
         let mut child = tokio::process::Command::new("sh")
             .args(["-c", &limit])
-            .arg(mallowgauge_testkit::program())
+            .arg(mallowgauge_testkit::program_path())
             .arg(operator)
             .env("RELAY_CONFIG", config)
             .stdout(Stdio::piped())
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use hdrhistogram::Histogram;
-use mallowgauge_testkit::trial::clients;
-use mallowgauge_testkit::trial::relay::Fault;
+use mallowgauge_testkit::fault_injection::clients;
+use mallowgauge_testkit::fault_injection::relay::Fault;
 
 use crate::fleet::{Fleet, Setup};
 use crate::plan::Held;
@@ -177,8 +177,8 @@
 fn cut(fleet: &Fleet, lost: usize, cut: bool) {
     let fault = Fault { cut, ..Fault::default() };
     for other in (0..fleet.names.len()).filter(|other| *other != lost) {
-        fleet.relays.set(lost, other, &fault);
-        fleet.relays.set(other, lost, &fault);
+        fleet.relays.set_fault(lost, other, &fault);
+        fleet.relays.set_fault(other, lost, &fault);
     }
 }
 
@@ -273,7 +273,7 @@
                 let (query, effect) = clients::query(format!("c-{number}"), number, 3_000_000);
                 let report = query.kind == "sales-report";
                 let began = std::time::Instant::now();
-                let status = clients::ask(addr, "n1".to_owned(), query, effect, notes.clone()).await;
+                let status = clients::send_query(addr, "n1".to_owned(), query, effect, notes.clone()).await;
                 if status == Some(200) && !report {
                     took[usize::from(effect)].push(began.elapsed().as_micros() as f64);
                 }
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -4,8 +4,8 @@
 
 use std::collections::BTreeSet;
 
-use mallowgauge_testkit::trial::relay::Fault;
-use mallowgauge_testkit::trial::strangers::Act;
+use mallowgauge_testkit::fault_injection::misbehaving_peers::Misbehavior;
+use mallowgauge_testkit::fault_injection::relay::Fault;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -186,7 +186,7 @@
     /// In whose name, where the act needs one.
     pub name: String,
     /// What it does.
-    pub act: Act,
+    pub act: Misbehavior,
     /// For so long at most.
     pub ms: u64,
     /// Whether the process has to close the connection by itself.
--- a/crates/lab/src/storm.rs
+++ b/crates/lab/src/storm.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use mallowgauge_testkit::trial::rules::TakenOver;
+use mallowgauge_testkit::fault_injection::rules::TakeoverCounts;
 use tokio::task::JoinSet;
 
 use crate::measure::{histogram, row};
@@ -50,7 +50,7 @@
     asked: usize,
     holds: usize,
     lost: usize,
-    taken: TakenOver,
+    taken: TakeoverCounts,
     adoptions: Vec<u64>,
     looked_at: BTreeMap<&'static str, usize>,
     failed: Vec<String>,
@@ -63,7 +63,7 @@
         self.asked += verdict.asked;
         self.holds += verdict.holds;
         self.lost += verdict.lost;
-        let TakenOver { again, known, served, refused } = verdict.taken_over;
+        let TakeoverCounts { again, known, served, refused } = verdict.taken_over;
         self.taken.again += again;
         self.taken.known += known;
         self.taken.served += served;
@@ -78,7 +78,7 @@
     }
 
     fn print(&self, what: &str) -> Result<(), String> {
-        let TakenOver { again, known, served, refused } = self.taken;
+        let TakeoverCounts { again, known, served, refused } = self.taken;
         println!(
             "{what}: {} plans, {} faults, {} asks, {} holds, {} asks lost with their gatherer",
             self.plans, self.faults, self.asked, self.holds, self.lost
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -6,9 +6,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use mallowgauge_testkit::trial::rules::{self, End, Sample};
-use mallowgauge_testkit::trial::strangers::{self, Guise};
-use mallowgauge_testkit::trial::{clients, held};
+use mallowgauge_testkit::fault_injection::misbehaving_peers::{self, PeerIdentity};
+use mallowgauge_testkit::fault_injection::rules::{self, ClientResult, Sample};
+use mallowgauge_testkit::fault_injection::{clients, lock_ignoring_poison};
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
@@ -77,12 +77,12 @@
     };
     let fleet = Fleet::start(setup).await.map_err(|e| e.to_string())?;
     let work = Duration::from_millis(plan.work_ms);
-    fleet.hosts.iter().for_each(|host| host.change(|manner| manner.work = work));
+    fleet.hosts.iter().for_each(|host| host.update(|manner| manner.service_time = work));
     if plan.planted == Some(Planted::DoubleRuns) {
-        fleet.hosts.iter().for_each(|host| host.change(|manner| manner.doubles = true));
+        fleet.hosts.iter().for_each(|host| host.update(|manner| manner.executes_twice = true));
     }
     if plan.planted == Some(Planted::MuteDiscovery) {
-        fleet.discovery.change(|state| state.mute = true);
+        fleet.discovery.update(|state| state.suppress_updates = true);
     }
     let mut trial = Trial {
         load: Load::start(&fleet, plan),
@@ -114,7 +114,7 @@
     sampler.abort();
     let timeline: Vec<Entry> = trial.fleet.logs.timeline().merged().into_iter().cloned().collect();
     let mut history = std::mem::take(&mut *trial.fleet.notes.history());
-    history.cries = cries(&timeline);
+    history.forbidden_log_lines = cries(&timeline);
     let limits = rules::Limits {
         slack: SLACK,
         drain: DRAIN,
@@ -124,21 +124,21 @@
         descriptors: u64::from(plan.limits.descriptors) / if tight { 64 } else { 1 },
     };
     let mut answers = BTreeMap::new();
-    for asked in &history.asked {
-        if let [(_, End::Answer(status))] = asked.ends[..] {
+    for asked in &history.queries {
+        if let [(_, ClientResult::Answer(status))] = asked.results[..] {
             *answers.entry(status).or_default() += 1;
         }
     }
     let verdict = Verdict {
         plan: plan.name.clone(),
         failed: trial.failed.clone(),
-        rules: rules::judge(&history, &limits),
-        asked: history.asked.len(),
-        holds: rules::holds(&history),
+        rules: rules::check(&history, &limits),
+        asked: history.queries.len(),
+        holds: rules::non_idempotent_queries(&history),
         faults: plan.faults(),
-        lost: rules::lost(&history),
-        taken_over: rules::taken_over(&history),
-        adoptions: rules::adoptions(&history),
+        lost: rules::lost_queries(&history),
+        taken_over: rules::takeovers(&history),
+        adoptions: rules::takeover_times(&history),
         answers,
         seconds: began.elapsed().as_secs_f64(),
     };
@@ -190,7 +190,7 @@
                     self.ended.insert(at);
                     self.load.off(at);
                     let now = self.fleet.notes.now();
-                    self.fleet.notes.history().ends.push((now, name));
+                    self.fleet.notes.history().instance_ends.push((now, name));
                     self.signal(at, libc::SIGKILL);
                     self.gone(at).await?;
                 }
@@ -242,7 +242,7 @@
                 // The relays lead to the first one again.
                 for place in self.places(&Who::One(of))? {
                     let addr = self.fleet.process(place).and_then(|process| process.peers);
-                    addr.into_iter().for_each(|addr| self.fleet.relays.target(place, addr));
+                    addr.into_iter().for_each(|addr| self.fleet.relays.set_target(place, addr));
                 }
             }
             Step::Fault(between) => self.fault(between)?,
@@ -282,17 +282,17 @@
             Step::Mark => self.mark = self.fleet.logs.timeline().entries.len(),
             Step::PassMs(ms) => tokio::time::sleep(Duration::from_millis(*ms)).await,
             Step::Drain(host) => {
-                self.fleet.discovery.change(|state| state.hosts[*host].state = "leaving");
-                self.fleet.hosts[*host].change(|manner| manner.draining = true);
+                self.fleet.discovery.update(|state| state.backends[*host].state = "leaving");
+                self.fleet.hosts[*host].update(|manner| manner.draining = true);
             }
             Step::Cold(host) => {
                 let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
                 let at = self.fleet.notes.now();
-                self.fleet.notes.history().colds.push((at, *host));
+                self.fleet.notes.history().cold_starts.push((at, *host));
                 let started = now.as_millis() as u64;
-                self.fleet.discovery.change(|state| state.hosts[*host].started = started);
+                self.fleet.discovery.update(|state| state.backends[*host].started_at_ms = started);
             }
-            Step::DiscoveryDown(down) => self.fleet.discovery.change(|state| state.down = *down),
+            Step::DiscoveryDown(down) => self.fleet.discovery.update(|state| state.down = *down),
             Step::Stranger(stranger) => self.stranger(stranger)?,
             Step::Crowd { to, clients } => {
                 for at in self.places(to)? {
@@ -320,7 +320,7 @@
             let id = self.fleet.process(at)?.child.id()?;
             Some((self.name(at), id))
         });
-        *held(&self.watch) = ids.collect();
+        *lock_ignoring_poison(&self.watch) = ids.collect();
     }
 
     fn names(&self, who: &Who) -> Result<Vec<String>, String> {
@@ -331,7 +331,7 @@
     fn go_on(&mut self, at: usize) {
         if let Some(from) = self.halted.remove(&at) {
             let (to, name) = (self.fleet.notes.now(), self.name(at));
-            self.fleet.notes.history().halts.push((from, to, name));
+            self.fleet.notes.history().pauses.push((from, to, name));
         }
     }
 
@@ -346,9 +346,9 @@
     fn fault(&self, Between { from, to, both, fault }: &Between) -> Result<(), String> {
         let (from, to) = (self.places(from)?, self.places(to)?);
         for (&a, &b) in from.iter().flat_map(|a| to.iter().map(move |b| (a, b))).filter(|(a, b)| a != b) {
-            self.fleet.relays.set(a, b, fault);
+            self.fleet.relays.set_fault(a, b, fault);
             if *both {
-                self.fleet.relays.set(b, a, fault);
+                self.fleet.relays.set_fault(b, a, fault);
             }
         }
         Ok(())
@@ -386,14 +386,14 @@
     fn stranger(&mut self, stranger: &Stranger) -> Result<(), String> {
         let at = *self.places(&Who::One(stranger.to.clone()))?.first().ok_or("nobody")?;
         let addr = self.fleet.process(at).and_then(|process| process.peers).ok_or("it does not run")?;
-        let guise = Guise {
+        let guise = PeerIdentity {
             names: self.fleet.names.clone(),
-            list: 1,
+            list_version: 1,
             name: stranger.name.clone(),
-            other: stranger.to.clone(),
+            target_name: stranger.to.clone(),
         };
         let (act, most) = (stranger.act, Duration::from_millis(stranger.ms));
-        let play = tokio::spawn(async move { strangers::play(addr, act, &guise, most).await });
+        let play = tokio::spawn(async move { misbehaving_peers::run(addr, act, &guise, most).await });
         self.strangers.push((stranger.clone(), play));
         Ok(())
     }
@@ -404,10 +404,10 @@
         let (watch, notes) = (self.watch.clone(), self.fleet.notes.clone());
         tokio::spawn(async move {
             loop {
-                let ids = held(&watch).clone();
+                let ids = lock_ignoring_poison(&watch).clone();
                 for (process, id) in ids {
                     if let Some((memory, descriptors)) = crate::fleet::uses(id) {
-                        notes.history().samples.push(Sample { process, memory, descriptors });
+                        notes.history().samples.push(Sample { instance: process, memory, descriptors });
                     }
                 }
                 tokio::time::sleep(Duration::from_millis(50)).await;
@@ -431,7 +431,7 @@
             }
         }
         self.load.settle().await;
-        held(&self.watch).clear();
+        lock_ignoring_poison(&self.watch).clear();
         let running: Vec<usize> = (0..self.plan.processes).filter(|at| !self.ended.contains(at)).collect();
         for &at in &running {
             self.signal(at, libc::SIGTERM);
@@ -481,7 +481,7 @@
                 let mut number = at as u64;
                 while !stopped.load(Ordering::Relaxed) {
                     tokio::time::sleep(pause).await;
-                    let Some(addr) = held(&addresses)[at] else { continue };
+                    let Some(addr) = lock_ignoring_poison(&addresses)[at] else { continue };
                     number += 1;
                     let (query, effect) = clients::query(format!("{name}-{number:06}"), number, WAIT);
                     open.fetch_add(1, Ordering::Relaxed);
@@ -491,7 +491,8 @@
                     tokio::spawn(async move {
                         let id = query.id.clone();
                         let began = notes.now();
-                        let mut said = clients::ask(addr, name, query.clone(), effect, notes.clone()).await;
+                        let mut said =
+                            clients::send_query(addr, name, query.clone(), effect, notes.clone()).await;
                         // A client that does not know how its hold ended asks for it again, at others in turn,
                         // for as long as its id may be asked.
                         let mut next = at;
@@ -500,18 +501,18 @@
                                 break;
                             }
                             next = (next + 1) % names.len();
-                            let addr = held(&addresses)[next];
+                            let addr = lock_ignoring_poison(&addresses)[next];
                             let Some(addr) = addr else {
                                 tokio::time::sleep(Duration::from_millis(20)).await;
                                 continue;
                             };
                             let ask = |at: usize, addr| {
                                 let (name, notes) = (names[at].clone(), notes.clone());
-                                clients::ask_as(addr, name, query.clone(), (true, true), notes)
+                                clients::send_query_marked(addr, name, query.clone(), (true, true), notes)
                             };
                             // Some ask two at once, who may both be about to take it over.
                             let third = (next + 1) % names.len();
-                            let also = held(&addresses)[third].filter(|_| number % 4 == 2);
+                            let also = lock_ignoring_poison(&addresses)[third].filter(|_| number % 4 == 2);
                             said = match also {
                                 Some(also) => {
                                     let (one, other) = tokio::join!(ask(next, addr), ask(third, also));
@@ -524,10 +525,11 @@
                         if again && number % 10 == 7 && matches!(said, Some(200 | 502)) {
                             tokio::time::sleep(Duration::from_millis(400)).await;
                             let next = (next + 1) % names.len();
-                            let addr = held(&addresses)[next];
+                            let addr = lock_ignoring_poison(&addresses)[next];
                             if let Some(addr) = addr {
                                 let (name, notes) = (names[next].clone(), notes.clone());
-                                clients::ask_as(addr, name, query.clone(), (true, true), notes).await;
+                                clients::send_query_marked(addr, name, query.clone(), (true, true), notes)
+                                    .await;
                             }
                         }
                         if number % 50 == 7 {
@@ -544,11 +546,11 @@
     }
 
     fn off(&self, at: usize) {
-        held(&self.addresses)[at] = None;
+        lock_ignoring_poison(&self.addresses)[at] = None;
     }
 
     fn on(&self, at: usize, addr: Option<SocketAddr>) {
-        held(&self.addresses)[at] = addr;
+        lock_ignoring_poison(&self.addresses)[at] = addr;
     }
 
     fn stop(&self) {
@@ -568,12 +570,12 @@
 }
 
 /// Something between the program and its client that a plan planted.
-fn spoil(planted: Option<Planted>, id: &str, notes: &mallowgauge_testkit::trial::Notebook) {
+fn spoil(planted: Option<Planted>, id: &str, notes: &mallowgauge_testkit::fault_injection::Recorder) {
     let mut history = notes.history();
-    let Some(asked) = history.asked.iter_mut().find(|asked| asked.id == id) else { return };
+    let Some(asked) = history.queries.iter_mut().find(|asked| asked.id == id) else { return };
     match planted {
-        Some(Planted::DoubleAnswers) => asked.ends.extend(asked.ends.clone()),
-        Some(Planted::LostAnswers) => asked.ends.clear(),
+        Some(Planted::DoubleAnswers) => asked.results.extend(asked.results.clone()),
+        Some(Planted::LostAnswers) => asked.results.clear(),
         _ => {}
     }
 }
--- a/crates/lab/src/verdict.rs
+++ b/crates/lab/src/verdict.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use mallowgauge_testkit::trial::rules::{Finding, TakenOver};
+use mallowgauge_testkit::fault_injection::rules::{Finding, TakeoverCounts};
 use serde::Serialize;
 
 /// The outcome of a trial.
@@ -23,7 +23,7 @@
     /// Queries whose gatherer was killed before it answered.
     pub lost: usize,
     /// What became of the holds among them.
-    pub taken_over: TakenOver,
+    pub taken_over: TakeoverCounts,
     /// Microseconds from the end of a hold's gatherer to another one's first frame for it.
     pub adoptions: Vec<u64>,
     /// Answers, by status.
@@ -59,7 +59,7 @@
             self.lost,
             answers.join(", ")
         );
-        let TakenOver { again, known, served, refused } = self.taken_over;
+        let TakeoverCounts { again, known, served, refused } = self.taken_over;
         if again > 0 {
             let _ = writeln!(
                 out,
--- a/crates/mallowgauge/tests/bad_input.rs
+++ b/crates/mallowgauge/tests/bad_input.rs
@@ -3,18 +3,20 @@
 
 use std::time::Duration;
 
-use mallowgauge_testkit::hand::{accept, accept_within, frame, list, query, Rig, Wire};
+use mallowgauge_testkit::manual_peers::{
+    accept, accept_within, endpoint_list, frame, query, Connection, TestBed,
+};
 use serde_json::{json, Value};
 
 /// The next connection to any of the hosts.
-fn called(rig: &Rig) -> Wire {
+fn called(rig: &TestBed) -> Connection {
     let next = |host| accept_within(host, Duration::from_millis(10));
-    let mut tries = (0..500).flat_map(|_| &rig.hosts);
+    let mut tries = (0..500).flat_map(|_| &rig.backends);
     tries.find_map(next).expect("the program connects")
 }
 
 /// A host that answers everything well.
-fn serve(mut host: Wire) {
+fn serve(mut host: Connection) {
     std::thread::spawn(move || {
         while let Some((letter, text)) = host.frame() {
             match (letter, text.split_once(' ')) {
@@ -26,7 +28,7 @@
     });
 }
 
-fn health(rig: &Rig) -> Option<u16> {
+fn health(rig: &TestBed) -> Option<u16> {
     let mut client = rig.client();
     client.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
     client.response().map(|(status, _)| status)
@@ -49,18 +51,18 @@
         vec![0xff; 5000],
     ];
     for odd in odd {
-        let rig = Rig::start(3, |_| {});
+        let rig = TestBed::start(3, |_| {});
         let mut client = rig.client();
         client.send(query("q", "search", 4000, &[0]));
         let mut host = called(&rig);
-        assert_eq!(host.call().pop().map(|part| part.id).as_deref(), Some("q.0"));
+        assert_eq!(host.next_parts().pop().map(|part| part.id).as_deref(), Some("q.0"));
         host.send(&odd);
         host.reset();
         // The part is asked of another, or of the same host again; it may be looked after by probes meanwhile.
         let answer = std::thread::spawn(move || client.response());
         while !answer.is_finished() {
             let next = |host| accept_within(host, Duration::from_millis(5));
-            rig.hosts.iter().filter_map(next).for_each(serve);
+            rig.backends.iter().filter_map(next).for_each(serve);
         }
         let (status, body) = answer.join().expect("a client").expect("an answer");
         let body: Value = serde_json::from_str(&body).expect("JSON");
@@ -72,10 +74,10 @@
 }
 
 /// The next call for a list, on this connection or on a new one.
-fn asked(rig: &Rig, mut discovery: Option<Wire>) -> Wire {
+fn asked(rig: &TestBed, mut discovery: Option<Connection>) -> Connection {
     loop {
         let mut wire = discovery.take().unwrap_or_else(|| accept(&rig.discovery));
-        if wire.try_head().is_some() {
+        if wire.try_read_head().is_some() {
             return wire;
         }
     }
@@ -83,15 +85,15 @@
 
 #[test]
 fn a_list_is_taken_in_every_form_and_after_every_broken_one() {
-    let rig = Rig::start(2, |_| {});
+    let rig = TestBed::start(2, |_| {});
     let mut generation = 1;
     // A list that adds one host, whose name shows in the log.
     let mut next = |form: &str| {
         generation += 1;
-        let mut added = rig.instance(0, "active");
+        let mut added = rig.endpoint(0, "active");
         added["instanceId"] = json!(format!("new-{form}"));
-        let instances = [rig.instance(0, "active"), rig.instance(1, "active"), added];
-        list(generation, true, &instances)
+        let instances = [rig.endpoint(0, "active"), rig.endpoint(1, "active"), added];
+        endpoint_list(generation, true, &instances)
     };
     let head = "HTTP/1.1 200 OK\r\n";
     let sized = |body: &str| format!("{head}Content-Length: {}\r\n\r\n{body}", body.len());
@@ -99,7 +101,7 @@
         let each = body.bytes().map(|byte| format!("1\r\n{}\r\n", byte as char)).collect::<String>();
         format!("{head}Transfer-Encoding: chunked\r\n\r\n{each}0\r\n\r\n")
     };
-    let known = |form: &str| rig.expect_log(&format!("host new-{form} is number"));
+    let known = |form: &str| rig.wait_for_log(&format!("host new-{form} is number"));
 
     let mut wire = asked(&rig, None);
     for byte in sized(&next("bytes")).bytes() {
@@ -148,7 +150,7 @@
             false
         };
         if waits {
-            assert!(cut_off || broken.closes(), "{form}");
+            assert!(cut_off || broken.is_closed_by_peer(), "{form}");
         }
         drop(broken);
         let mut sound = asked(&rig, None);
--- a/crates/mallowgauge/tests/flight.rs
+++ b/crates/mallowgauge/tests/flight.rs
@@ -16,8 +16,8 @@
 use futures::{StreamExt, TryStreamExt};
 use mallowgauge_flight::proto::{self, OptionValue, SessionOptionValue, SessionOptions};
 use mallowgauge_flight::seal;
-use mallowgauge_testkit::columns::{listings, Act, Dress, Script};
-use mallowgauge_testkit::{tls, Cluster};
+use mallowgauge_testkit::columns::{listings, Script, ScriptedReply, TableEncoding};
+use mallowgauge_testkit::{tls, Deployment};
 use prost::Message;
 use serde_json::{json, Value};
 use tonic::transport::{Certificate, Channel, ClientTlsConfig, Endpoint, Identity};
@@ -29,15 +29,18 @@
 fn tables() -> Script {
     Arc::new(|_, ticket, _| {
         let shard = ticket["range"].as_u64().expect("a shard") as u32;
-        Act::Table(vec![listings(shard, ROWS / 2), listings(shard + 100, ROWS / 2)], Dress::default())
+        ScriptedReply::Table(
+            vec![listings(shard, ROWS / 2), listings(shard + 100, ROWS / 2)],
+            TableEncoding::default(),
+        )
     })
 }
 
-fn quiet(script: Script) -> Cluster {
-    Cluster::start(script, json!({}), |_| {})
+fn quiet(script: Script) -> Deployment {
+    Deployment::start(script, json!({}), |_| {})
 }
 
-async fn client(cluster: &Cluster) -> FlightClient {
+async fn client(cluster: &Deployment) -> FlightClient {
     let addr = format!("http://{}", cluster.program.flight);
     FlightClient::new(Endpoint::new(addr).expect("an address").connect().await.expect("a connection"))
 }
@@ -166,7 +169,7 @@
             columns[0] = Arc::new(ids.collect::<arrow_array::PrimitiveArray<Float64Type>>());
         }
         let batch = RecordBatch::try_new(Arc::new(arrow_schema::Schema::new(fields)), columns);
-        Act::Table(vec![batch.expect("a batch")], Dress::default())
+        ScriptedReply::Table(vec![batch.expect("a batch")], TableEncoding::default())
     });
     let cluster = quiet(script);
     let mut client = client(&cluster).await;
@@ -190,12 +193,15 @@
 #[tokio::test]
 async fn compressed_bodies_and_messages_are_taken_from_hosts() {
     for dress in [
-        Dress { body: Some(CompressionType::LZ4_FRAME), gzip: false },
-        Dress { body: Some(CompressionType::ZSTD), gzip: false },
-        Dress { body: None, gzip: true },
+        TableEncoding { body_compression: Some(CompressionType::LZ4_FRAME), gzip: false },
+        TableEncoding { body_compression: Some(CompressionType::ZSTD), gzip: false },
+        TableEncoding { body_compression: None, gzip: true },
     ] {
         let script: Script = Arc::new(move |_, ticket, _| {
-            Act::Table(vec![listings(ticket["range"].as_u64().expect("a shard") as u32, 1000)], dress)
+            ScriptedReply::Table(
+                vec![listings(ticket["range"].as_u64().expect("a shard") as u32, 1000)],
+                dress,
+            )
         });
         let cluster = quiet(script);
         let mut client = client(&cluster).await;
@@ -212,7 +218,7 @@
 async fn a_client_that_compresses_gets_compressed_answers() {
     let cluster = quiet(tables());
     let addr = format!("http://{}", cluster.program.flight);
-    let mut raw = mallowgauge_testkit::raw::Raw::connect(cluster.program.flight);
+    let mut raw = mallowgauge_testkit::raw_http2::RawHttp2Client::connect(cluster.program.flight);
     let descriptor = proto::FlightDescriptor::command(command("search", "q1", &[0]).to_string().into());
     let gzip = mallowgauge_flight::grpc::frame_pieces(
         vec![
@@ -225,11 +231,11 @@
     );
     let bytes = gzip.concat();
     assert_eq!(bytes[0], 1, "the request is compressed");
-    let stream = raw.call("GetFlightInfo", &[("grpc-encoding", "gzip")], &bytes);
+    let stream = raw.start_call("GetFlightInfo", &[("grpc-encoding", "gzip")], &bytes);
     let mut answer = Vec::new();
     // Read by hand: the frames' flag is what this is about.
     let mut lines = Vec::new();
-    while let Some(frame) = raw.read() {
+    while let Some(frame) = raw.read_frame() {
         if frame.stream == stream && frame.kind == 0 {
             answer.extend_from_slice(&frame.payload);
         }
@@ -244,27 +250,29 @@
 #[tokio::test]
 async fn unknown_encodings_and_methods_are_refused_as_the_specification_says() {
     let cluster = quiet(tables());
-    let mut raw = mallowgauge_testkit::raw::Raw::connect(cluster.program.flight);
-    let reply = raw.ask("DoGet", &[("grpc-encoding", "br")], b"\0\0\0\0\0");
-    assert_eq!((reply.status(), reply.line("grpc-accept-encoding")), (Some(12), Some("identity,gzip")));
-    assert_eq!(raw.ask("DoNothing", &[], b"").status(), Some(12));
-    assert_eq!(raw.ask("/other.Service/DoGet", &[], b"").status(), Some(12));
+    let mut raw = mallowgauge_testkit::raw_http2::RawHttp2Client::connect(cluster.program.flight);
+    let reply = raw.call("DoGet", &[("grpc-encoding", "br")], b"\0\0\0\0\0");
+    assert_eq!((reply.status(), reply.header("grpc-accept-encoding")), (Some(12), Some("identity,gzip")));
+    assert_eq!(raw.call("DoNothing", &[], b"").status(), Some(12));
+    assert_eq!(raw.call("/other.Service/DoGet", &[], b"").status(), Some(12));
     // A message that says it is compressed on a call that did not.
-    assert_eq!(raw.ask("DoGet", &[], b"\x01\0\0\0\0").status(), Some(13));
-    assert_eq!(raw.ask("DoGet", &[("grpc-timeout", "5 parsecs")], b"\0\0\0\0\0").status(), Some(3));
+    assert_eq!(raw.call("DoGet", &[], b"\x01\0\0\0\0").status(), Some(13));
+    assert_eq!(raw.call("DoGet", &[("grpc-timeout", "5 parsecs")], b"\0\0\0\0\0").status(), Some(3));
     // A gzip bomb: ten megabytes of zeros in a few kilobytes.
     let bomb = vec![Bytes::from(vec![0_u8; 10 << 20])];
     let bomb =
         mallowgauge_flight::grpc::frame_pieces(bomb, mallowgauge_flight::grpc::Encoding::Gzip).concat();
     assert!(bomb.len() < 64 << 10);
-    assert_eq!(raw.ask("DoGet", &[("grpc-encoding", "gzip")], &bomb).status(), Some(8));
+    assert_eq!(raw.call("DoGet", &[("grpc-encoding", "gzip")], &bomb).status(), Some(8));
 }
 
 #[tokio::test]
 async fn a_report_is_partial_from_four_parts_of_five_on_every_method() {
     let script: Script = Arc::new(|_, ticket, _| match ticket["range"].as_u64() {
-        Some(4) => Act::Hang,
-        shard => Act::Table(vec![listings(shard.expect("a shard") as u32, 4)], Dress::default()),
+        Some(4) => ScriptedReply::Hang,
+        shard => {
+            ScriptedReply::Table(vec![listings(shard.expect("a shard") as u32, 4)], TableEncoding::default())
+        }
     });
     let cluster = quiet(script);
     let mut client = client(&cluster).await;
@@ -416,7 +424,7 @@
     query["tag"] = json!("t");
     assert_eq!(exchange(&mut client, vec![query]).await["t"].0["status"], "whole");
     assert_eq!(poll(&mut client, &command("place-hold", "h1", &[0, 1])).await.expect("an end").1, 1);
-    assert_eq!(cluster.runs("h1"), [(0, 1), (1, 1)]);
+    assert_eq!(cluster.attempts_by_shard("h1"), [(0, 1), (1, 1)]);
     // The same id for another question is refused.
     let failed = ask(&mut client, &command("place-hold", "h1", &[2])).await.expect_err("a refusal");
     assert_eq!((failed.0, failed.1.as_deref()), (Code::AlreadyExists, Some("ID_IN_USE")));
@@ -424,14 +432,14 @@
     for _ in 0..2 {
         ask(&mut client, &command("search", "s1", &[0])).await.expect("an answer");
     }
-    assert_eq!(cluster.runs("s1"), [(0, 2)]);
+    assert_eq!(cluster.attempts_by_shard("s1"), [(0, 2)]);
 }
 
 #[tokio::test]
 async fn a_hold_cut_halfway_is_never_run_twice_on_any_method() {
     let script: Script = Arc::new(|_, ticket, _| {
         let shard = ticket["range"].as_u64().expect("a shard") as u32;
-        Act::Cut(vec![listings(shard, 1000)], 4000)
+        ScriptedReply::Reset(vec![listings(shard, 1000)], 4000)
     });
     let cluster = quiet(script);
     let mut client = client(&cluster).await;
@@ -450,22 +458,23 @@
         assert_eq!(failed.0, Code::Internal);
     }
     for id in ["get", "put", "exchange", "poll"] {
-        assert_eq!(cluster.runs(id), [(0, 1)], "{id}");
+        assert_eq!(cluster.attempts_by_shard(id), [(0, 1)], "{id}");
     }
 }
 
 #[tokio::test]
 async fn a_hold_that_a_host_turned_away_goes_elsewhere() {
     let script: Script = Arc::new(|_, ticket, before| match before {
-        0 => Act::Later,
-        _ => {
-            Act::Table(vec![listings(ticket["range"].as_u64().expect("a shard") as u32, 2)], Dress::default())
-        }
+        0 => ScriptedReply::Reject,
+        _ => ScriptedReply::Table(
+            vec![listings(ticket["range"].as_u64().expect("a shard") as u32, 2)],
+            TableEncoding::default(),
+        ),
     });
     let cluster = quiet(script);
     let mut client = client(&cluster).await;
     let (batches, _) = ask(&mut client, &command("place-hold", "h", &[0])).await.expect("an answer");
-    assert_eq!((by_part(&batches), cluster.runs("h")), (BTreeMap::from([(0, 2)]), vec![(0, 2)]));
+    assert_eq!((by_part(&batches), cluster.attempts_by_shard("h")), (BTreeMap::from([(0, 2)]), vec![(0, 2)]));
 }
 
 #[tokio::test]
@@ -482,14 +491,16 @@
     assert_eq!((by_part(&first).len(), said), (3, json!({"total": true})));
     assert_eq!(first, again);
     assert_eq!(poll(&mut client, &wish).await.expect("an end").1, 1);
-    assert_eq!(cluster.runs("r1"), [(0, 1), (1, 1), (2, 1)]);
+    assert_eq!(cluster.attempts_by_shard("r1"), [(0, 1), (1, 1), (2, 1)]);
 }
 
 #[tokio::test]
 async fn flights_are_cancelled_renewed_and_expired() {
     let script: Script = Arc::new(|_, ticket, _| match ticket["range"].as_u64() {
-        Some(0) => Act::Hang,
-        shard => Act::Table(vec![listings(shard.expect("a shard") as u32, 2)], Dress::default()),
+        Some(0) => ScriptedReply::Hang,
+        shard => {
+            ScriptedReply::Table(vec![listings(shard.expect("a shard") as u32, 2)], TableEncoding::default())
+        }
     });
     let cluster = quiet(script);
     let mut client = client(&cluster).await;
@@ -500,7 +511,7 @@
         let ticket = ticket(&slow);
         async move { get(&mut other, ticket).await }
     });
-    while cluster.runs("slow").is_empty() {
+    while cluster.attempts_by_shard("slow").is_empty() {
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
     }
     let result =
@@ -515,7 +526,7 @@
         let ticket = ticket(&hold);
         async move { get(&mut other, ticket).await }
     });
-    while cluster.runs("hold").is_empty() {
+    while cluster.attempts_by_shard("hold").is_empty() {
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
     }
     let result = client.cancel_flight_info(CancelFlightInfoRequest::new(hold)).await.expect("a result");
@@ -538,7 +549,7 @@
     assert_eq!(get(&mut client, ticket(&info)).await.expect_err("a failure").0, Code::Cancelled);
 }
 
-async fn channel(cluster: &Cluster) -> Channel {
+async fn channel(cluster: &Deployment) -> Channel {
     let addr = format!("http://{}", cluster.program.flight);
     Endpoint::new(addr).expect("an address").connect().await.expect("a connection")
 }
@@ -630,7 +641,7 @@
 
 #[tokio::test]
 async fn sessions_keep_their_options() {
-    let script: Script = Arc::new(|_, _, _| Act::Fail(Code::Internal.into_grpc()));
+    let script: Script = Arc::new(|_, _, _| ScriptedReply::Fail(Code::Internal.into_grpc()));
     let cluster = quiet(script);
     let mut client = client(&cluster).await;
     let errors = set_options(
@@ -686,8 +697,10 @@
 #[tokio::test]
 async fn an_exchange_answers_as_answers_come_and_cancels_one() {
     let script: Script = Arc::new(|_, ticket, _| match ticket["range"].as_u64() {
-        Some(9) => Act::Hang,
-        shard => Act::Table(vec![listings(shard.expect("a shard") as u32, 4)], Dress::default()),
+        Some(9) => ScriptedReply::Hang,
+        shard => {
+            ScriptedReply::Table(vec![listings(shard.expect("a shard") as u32, 4)], TableEncoding::default())
+        }
     });
     let cluster = quiet(script);
     let mut client = client(&cluster).await;
@@ -729,7 +742,7 @@
         // What finds no room is refused, and says when to come back; it has not run.
         match (row, value["status"].as_str()) {
             (7, status) => assert_eq!(status, Some("invalid")),
-            (_, Some("whole")) => assert_eq!(cluster.runs(&format!("bulk-{row}")).len(), 1),
+            (_, Some("whole")) => assert_eq!(cluster.attempts_by_shard(&format!("bulk-{row}")).len(), 1),
             (_, Some("refused")) => assert!(value["retry_after_ms"].as_u64() > Some(0), "{value}"),
             (_, other) => panic!("row {row}: {other:?}: {value}"),
         }
@@ -743,11 +756,11 @@
     let folder = std::env::temp_dir().join(format!("mallowgauge-users-{}", std::process::id()));
     let secret = |password: &str| seal::secret(password, b"salt", 1000);
     let text = format!("# who may call\nann:{}\nbob:{}\n", secret("wheat"), secret("oats"));
-    let users = tls::file(&folder, "users.txt", &text);
-    let key = tls::file(&folder, "flight.key", "a key that two copies share");
+    let users = tls::write_file(&folder, "users.txt", &text);
+    let key = tls::write_file(&folder, "flight.key", "a key that two copies share");
     let told = json!({"users": users, "key": key});
     let (cluster, copy) =
-        (Cluster::start(tables(), told.clone(), |_| {}), Cluster::start(tables(), told, |_| {}));
+        (Deployment::start(tables(), told.clone(), |_| {}), Deployment::start(tables(), told, |_| {}));
     let mut nobody = client(&cluster).await;
     let failed =
         status(nobody.get_flight_info(descriptor(&command("search", "q", &[0]))).await.expect_err("nobody"));
@@ -791,7 +804,7 @@
     get(&mut at_copy, ticket(&info)).await.expect("an answer");
     let failed = get(&mut at_copy, ticket(&hold)).await.expect_err("another's");
     assert_eq!((failed.0, failed.1.as_deref()), (Code::FailedPrecondition, Some("OTHER_ISSUER")));
-    assert_eq!(copy.runs("h"), []);
+    assert_eq!(copy.attempts_by_shard("h"), []);
     std::fs::remove_dir_all(folder).expect("a folder");
 }
 
@@ -800,15 +813,16 @@
     let folder = std::env::temp_dir().join(format!("mallowgauge-tls-{}", std::process::id()));
     let (authority, clients, hosts) = (tls::Authority::new(), tls::Authority::new(), tls::Authority::new());
     let (server, client_identity, host) = (authority.sign(false), clients.sign(false), hosts.sign(false));
-    let certificate = tls::file(&folder, "cert.pem", &server.certificate);
-    let key = tls::file(&folder, "key.pem", &server.key);
+    let certificate = tls::write_file(&folder, "cert.pem", &server.certificate);
+    let key = tls::write_file(&folder, "key.pem", &server.key);
     let told = json!({
-        "tls": {"certificate": certificate, "key": key, "client_ca": tls::file(&folder, "clients.pem", &clients.pem)},
-        "host_tls": {"ca": tls::file(&folder, "hosts.pem", &hosts.pem), "name": "localhost",
-            "certificate": tls::file(&folder, "us.pem", &client_identity.certificate),
-            "key": tls::file(&folder, "us.key", &client_identity.key)},
+        "tls": {"certificate": certificate, "key": key, "client_ca": tls::write_file(&folder, "clients.pem", &clients.pem)},
+        "host_tls": {"ca": tls::write_file(&folder, "hosts.pem", &hosts.pem), "name": "localhost",
+            "certificate": tls::write_file(&folder, "us.pem", &client_identity.certificate),
+            "key": tls::write_file(&folder, "us.key", &client_identity.key)},
     });
-    let cluster = Cluster::secured(tables(), told, Some(host.server(Some(&clients.pem))), |_| {});
+    let cluster =
+        Deployment::start_with_tls(tables(), told, Some(host.server_config(Some(&clients.pem))), |_| {});
     let dial = |root: &str, identity: Option<&tls::Identity>| {
         let mut config =
             ClientTlsConfig::new().ca_certificate(Certificate::from_pem(root)).domain_name("localhost");
@@ -827,19 +841,19 @@
     // A new certificate from a new authority, by SIGHUP: the open connection goes on, new ones see the new one.
     let second = tls::Authority::new();
     let fresh = second.sign(false);
-    tls::file(&folder, "cert.pem", &fresh.certificate);
-    tls::file(&folder, "key.pem", &fresh.key);
+    tls::write_file(&folder, "cert.pem", &fresh.certificate);
+    tls::write_file(&folder, "key.pem", &fresh.key);
     cluster.program.signal(1);
-    assert!(cluster.log("configuration read again"));
+    assert!(cluster.wait_for_log("configuration read again"));
     ask(&mut client, &wish).await.expect("the open connection goes on");
     let mut new = FlightClient::new(dial(&second.pem, Some(&client_identity)));
     ask(&mut new, &wish).await.expect("the new certificate");
     let mut old = FlightClient::new(dial(&authority.pem, Some(&client_identity)));
     old.get_flight_info(descriptor(&wish)).await.expect_err("the old certificate is gone");
     // One that makes no sense leaves all as it is.
-    tls::file(&folder, "key.pem", "no key");
+    tls::write_file(&folder, "key.pem", "no key");
     cluster.program.signal(1);
-    assert!(cluster.log("configuration kept as it was: flight.tls.key"));
+    assert!(cluster.wait_for_log("configuration kept as it was: flight.tls.key"));
     ask(&mut new, &wish).await.expect("it still serves");
     std::fs::remove_dir_all(folder).expect("a folder");
 }
@@ -848,7 +862,7 @@
 async fn texts_are_compressed_as_the_session_wishes() {
     let script: Script = Arc::new(|_, ticket, _| {
         let shard = ticket["range"].as_u64().expect("a shard") as u32;
-        mallowgauge_testkit::columns::text(shard, "good", &"wheat ".repeat(500))
+        mallowgauge_testkit::columns::text_reply(shard, "good", &"wheat ".repeat(500))
     });
     let cluster = quiet(script);
     let mut client = client(&cluster).await;
@@ -875,34 +889,36 @@
 async fn an_expired_host_certificate_is_not_trusted() {
     let folder = std::env::temp_dir().join(format!("mallowgauge-expired-{}", std::process::id()));
     let hosts = tls::Authority::new();
-    let told = json!({"host_tls": {"ca": tls::file(&folder, "hosts.pem", &hosts.pem), "name": "localhost"}});
-    let cluster = Cluster::secured(tables(), told, Some(hosts.sign(true).server(None)), |_| {});
+    let told =
+        json!({"host_tls": {"ca": tls::write_file(&folder, "hosts.pem", &hosts.pem), "name": "localhost"}});
+    let cluster =
+        Deployment::start_with_tls(tables(), told, Some(hosts.sign(true).server_config(None)), |_| {});
     let mut client = client(&cluster).await;
     ask(&mut client, &command("search", "q", &[0])).await.expect_err("nobody to trust");
-    assert_eq!(cluster.runs("q"), []);
-    assert!(cluster.log("no TLS"));
+    assert_eq!(cluster.attempts_by_shard("q"), []);
+    assert!(cluster.wait_for_log("no TLS"));
     std::fs::remove_dir_all(folder).expect("a folder");
 }
 
 #[tokio::test]
 async fn health_is_told_and_watched() {
     let cluster = quiet(tables());
-    let mut raw = mallowgauge_testkit::raw::Raw::connect(cluster.program.flight);
+    let mut raw = mallowgauge_testkit::raw_http2::RawHttp2Client::connect(cluster.program.flight);
     let ask = |service: &str| {
         let message = proto::HealthCheckRequest { service: service.to_owned() };
         mallowgauge_flight::grpc::frame(&message)
     };
     for service in ["", "arrow.flight.protocol.FlightService"] {
-        let reply = raw.ask("/grpc.health.v1.Health/Check", &[], &ask(service));
+        let reply = raw.call("/grpc.health.v1.Health/Check", &[], &ask(service));
         let health = proto::HealthCheckResponse::decode(reply.messages[0].as_slice()).expect("health");
         assert_eq!((reply.status(), health.status), (Some(0), 1));
     }
-    assert_eq!(raw.ask("/grpc.health.v1.Health/Check", &[], &ask("other")).status(), Some(5));
-    let watch = raw.call("/grpc.health.v1.Health/Watch", &[], &ask(""));
+    assert_eq!(raw.call("/grpc.health.v1.Health/Check", &[], &ask("other")).status(), Some(5));
+    let watch = raw.start_call("/grpc.health.v1.Health/Watch", &[], &ask(""));
     // The first answer has to be there before the drain.
-    while raw.read().expect("a frame").kind != 0 {}
+    while raw.read_frame().expect("a frame").kind != 0 {}
     cluster.program.signal(15);
-    let reply = raw.reply(watch, true);
+    let reply = raw.read_reply(watch, true);
     let last = reply.messages.last().expect("news");
     assert_eq!(proto::HealthCheckResponse::decode(last.as_slice()).expect("health").status, 2);
 }
--- a/crates/mallowgauge/tests/flight_hard.rs
+++ b/crates/mallowgauge/tests/flight_hard.rs
@@ -8,43 +8,43 @@
 use mallowgauge_flight::answer::flight_data;
 use mallowgauge_flight::grpc::{frame, Encoding};
 use mallowgauge_flight::proto::{self, FlightData, FlightDescriptor, FlightInfo, Ticket};
-use mallowgauge_testkit::columns::{listings, messages_of, numbers, Act, Dress, Script};
-use mallowgauge_testkit::raw::{self, Raw, Reply};
-use mallowgauge_testkit::Cluster;
+use mallowgauge_testkit::columns::{listings, messages_of, numbers, Script, ScriptedReply, TableEncoding};
+use mallowgauge_testkit::raw_http2::{self, RawHttp2Client, StreamReply};
+use mallowgauge_testkit::Deployment;
 use prost::Message;
 use serde_json::{json, Value};
 
 fn tables() -> Script {
-    Arc::new(|_, ticket, _| Act::Table(vec![listings(shard(ticket), 20)], Dress::default()))
+    Arc::new(|_, ticket, _| ScriptedReply::Table(vec![listings(shard(ticket), 20)], TableEncoding::default()))
 }
 
 fn shard(ticket: &Value) -> u32 {
     ticket["range"].as_u64().expect("a shard") as u32
 }
 
-fn quiet(script: Script) -> Cluster {
-    Cluster::start(script, json!({}), |_| {})
+fn quiet(script: Script) -> Deployment {
+    Deployment::start(script, json!({}), |_| {})
 }
 
 fn command(kind: &str, id: &str, shards: &[u32]) -> Value {
     json!({"kind": kind, "id": id, "ranges": shards, "predicate": "c41e77d0"})
 }
 
-fn info(raw: &mut Raw, command: &Value) -> Vec<u8> {
+fn info(raw: &mut RawHttp2Client, command: &Value) -> Vec<u8> {
     let descriptor = FlightDescriptor::command(command.to_string().into());
-    let reply = raw.ask("GetFlightInfo", &[], &frame(&descriptor));
+    let reply = raw.call("GetFlightInfo", &[], &frame(&descriptor));
     let info = FlightInfo::decode(reply.messages[0].as_slice()).expect("a FlightInfo");
     frame(info.endpoint[0].ticket.as_ref().expect("a ticket"))
 }
 
-fn ask(raw: &mut Raw, command: &Value) -> Reply {
+fn ask(raw: &mut RawHttp2Client, command: &Value) -> StreamReply {
     let ticket = info(raw, command);
-    raw.ask("DoGet", &[("grpc-timeout", "3S")], &ticket)
+    raw.call("DoGet", &[("grpc-timeout", "3S")], &ticket)
 }
 
 /// Whether the program still serves others.
-fn serves(cluster: &Cluster) -> bool {
-    let mut raw = Raw::connect(cluster.program.flight);
+fn serves(cluster: &Deployment) -> bool {
+    let mut raw = RawHttp2Client::connect(cluster.program.flight);
     ask(
         &mut raw,
         &command(
@@ -59,7 +59,7 @@
 
 /// The good messages of a table, bent in one way.
 fn bent(how: &str, shard: u32) -> Vec<Bytes> {
-    let good = messages_of(&[listings(shard, 50), listings(shard, 50)], Dress::default());
+    let good = messages_of(&[listings(shard, 50), listings(shard, 50)], TableEncoding::default());
     let whole = |data: FlightData| Bytes::from(frame(&data));
     let read = |at: usize| FlightData::decode(good[at].slice(5..)).expect("FlightData");
     // The schema, a dictionary, a batch, perhaps another dictionary, a batch.
@@ -82,7 +82,8 @@
         }
         "a terabyte" => {
             // A compressed column that says it inflates to a terabyte.
-            let dress = Dress { body: Some(arrow_ipc::CompressionType::LZ4_FRAME), gzip: false };
+            let dress =
+                TableEncoding { body_compression: Some(arrow_ipc::CompressionType::LZ4_FRAME), gzip: false };
             let good = messages_of(&[numbers(64 << 10)], dress);
             let mut data = FlightData::decode(good[1].slice(5..)).expect("FlightData");
             let mut body = data.data_body.to_vec();
@@ -115,42 +116,42 @@
         let script: Script = Arc::new(move |_, ticket, before| {
             let hold = ticket["query"].as_str().is_some_and(|id| id.starts_with("hold"));
             if hold || before == 0 {
-                Act::Messages(bent(how, shard(ticket)))
+                ScriptedReply::Messages(bent(how, shard(ticket)))
             } else {
-                Act::Table(vec![listings(shard(ticket), 20)], Dress::default())
+                ScriptedReply::Table(vec![listings(shard(ticket), 20)], TableEncoding::default())
             }
         });
         let cluster = quiet(script);
-        let mut raw = Raw::connect(cluster.program.flight);
+        let mut raw = RawHttp2Client::connect(cluster.program.flight);
         let reply = ask(&mut raw, &command("place-hold", "hold", &[0]));
         assert_eq!((reply.status(), reply.messages.len()), (Some(13), 0), "{how}");
-        assert_eq!(cluster.runs("hold"), [(0, 1)], "{how}");
+        assert_eq!(cluster.attempts_by_shard("hold"), [(0, 1)], "{how}");
         let reply = ask(&mut raw, &command("search", "search", &[1]));
         assert_eq!(reply.status(), Some(0), "{how}: {reply:?}");
-        assert!(cluster.log("no answer for shard"), "{how}");
+        assert!(cluster.wait_for_log("no answer for shard"), "{how}");
     }
 }
 
 #[test]
 fn a_host_without_end_does_not_fill_the_memory() {
     let script: Script = Arc::new(|_, ticket, _| match shard(ticket) {
-        0 => Act::Endless(numbers(64 << 10)),
-        _ => Act::Table(vec![listings(shard(ticket), 20)], Dress::default()),
+        0 => ScriptedReply::Endless(numbers(64 << 10)),
+        _ => ScriptedReply::Table(vec![listings(shard(ticket), 20)], TableEncoding::default()),
     });
-    let cluster = Cluster::start(script, json!({}), |file| file["limits"]["memory_mb"] = json!(48));
-    let mut raw = Raw::connect(cluster.program.flight);
+    let cluster = Deployment::start(script, json!({}), |file| file["limits"]["memory_mb"] = json!(48));
+    let mut raw = RawHttp2Client::connect(cluster.program.flight);
     let reply = ask(&mut raw, &command("search", "q", &[0]));
     assert!(matches!(reply.status(), Some(4 | 8 | 13 | 14)), "{reply:?}");
     // A hold whose table has no room may have run, and is not refused as if it had not.
     let reply = ask(&mut raw, &command("place-hold", "h", &[0]));
     assert!(matches!(reply.status(), Some(4 | 13)), "{reply:?}");
-    assert_eq!(cluster.runs("h"), [(0, 1)]);
+    assert_eq!(cluster.attempts_by_shard("h"), [(0, 1)]);
     assert!(serves(&cluster));
     assert!(peak(&cluster) < 48 << 10, "{} KB", peak(&cluster));
 }
 
 /// The most memory that the program has held, in KB.
-fn peak(cluster: &Cluster) -> u64 {
+fn peak(cluster: &Deployment) -> u64 {
     let text =
         std::fs::read_to_string(format!("/proc/{}/status", cluster.program.child.id())).expect("a process");
     let line = text.lines().find(|line| line.starts_with("VmHWM:")).expect("a line");
@@ -162,10 +163,10 @@
 #[test]
 fn slow_readers_stay_inside_the_budget() {
     let script: Script = Arc::new(|_, ticket, _| match shard(ticket) {
-        0 => Act::Table((0..8).map(|_| numbers(256 << 10)).collect(), Dress::default()),
-        _ => Act::Table(vec![listings(shard(ticket), 20)], Dress::default()),
+        0 => ScriptedReply::Table((0..8).map(|_| numbers(256 << 10)).collect(), TableEncoding::default()),
+        _ => ScriptedReply::Table(vec![listings(shard(ticket), 20)], TableEncoding::default()),
     });
-    let cluster = Cluster::start(script, json!({}), |file| {
+    let cluster = Deployment::start(script, json!({}), |file| {
         file["limits"]["memory_mb"] = json!(64);
         // What a slow machine does to an aim is no matter here: nothing is to be refused for that.
         for class in file["settings"]["Classes"].as_array_mut().expect("classes") {
@@ -175,21 +176,21 @@
     let mut readers = Vec::new();
     for connection in 0..4 {
         // The windows stay shut: nothing of an answer is taken.
-        let mut raw = Raw::with_settings(cluster.program.flight, &[(4, 0)]);
+        let mut raw = RawHttp2Client::with_settings(cluster.program.flight, &[(4, 0)]);
         for call in 0..10 {
             let id = format!("slow-{connection}-{call}");
             // The ticket comes over a connection of its own, which reads.
-            let mut other = Raw::connect(cluster.program.flight);
+            let mut other = RawHttp2Client::connect(cluster.program.flight);
             let ticket = info(&mut other, &command("search", &id, &[0]));
-            raw.call("DoGet", &[("grpc-timeout", "3S")], &ticket);
+            raw.start_call("DoGet", &[("grpc-timeout", "3S")], &ticket);
         }
         readers.push(raw);
     }
     // 40 answers of 2 MB each were asked for; half of 32 MB is what tables may hold.
-    while cluster.runs.lock().expect("a sound lock").len() < 12 {
+    while cluster.attempts.lock().expect("a sound lock").len() < 12 {
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
-    let mut raw = Raw::connect(cluster.program.flight);
+    let mut raw = RawHttp2Client::connect(cluster.program.flight);
     let reply = ask(&mut raw, &command("place-hold", "h", &[1]));
     assert!(matches!(reply.status(), Some(0 | 13)), "{reply:?}");
     assert!(peak(&cluster) < 64 << 10, "{} KB", peak(&cluster));
@@ -206,47 +207,50 @@
 #[test]
 fn floods_of_frames_end_their_connection_and_no_other() {
     let cluster = quiet(tables());
-    let mut other = Raw::connect(cluster.program.flight);
+    let mut other = RawHttp2Client::connect(cluster.program.flight);
     // Streams that are opened and reset at once.
-    let mut rapid = Raw::connect(cluster.program.flight);
+    let mut rapid = RawHttp2Client::connect(cluster.program.flight);
     for _ in 0..3000 {
-        let stream = rapid.open("DoGet", &[], false);
-        if !rapid.frame(raw::RST_STREAM, 0, stream, &8_u32.to_be_bytes()) {
+        let stream = rapid.open_stream("DoGet", &[], false);
+        if !rapid.send_frame(raw_http2::RST_STREAM, 0, stream, &8_u32.to_be_bytes()) {
             break;
         }
     }
     // Header lines without end.
-    let mut endless = Raw::connect(cluster.program.flight);
-    endless.frame(raw::HEADERS, 0, 1, &raw::head("DoGet", &[]));
-    let line = raw::head("DoGet", &[("x-filler", "y")]);
-    while endless.frame(raw::CONTINUATION, 0, 1, &line.repeat(20)) {}
+    let mut endless = RawHttp2Client::connect(cluster.program.flight);
+    endless.send_frame(raw_http2::HEADERS, 0, 1, &raw_http2::request_headers("DoGet", &[]));
+    let line = raw_http2::request_headers("DoGet", &[("x-filler", "y")]);
+    while endless.send_frame(raw_http2::CONTINUATION, 0, 1, &line.repeat(20)) {}
     // Many lines at once, and one that is too long.
-    let mut bomb = Raw::connect(cluster.program.flight);
+    let mut bomb = RawHttp2Client::connect(cluster.program.flight);
     let many: Vec<(String, String)> = (0..3000).map(|i| (format!("x-{i}"), "y".repeat(20))).collect();
     let lines: Vec<(&str, &str)> = many.iter().map(|(n, v)| (n.as_str(), v.as_str())).collect();
-    let head = raw::head("DoGet", &lines);
+    let head = raw_http2::request_headers("DoGet", &lines);
     let (first, rest) = head.split_at(16 << 10);
-    bomb.frame(raw::HEADERS, 0, 1, first);
+    bomb.send_frame(raw_http2::HEADERS, 0, 1, first);
     let chunks: Vec<&[u8]> = rest.chunks(16 << 10).collect();
     for (i, chunk) in chunks.iter().enumerate() {
         let last = i + 1 == chunks.len();
-        if !bomb.frame(raw::CONTINUATION, if last { raw::END_HEADERS } else { 0 }, 1, chunk) {
+        if !bomb.send_frame(raw_http2::CONTINUATION, if last { raw_http2::END_HEADERS } else { 0 }, 1, chunk)
+        {
             break;
         }
     }
     // Pings and settings by the thousand, none of whose answers is read.
-    let mut pings = Raw::connect(cluster.program.flight);
+    let mut pings = RawHttp2Client::connect(cluster.program.flight);
     for _ in 0..5000 {
-        if !pings.frame(raw::PING, 0, 0, &[7; 8]) || !pings.frame(raw::SETTINGS, 0, 0, &[]) {
+        if !pings.send_frame(raw_http2::PING, 0, 0, &[7; 8])
+            || !pings.send_frame(raw_http2::SETTINGS, 0, 0, &[])
+        {
             break;
         }
     }
     // What is no HTTP/2 at all, and a frame that is too long.
-    let mut stranger = Raw::silent(cluster.program.flight);
-    stranger.bytes(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n");
+    let mut stranger = RawHttp2Client::connect_without_preface(cluster.program.flight);
+    stranger.write(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n");
     assert!(stranger.is_closed());
-    let mut long = Raw::connect(cluster.program.flight);
-    long.bytes(&[0xff, 0xff, 0xff, 0, 0, 0, 0, 0, 1]);
+    let mut long = RawHttp2Client::connect(cluster.program.flight);
+    long.write(&[0xff, 0xff, 0xff, 0, 0, 0, 0, 0, 1]);
     assert!(long.is_closed());
     assert_eq!(ask(&mut other, &command("search", "q", &[0])).status(), Some(0));
     assert!(serves(&cluster));
@@ -257,26 +261,26 @@
 fn a_client_that_half_closes_or_goes_away_has_its_answer_or_nothing() {
     let cluster = quiet(tables());
     // The sending side is closed behind the request: the answer comes all the same.
-    let mut raw = Raw::connect(cluster.program.flight);
+    let mut raw = RawHttp2Client::connect(cluster.program.flight);
     let ticket = info(&mut raw, &command("search", "q", &[0]));
-    let stream = raw.call("DoGet", &[], &ticket);
-    let reply = raw.reply(stream, true);
+    let stream = raw.start_call("DoGet", &[], &ticket);
+    let reply = raw.read_reply(stream, true);
     assert_eq!(reply.status(), Some(0));
     // A GOAWAY of the client's: what is open is answered.
-    let mut raw = Raw::connect(cluster.program.flight);
+    let mut raw = RawHttp2Client::connect(cluster.program.flight);
     let ticket = info(&mut raw, &command("search", "r", &[0]));
-    let stream = raw.call("DoGet", &[], &ticket);
-    raw.frame(raw::GOAWAY, 0, 0, &[0; 8]);
-    assert_eq!(raw.reply(stream, true).status(), Some(0));
+    let stream = raw.start_call("DoGet", &[], &ticket);
+    raw.send_frame(raw_http2::GOAWAY, 0, 0, &[0; 8]);
+    assert_eq!(raw.read_reply(stream, true).status(), Some(0));
     // A request that never becomes whole is told so.
-    let mut raw = Raw::connect(cluster.program.flight);
-    let stream = raw.open("DoGet", &[], false);
-    raw.data(stream, &[0, 0, 0, 1], false);
-    assert_eq!(raw.reply(stream, true).status(), Some(4));
+    let mut raw = RawHttp2Client::connect(cluster.program.flight);
+    let stream = raw.open_stream("DoGet", &[], false);
+    raw.send_data(stream, &[0, 0, 0, 1], false);
+    assert_eq!(raw.read_reply(stream, true).status(), Some(4));
     // And one that ends within its message.
-    let stream = raw.open("DoGet", &[], false);
-    raw.data(stream, &[0, 0, 0, 1], true);
-    assert_eq!(raw.reply(stream, true).status(), Some(3));
+    let stream = raw.open_stream("DoGet", &[], false);
+    raw.send_data(stream, &[0, 0, 0, 1], true);
+    assert_eq!(raw.read_reply(stream, true).status(), Some(3));
     assert!(serves(&cluster));
 }
 
@@ -284,13 +288,13 @@
 fn a_handshake_that_never_finishes_is_cut_off() {
     let folder = std::env::temp_dir().join(format!("mallowgauge-slow-tls-{}", std::process::id()));
     let server = mallowgauge_testkit::tls::Authority::new().sign(false);
-    let file = |name: &str, text: &str| mallowgauge_testkit::tls::file(&folder, name, text);
+    let file = |name: &str, text: &str| mallowgauge_testkit::tls::write_file(&folder, name, text);
     let told = json!({"tls": {"certificate": file("cert.pem", &server.certificate), "key": file("key.pem", &server.key)}});
-    let cluster = Cluster::start(tables(), told, |_| {});
+    let cluster = Deployment::start(tables(), told, |_| {});
     // A ClientHello of which only the first bytes come, and a client that speaks in the clear.
-    let mut slow = Raw::silent(cluster.program.flight);
-    slow.bytes(&[0x16, 3, 1, 2, 0, 1, 0, 1]);
-    let mut clear = Raw::connect(cluster.program.flight);
+    let mut slow = RawHttp2Client::connect_without_preface(cluster.program.flight);
+    slow.write(&[0x16, 3, 1, 2, 0, 1, 0, 1]);
+    let mut clear = RawHttp2Client::connect(cluster.program.flight);
     assert!(clear.is_closed());
     assert!(slow.is_closed());
     std::fs::remove_dir_all(folder).expect("a folder");
@@ -311,20 +315,20 @@
         while shard(ticket) == 0 && held.load(Ordering::Relaxed) {
             std::thread::sleep(std::time::Duration::from_millis(5));
         }
-        Act::Table(vec![listings(shard(ticket), 20)], Dress::default())
+        ScriptedReply::Table(vec![listings(shard(ticket), 20)], TableEncoding::default())
     });
     let mut cluster = quiet(script);
-    let mut raw = Raw::connect(cluster.program.flight);
-    let stream = raw.open("DoExchange", &[], false);
-    raw.data(stream, &query("open", &command("place-hold", "h", &[0])), false);
-    while cluster.runs("h").is_empty() {
+    let mut raw = RawHttp2Client::connect(cluster.program.flight);
+    let stream = raw.open_stream("DoExchange", &[], false);
+    raw.send_data(stream, &query("open", &command("place-hold", "h", &[0])), false);
+    while cluster.attempts_by_shard("h").is_empty() {
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
     cluster.program.signal(libc::SIGTERM);
-    assert!(cluster.log("Serving -> Draining"));
-    raw.data(stream, &query("late", &command("place-hold", "late", &[1])), false);
+    assert!(cluster.wait_for_log("Serving -> Draining"));
+    raw.send_data(stream, &query("late", &command("place-hold", "late", &[1])), false);
     hold.store(false, Ordering::Relaxed);
-    let reply = raw.reply(stream, true);
+    let reply = raw.read_reply(stream, true);
     let told: Vec<Value> = reply
         .messages
         .iter()
@@ -337,7 +341,7 @@
     assert_eq!(of("open"), Some(json!("whole")));
     // What came behind the drain is refused or was never read; it has not run.
     assert!(of("late").is_none_or(|status| status == "refused"));
-    assert_eq!(cluster.runs("late"), []);
+    assert_eq!(cluster.attempts_by_shard("late"), []);
     assert_eq!(reply.status(), Some(14));
     assert_eq!(cluster.program.child.wait().expect("an exit").code(), Some(0));
 }
@@ -349,7 +353,8 @@
     let schema = Arc::new(Schema::new(vec![Field::new("id", DataType::Utf8, false)]));
     let column = Arc::new(StringArray::from_iter_values(ids));
     let batch = RecordBatch::try_new(schema, vec![column]).expect("a batch");
-    let mut all: Vec<Vec<u8>> = messages_of(&[batch], Dress::default()).iter().map(|m| m.to_vec()).collect();
+    let mut all: Vec<Vec<u8>> =
+        messages_of(&[batch], TableEncoding::default()).iter().map(|m| m.to_vec()).collect();
     let mut first = FlightData::decode(&all[0][5..]).expect("FlightData");
     let defaults = json!({"kind": "place-hold", "ranges": [0], "predicate": "c41e77d0"});
     first.flight_descriptor = Some(FlightDescriptor::command(defaults.to_string().into()));
@@ -360,25 +365,25 @@
 #[test]
 fn holds_in_bulk_run_once_though_their_stream_breaks_off() {
     let cluster = quiet(tables());
-    let mut raw = Raw::connect(cluster.program.flight);
-    let stream = raw.open("DoPut", &[], false);
+    let mut raw = RawHttp2Client::connect(cluster.program.flight);
+    let stream = raw.open_stream("DoPut", &[], false);
     let first = holds(&["a", "b"]);
-    assert!(first.iter().all(|message| raw.data(stream, message, false)));
+    assert!(first.iter().all(|message| raw.send_data(stream, message, false)));
     // The next batch comes in half: none of it runs.
     let second = holds(&["c"]);
-    raw.data(stream, &second[1][..second[1].len() / 2], false);
-    while cluster.runs("b").is_empty() || cluster.runs("a").is_empty() {
+    raw.send_data(stream, &second[1][..second[1].len() / 2], false);
+    while cluster.attempts_by_shard("b").is_empty() || cluster.attempts_by_shard("a").is_empty() {
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
     drop(raw);
     // The client comes again with all three, and is told the first outcome of those that ran.
-    let mut raw = Raw::connect(cluster.program.flight);
-    let stream = raw.open("DoPut", &[], false);
+    let mut raw = RawHttp2Client::connect(cluster.program.flight);
+    let stream = raw.open_stream("DoPut", &[], false);
     for message in holds(&["a", "b", "c"]) {
-        raw.data(stream, &message, false);
+        raw.send_data(stream, &message, false);
     }
-    raw.data(stream, &[], true);
-    let reply = raw.reply(stream, true);
+    raw.send_data(stream, &[], true);
+    let reply = raw.read_reply(stream, true);
     assert_eq!(reply.status(), Some(0));
     let result = |m: &Vec<u8>| proto::PutResult::decode(m.as_slice()).expect("a result").app_metadata;
     let told: Vec<Value> =
@@ -386,21 +391,21 @@
     assert_eq!(told.len(), 3);
     assert!(told.iter().all(|value| value["status"] == "whole"), "{told:?}");
     for id in ["a", "b", "c"] {
-        assert_eq!(cluster.runs(id), [(0, 1)], "{id}");
+        assert_eq!(cluster.attempts_by_shard(id), [(0, 1)], "{id}");
     }
 }
 
 #[test]
 fn bad_input_on_a_long_stream_is_told() {
     let cluster = quiet(tables());
-    let mut raw = Raw::connect(cluster.program.flight);
+    let mut raw = RawHttp2Client::connect(cluster.program.flight);
     let mut said = |method: &str, messages: &[Vec<u8>]| {
-        let stream = raw.open(method, &[], false);
+        let stream = raw.open_stream(method, &[], false);
         // A stream that was ended early takes no more; its answer says why.
-        let _ = messages.iter().all(|message| raw.data(stream, message, false));
-        raw.data(stream, &[], true);
-        let reply = raw.reply(stream, true);
-        (reply.status(), reply.line("grpc-message").map(str::to_owned))
+        let _ = messages.iter().all(|message| raw.send_data(stream, message, false));
+        raw.send_data(stream, &[], true);
+        let reply = raw.read_reply(stream, true);
+        (reply.status(), reply.header("grpc-message").map(str::to_owned))
     };
     let metadata =
         |text: &str| frame(&FlightData { app_metadata: text.to_owned().into(), ..FlightData::default() });
@@ -419,36 +424,39 @@
     assert_eq!(said("DoPut", &[]).0, Some(0));
     assert_eq!(said("DoExchange", &[]).0, Some(0));
     let ticket = frame(&Ticket { ticket: Bytes::from_static(b"made up") });
-    assert_eq!(raw.ask("DoGet", &[], &ticket).status(), Some(3));
-    assert_eq!(cluster.runs("a"), []);
+    assert_eq!(raw.call("DoGet", &[], &ticket).status(), Some(3));
+    assert_eq!(cluster.attempts_by_shard("a"), []);
 }
 
 #[test]
 fn a_goaway_of_a_client_counts_for_what_comes_behind_it_alone() {
     let cluster = quiet(tables());
-    let away = |raw: &mut Raw| raw.frame(raw::GOAWAY, 0, 0, &[0; 8]);
+    let away = |raw: &mut RawHttp2Client| raw.send_frame(raw_http2::GOAWAY, 0, 0, &[0; 8]);
     // Before any stream: the connection may still be used by its client, or ends; nobody else notices.
-    let mut raw = Raw::connect(cluster.program.flight);
+    let mut raw = RawHttp2Client::connect(cluster.program.flight);
     away(&mut raw);
-    raw.finish();
+    raw.shut_down_writing();
     assert!(raw.is_closed());
     // While a request is coming in: what is left of it is taken, and it is answered.
-    let mut raw = Raw::connect(cluster.program.flight);
+    let mut raw = RawHttp2Client::connect(cluster.program.flight);
     let ticket = info(&mut raw, &command("place-hold", "half", &[0]));
-    let stream = raw.open("DoGet", &[], false);
-    raw.data(stream, &ticket[..10], false);
+    let stream = raw.open_stream("DoGet", &[], false);
+    raw.send_data(stream, &ticket[..10], false);
     away(&mut raw);
-    raw.data(stream, &ticket[10..], true);
-    assert_eq!(raw.reply(stream, true).status(), Some(0));
-    assert_eq!(cluster.runs("half"), [(0, 1)]);
+    raw.send_data(stream, &ticket[10..], true);
+    assert_eq!(raw.read_reply(stream, true).status(), Some(0));
+    assert_eq!(cluster.attempts_by_shard("half"), [(0, 1)]);
     // While an exchange is open: what is open on it is answered, and so is what comes behind.
-    let mut raw = Raw::connect(cluster.program.flight);
-    let stream = raw.open("DoExchange", &[], false);
-    raw.data(stream, &query("a", &command("place-hold", "xa", &[0])), false);
+    let mut raw = RawHttp2Client::connect(cluster.program.flight);
+    let stream = raw.open_stream("DoExchange", &[], false);
+    raw.send_data(stream, &query("a", &command("place-hold", "xa", &[0])), false);
     away(&mut raw);
-    raw.data(stream, &query("b", &command("place-hold", "xb", &[1])), true);
-    let reply = raw.reply(stream, true);
+    raw.send_data(stream, &query("b", &command("place-hold", "xb", &[1])), true);
+    let reply = raw.read_reply(stream, true);
     assert_eq!(reply.status(), Some(0));
-    assert_eq!((cluster.runs("xa"), cluster.runs("xb")), (vec![(0, 1)], vec![(1, 1)]));
+    assert_eq!(
+        (cluster.attempts_by_shard("xa"), cluster.attempts_by_shard("xb")),
+        (vec![(0, 1)], vec![(1, 1)])
+    );
     assert!(serves(&cluster));
 }
--- a/crates/mallowgauge/tests/gatherer.rs
+++ b/crates/mallowgauge/tests/gatherer.rs
@@ -1,11 +1,11 @@
 //! The failure suite: each scenario is played on both wires, and both have to tell the same story.
 
 use insta::assert_snapshot;
-use mallowgauge_testkit::{both, play, Wire};
+use mallowgauge_testkit::{play, play_on_both, Protocol};
 
 #[test]
 fn a_query_is_answered_whole() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send a search 3000 0 1 2
         expect part 0
         expect part 1
@@ -26,7 +26,7 @@
 // looks good already in, so it may have run.
 #[test]
 fn a_hold_cut_halfway_is_not_run_again() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send a place-hold 3000 0
         expect part 0
         close part 0
@@ -43,7 +43,7 @@
 // Guards against giving up on a part with an effect that was turned away: it never ran.
 #[test]
 fn a_hold_turned_away_goes_elsewhere() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send a place-hold 3000 0
         expect part 0
         send part 0 later
@@ -61,7 +61,7 @@
 
 #[test]
 fn a_search_cut_halfway_is_repeated() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send a search 3000 0
         expect part 0
         close part 0
@@ -78,7 +78,7 @@
 // Guards against marking as whole what lacks a part: the report is given from 80% and says so.
 #[test]
 fn a_report_from_four_parts_of_five_is_partial() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send a sales-report 2000 0 1 2 3 4
         expect part 0
         expect part 1
@@ -102,7 +102,7 @@
 
 #[test]
 fn a_report_from_less_is_not_given() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send a sales-report 1000 0 1 2 3 4
         expect part 0
         expect part 1
@@ -122,7 +122,7 @@
 // Guards against holding a failure back until the client's time is nearly up.
 #[test]
 fn a_hold_that_failed_is_told_at_once() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send a place-hold 60000 0 1
         expect part 0
         send part 0 bad
@@ -135,7 +135,7 @@
 
 #[test]
 fn a_client_that_leaves_ends_its_parts() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send a search 3000 0
         expect part 0
         close a
@@ -148,7 +148,7 @@
 
 #[test]
 fn what_makes_no_sense_is_said_plainly() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send a browse 3000 0
         expect a
         send b search 3000 99
@@ -167,7 +167,7 @@
 
 #[test]
 fn time_runs_out_while_a_hold_is_out() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send a place-hold 500 0
         expect part 0
         expect a
@@ -180,7 +180,7 @@
 // Guards the bound on open queries and parts: MaxOpen is 20, a query of ten parts counts for eleven.
 #[test]
 fn more_than_may_be_open_is_refused() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send a search 3000 0 1 2 3 4 5 6 7 8 9
         expect part 9
         send b search 3000 0 1 2 3 4 5 6 7 8 9
@@ -193,7 +193,7 @@
 
 #[test]
 fn a_host_that_leaves_gets_nothing_new() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send roster 0 leaving
         send roster 1 left
         send a search 3000 0 1 2 3 4 5
@@ -209,7 +209,7 @@
 
 #[test]
 fn a_planned_restart_finishes_what_it_took() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send a search 3000 0
         expect part 0
         send term
@@ -234,7 +234,7 @@
 // Guards against giving up on a part with an effect that no connection was had for: it never ran.
 #[test]
 fn a_hold_for_a_dead_host_goes_elsewhere() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send roster 0 dead
         send roster 1 dead
         send a place-hold 3000 0
@@ -254,7 +254,7 @@
 // Guards answers that are larger than a window of HTTP/2 or the room in a socket.
 #[test]
 fn a_wide_report_is_answered_whole() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send a sales-report 3000 0 1 2 3 4
         expect part 0
         expect part 1
@@ -281,7 +281,7 @@
 // hosts close after 1 s, so the program does after 0.8 s.
 #[test]
 fn an_idle_connection_is_closed_and_the_next_part_dials_anew() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send a search 3000 0
         expect part 0
         send part 0 good x
@@ -303,7 +303,7 @@
 // Guards the HTTP front's framing: bad input gets a 4xx, and a close where framing is lost.
 #[test]
 fn malformed_http_is_turned_down() {
-    assert_snapshot!(play(Wire::Http, r#"
+    assert_snapshot!(play(Protocol::Http, r#"
         send raw GET /healthz HTTP/1.1\r\n\r\n
         expect raw
         send raw NONSENSE\r\n\r\n
@@ -341,7 +341,7 @@
 // Guards against taking a broken answer for a sign that the part never ran.
 #[test]
 fn nonsense_from_a_host_may_have_run() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send a place-hold 3000 0
         expect part 0
         send part 0 nonsense
@@ -366,7 +366,7 @@
 // Guards the way back after discovery fails: the watch is asked for again, and what changed is heeded.
 #[test]
 fn discovery_fails_and_comes_back() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send roster fail
         send roster 0 left
         send roster fail
@@ -383,7 +383,7 @@
 // A refused stream has never run, so even a hold goes elsewhere.
 #[test]
 fn a_refused_stream_never_ran() {
-    assert_snapshot!(play(Wire::Flight, "
+    assert_snapshot!(play(Protocol::Flight, "
         send a place-hold 3000 0
         expect part 0
         send part 0 refused
@@ -403,7 +403,7 @@
 // in the same breath.
 #[test]
 fn a_stream_above_the_last_of_a_goaway_never_ran() {
-    assert_snapshot!(play(Wire::Away(0), "
+    assert_snapshot!(play(Protocol::FlightGoAway(0), "
         send a place-hold 3000 0
         expect part 0
         expect part 0
@@ -421,7 +421,7 @@
 // Guards against a second run: the GOAWAY covers the stream, and then the connection ends.
 #[test]
 fn a_stream_below_the_last_of_a_goaway_may_have_run() {
-    assert_snapshot!(play(Wire::Away(1), "
+    assert_snapshot!(play(Protocol::FlightGoAway(1), "
         send a place-hold 3000 0
         expect part 0
         expect a
@@ -436,7 +436,7 @@
 // Guards the parts on a connection against the late answer to a probe that was given up.
 #[test]
 fn a_late_answer_to_a_probe_costs_nothing() {
-    assert_snapshot!(play(Wire::Http, "
+    assert_snapshot!(play(Protocol::Http, "
         send roster 0 left
         send roster 1 left
         send a place-hold 3000 0
@@ -466,7 +466,7 @@
 // often as it comes, and neither costs what is open. What the new discovery tells is heeded.
 #[test]
 fn a_reload_moves_discovery_and_keeps_what_is_open() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send a place-hold 3000 0
         expect part 0
         send reload bad
@@ -499,7 +499,7 @@
 // asked again at once and a hold fails at once.
 #[test]
 fn a_spoilt_answer_ends_the_attempt_at_once() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send a search 60000 0
         expect part 0
         send part 0 stray x
@@ -534,7 +534,7 @@
 // stands behind it is not taken for the answer to the next part.
 #[test]
 fn a_good_answer_stays_good_whatever_comes_behind_it() {
-    assert_snapshot!(play(Wire::Http, "
+    assert_snapshot!(play(Protocol::Http, "
         send a place-hold 3000 0
         expect part 0
         send part 0 noisy x
@@ -563,7 +563,7 @@
 // still has time.
 #[test]
 fn half_a_request_is_told_soon() {
-    assert_snapshot!(play(Wire::Http, r"
+    assert_snapshot!(play(Protocol::Http, r"
         send raw POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\n{
         send a search 4000 0
         expect part 0
@@ -581,7 +581,7 @@
 // front has had the time to send them elsewhere.
 #[test]
 fn a_kept_connection_stays_open_while_the_program_drains() {
-    assert_snapshot!(play(Wire::Http, r"
+    assert_snapshot!(play(Protocol::Http, r"
         send raw GET /nothing HTTP/1.1\r\n\r\n
         expect raw
         send term
@@ -601,7 +601,7 @@
 // host that cuts one cuts few.
 #[test]
 fn a_connection_that_breaks_takes_few_parts_with_it() {
-    assert_snapshot!(both("
+    assert_snapshot!(play_on_both("
         send roster 0 left
         send roster 1 left
         send a place-hold 3000 0
@@ -624,7 +624,7 @@
 // silent on, and does not stay for the next.
 #[test]
 fn a_silent_connection_ends_with_its_part() {
-    assert_snapshot!(play(Wire::Http, "
+    assert_snapshot!(play(Protocol::Http, "
         send roster 0 left
         send roster 1 left
         send a search 4000 0
--- a/crates/mallowgauge/tests/leaving.rs
+++ b/crates/mallowgauge/tests/leaving.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use mallowgauge_edge::peers::wire::{decode, encode, Frame};
-use mallowgauge_testkit::hand::{accept, accept_within, addr, listener, query, Wire};
+use mallowgauge_testkit::manual_peers::{accept, accept_within, addr, listener, query, Connection};
 use mallowgauge_testkit::{config, Program};
 use serde_json::{json, Value};
 
@@ -49,7 +49,7 @@
     program.log.lock().expect("a sound lock").iter().any(|line| line.contains(text))
 }
 
-fn expect_log(program: &Program, text: &str) {
+fn wait_for_log(program: &Program, text: &str) {
     let until = Instant::now() + PATIENCE;
     while !logged(program, text) {
         assert!(Instant::now() < until, "no line {text}: {:#?}", program.log.lock());
@@ -59,14 +59,14 @@
 
 /// Asks for holds at the first gatherer until one is let through: its number, its client, and where it reached the
 /// host. All have just started, and holds are refused until no id from before can be asked.
-fn hold(programs: &[Program], host: &TcpListener) -> (u32, Wire, Wire) {
+fn hold(programs: &[Program], host: &TcpListener) -> (u32, Connection, Connection) {
     for other in ["g1", "g2"] {
-        expect_log(&programs[0], &format!("peer {other} is linked"));
+        wait_for_log(&programs[0], &format!("peer {other} is linked"));
     }
     let until = Instant::now() + PATIENCE;
     let tries = (0..).find_map(|number| {
         assert!(Instant::now() < until, "no hold was let through");
-        let mut client = Wire::dial(programs[0].http);
+        let mut client = Connection::connect(programs[0].http);
         client.send(query(&format!("hold-{number}"), "place-hold", 2_000, &[0]));
         accept_within(host, Duration::from_millis(500)).map(|wire| (number, client, wire))
     });
@@ -80,16 +80,16 @@
     let (host, discovery) = (listener(), listener());
     let programs = fleet(&host, &discovery);
     let (_, mut client, mut on_host) = hold(&programs, &host);
-    let parts = on_host.call();
+    let parts = on_host.next_parts();
     programs[0].signal(libc::SIGTERM);
     for other in &programs[1..] {
-        expect_log(other, "peer g0 is left");
+        wait_for_log(other, "peer g0 is left");
     }
     // A second signal changes nothing.
     programs[0].signal(libc::SIGTERM);
     // Whoever would take it over has the time for that: two steps of 30 ms and a round.
     std::thread::sleep(Duration::from_millis(300));
-    on_host.end(&parts[0], "good", "held");
+    on_host.answer_part(&parts[0], "good", "held");
     let (status, body) = client.response().expect("a final answer");
     assert_eq!(status, 200, "{body}");
 }
@@ -101,14 +101,14 @@
     let (host, discovery) = (listener(), listener());
     let mut programs = fleet(&host, &discovery);
     let (number, _client, mut on_host) = hold(&programs, &host);
-    on_host.call();
+    on_host.next_parts();
     programs[0].signal(libc::SIGTERM);
     for other in &programs[1..] {
-        expect_log(other, "peer g0 is left");
+        wait_for_log(other, "peer g0 is left");
     }
     programs[0].child.kill().expect("a process");
     programs[0].child.wait().expect("its end");
-    let mut again = Wire::dial(programs[1].http);
+    let mut again = Connection::connect(programs[1].http);
     let ask = query(&format!("hold-{number}"), "place-hold", 1_500, &[0]);
     again.send(ask.replace("Req-Kind", "Req-Retry: 1\r\nReq-Kind"));
     let (status, body) = again.response().expect("a final answer");
@@ -120,7 +120,7 @@
 fn a_hello_that_is_cut_at_any_byte_is_no_sign_against_anybody() {
     let (host, discovery) = (listener(), listener());
     let (programs, first, others) = part_of_fleet(&host, &discovery, 2);
-    expect_log(&programs[0], "peer g1 is linked");
+    wait_for_log(&programs[0], "peer g1 is linked");
     // What the first says to the third, which it dials, tells how a hello of this list reads.
     let mut dialed = accept(&others[0]);
     let mut said = Vec::new();
@@ -137,17 +137,17 @@
     (own.name, own.known, own.incarnation.nonce) = ("g2".to_owned(), None, hello.incarnation.nonce + 1);
     let bytes = encode(&Frame::Hello(own));
     for cut in 0..bytes.len() {
-        let mut ended = Wire::dial(first);
+        let mut ended = Connection::connect(first);
         ended.send(&bytes[..cut]);
         drop(ended);
-        let mut reset = Wire::dial(first);
+        let mut reset = Connection::connect(first);
         reset.send(&bytes[..cut]);
         reset.reset();
     }
     assert!(!logged(&programs[0], "peer g2 is linked"));
-    let mut whole = Wire::dial(first);
+    let mut whole = Connection::connect(first);
     whole.send(&bytes);
-    expect_log(&programs[0], "peer g2 is linked");
+    wait_for_log(&programs[0], "peer g2 is linked");
     for program in &programs {
         for sign in
             ["peer g0 is doubted", "peer g1 is doubted", "link to peer g0 ended", "link to peer g1 ended"]
--- a/crates/mallowgauge/tests/made_up_names.rs
+++ b/crates/mallowgauge/tests/made_up_names.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use mallowgauge_testkit::hand::{accept, accept_within, query, Rig};
+use mallowgauge_testkit::manual_peers::{accept, accept_within, query, TestBed};
 use serde_json::json;
 
 /// Longer than any name that the platform gives, and still inside the head of a request.
@@ -21,7 +21,7 @@
     };
     let names = [long("ß-7"), "h;{}\"\\ 0x".to_owned(), "主机".to_owned()];
     let zones = ["zq/ö?1", &long("Zz"), "Ω"];
-    let mut rig = Rig::start(names.len(), |file| {
+    let mut rig = TestBed::start(names.len(), |file| {
         let count = classes.len();
         file["name"] = json!("g~é:77");
         let settings = &mut file["settings"];
@@ -49,7 +49,7 @@
     let _watch = (mode == "automatic").then(|| {
         let mut watch = accept(&rig.discovery);
         watch.head();
-        watch.list(1, false, &[]);
+        watch.send_endpoint_list(1, false, &[]);
         watch
     });
     for (at, kind) in classes.iter().enumerate() {
@@ -59,11 +59,11 @@
         let ask = query(&id, kind, 3000, &[shard]);
         client.send(ask.replacen("\r\n", &format!("\r\nReq-Owner: {}\r\n", long("Жt")), 1));
         // Whichever host is asked first: each one opens its connection as it is needed.
-        let called = || rig.hosts.iter().find_map(|host| accept_within(host, Duration::from_millis(20)));
+        let called = || rig.backends.iter().find_map(|host| accept_within(host, Duration::from_millis(20)));
         let mut host = (0..300).find_map(|_| called()).expect("a host is asked");
-        let part = host.call().pop().expect("a part");
+        let part = host.next_parts().pop().expect("a part");
         assert_eq!((part.id.as_str(), part.shard), (format!("{id}.{shard}").as_str(), shard));
-        host.end(&part, "good", &value);
+        host.answer_part(&part, "good", &value);
         let (status, body) = client.response().expect("an answer");
         let body: serde_json::Value = serde_json::from_str(&body).expect("JSON");
         let wanted = json!({"total": true, "answers": [{"range": shard, "blob": value}]});
@@ -76,7 +76,7 @@
     client.send(query("other", "search", 3000, &[0]));
     assert_eq!(client.response().map(|(status, _)| status), Some(400));
     rig.program.signal(libc::SIGTERM);
-    assert_eq!(rig.exits(), Some(0));
+    assert_eq!(rig.wait_for_exit(), Some(0));
 }
 
 #[test]
--- a/crates/mallowgauge/tests/phases.rs
+++ b/crates/mallowgauge/tests/phases.rs
@@ -9,9 +9,9 @@
 
 use mallowgauge_flight::grpc::frame;
 use mallowgauge_flight::proto::{FlightData, FlightDescriptor, FlightInfo};
-use mallowgauge_testkit::columns::{text, Act, Runs, Script};
-use mallowgauge_testkit::raw::Raw;
-use mallowgauge_testkit::{config, plain, Cluster, Program, HOSTS};
+use mallowgauge_testkit::columns::{text_reply, AttemptCounts, Script, ScriptedReply};
+use mallowgauge_testkit::raw_http2::RawHttp2Client;
+use mallowgauge_testkit::{config, stand_ins, Deployment, Program, BACKENDS};
 use prost::Message;
 use serde_json::{json, Value};
 
@@ -47,7 +47,7 @@
     program: Program,
     seen: Seen,
     flight: bool,
-    _roster: plain::Roster,
+    _roster: stand_ins::DiscoveryStandIn,
 }
 
 impl World {
@@ -59,7 +59,7 @@
             *count += 1;
             *count - 1
         };
-        let hosts: Vec<SocketAddr> = (0..HOSTS)
+        let hosts: Vec<SocketAddr> = (0..BACKENDS)
             .map(|i| {
                 let (says, seen) = (Arc::clone(says), Arc::clone(&seen));
                 if flight {
@@ -67,20 +67,21 @@
                         let shard = ticket["range"].as_u64().expect("a shard") as u32;
                         let scout = ticket["predicate"].as_str().expect("text").starts_with("scout:");
                         let before = told(&seen, ticket["query"].as_str().expect("text"), shard, scout);
-                        says(shard, scout, before).map_or(Act::Hang, |(end, value)| text(shard, &end, &value))
+                        says(shard, scout, before)
+                            .map_or(ScriptedReply::Hang, |(end, value)| text_reply(shard, &end, &value))
                     });
-                    mallowgauge_testkit::columns::host(i, script, Runs::default(), None)
+                    mallowgauge_testkit::columns::scripted_backend(i, script, AttemptCounts::default(), None)
                 } else {
-                    let script: plain::Answering = Arc::new(move |_, query, shard, carried| {
+                    let script: stand_ins::FrameScript = Arc::new(move |_, query, shard, carried| {
                         let scout = carried.starts_with("scout:");
                         let before = told(&seen, query, shard, scout);
                         says(shard, scout, before)
                     });
-                    plain::scripted(i, script, Runs::default())
+                    stand_ins::scripted_frame_backend(i, script, AttemptCounts::default())
                 }
             })
             .collect();
-        let roster = plain::Roster::start();
+        let roster = stand_ins::DiscoveryStandIn::start();
         let offers = if flight { json!("all") } else { json!([]) };
         let operator = json!({"flight": {"listen": "127.0.0.1:0", "hosts": offers}, "phases": phases});
         let mut file = config(&hosts, roster.addr);
@@ -122,9 +123,15 @@
         let ranges: Vec<Value> = shards.iter().map(|s| json!({"range": s, "portion": share})).collect();
         let mut body = json!({"ranges": ranges, "predicate": "c41e77d0", "plan": plan});
         if !self.flight {
-            let query = mallowgauge_testkit::Query { id: id.to_owned(), kind: kind.to_owned(), ms, body };
+            let query = mallowgauge_testkit::Query {
+                id: id.to_owned(),
+                kind: kind.to_owned(),
+                deadline_ms: ms,
+                body,
+            };
             let socket = TcpStream::connect(self.http).expect("a connection");
-            let (status, _, body) = plain::exchange(&socket, &plain::request(&query)).expect("an answer");
+            let (status, _, body) =
+                stand_ins::exchange(&socket, &stand_ins::http_request(&query)).expect("an answer");
             let mut body: Value = serde_json::from_str(&body).expect("JSON");
             if status != 200 {
                 return json!({"status": match status { 503 => "refused", 502 => "failed", 504 => "time up", 400 => "invalid", _ => "odd" }});
@@ -136,16 +143,16 @@
         }
         body["id"] = json!(id);
         body["kind"] = json!(kind);
-        let mut raw = Raw::connect(self.flight_at);
+        let mut raw = RawHttp2Client::connect(self.flight_at);
         let descriptor = FlightDescriptor::command(body.to_string().into());
-        let reply = raw.ask("GetFlightInfo", &[], &frame(&descriptor));
+        let reply = raw.call("GetFlightInfo", &[], &frame(&descriptor));
         let told = |status: Option<u32>| json!({"status": match status { Some(8 | 14) => "refused", Some(13) => "failed", Some(4) => "time up", Some(3) => "invalid", _ => "odd" }});
         if reply.status() != Some(0) {
             return told(reply.status());
         }
         let info = FlightInfo::decode(reply.messages[0].as_slice()).expect("a FlightInfo");
         let ticket = frame(info.endpoint[0].ticket.as_ref().expect("a ticket"));
-        let reply = raw.ask("DoGet", &[("grpc-timeout", &format!("{ms}m"))], &ticket);
+        let reply = raw.call("DoGet", &[("grpc-timeout", &format!("{ms}m"))], &ticket);
         if reply.status() != Some(0) {
             return told(reply.status());
         }
@@ -322,7 +329,7 @@
         assert_eq!((&first["exact"], &second["exact"]), (&json!(true), &json!(false)));
         // A host drains: every block has three holders, and all are in doubt.
         let addr = "127.0.0.1:1".parse().expect("an address");
-        world._roster.tell(&plain::instance(2, addr, "leaving"));
+        world._roster.publish(&stand_ins::endpoint(2, addr, "leaving"));
         world.ask("search", "three", &[7, 8, 9], &plan, 3000);
         assert_eq!(world.asked("three"), (3, 1));
     }
@@ -340,13 +347,13 @@
         }
     });
     let world = World::start(true, &slow, json!({"sketches": 0}), |_| {});
-    let mut raw = Raw::connect(world.program.flight);
+    let mut raw = RawHttp2Client::connect(world.program.flight);
     let body =
         json!({"kind": "search", "id": "gone", "ranges": SHARDS, "predicate": "x", "plan": {"wave": 2}});
     let descriptor = FlightDescriptor::command(body.to_string().into());
-    let reply = raw.ask("GetFlightInfo", &[], &frame(&descriptor));
+    let reply = raw.call("GetFlightInfo", &[], &frame(&descriptor));
     let info = FlightInfo::decode(reply.messages[0].as_slice()).expect("a FlightInfo");
-    raw.call("DoGet", &[], &frame(info.endpoint[0].ticket.as_ref().expect("a ticket")));
+    raw.start_call("DoGet", &[], &frame(info.endpoint[0].ticket.as_ref().expect("a ticket")));
     while fetched.load(Ordering::Relaxed) < 2 {
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -368,17 +375,17 @@
         seen.lock().expect("a sound lock").push((host, scout));
         let value = if scout { sketch(shard) } else { Value::from(rows(shard)).to_string() };
         let wait = Duration::from_millis(if scout { 150 } else { 0 });
-        Act::After(wait, Box::new(text(shard, "good", &value)))
+        ScriptedReply::Delay(wait, Box::new(text_reply(shard, "good", &value)))
     });
-    let cluster = Cluster::phased(script, json!({"sketches": 0}));
+    let cluster = Deployment::start_two_phase(script, json!({"sketches": 0}));
     let flight = cluster.program.flight;
     let asks = std::thread::spawn(move || {
-        let mut raw = Raw::connect(flight);
+        let mut raw = RawHttp2Client::connect(flight);
         let body = json!({"kind": "search", "id": "q", "ranges": SHARDS, "predicate": "x", "plan": {"choose": "all", "wave": 10}});
         let reply =
-            raw.ask("GetFlightInfo", &[], &frame(&FlightDescriptor::command(body.to_string().into())));
+            raw.call("GetFlightInfo", &[], &frame(&FlightDescriptor::command(body.to_string().into())));
         let info = FlightInfo::decode(reply.messages[0].as_slice()).expect("a FlightInfo");
-        raw.ask(
+        raw.call(
             "DoGet",
             &[("grpc-timeout", "3S")],
             &frame(info.endpoint[0].ticket.as_ref().expect("a ticket")),
@@ -388,7 +395,7 @@
     while told.lock().expect("a sound lock").len() < 10 {
         std::thread::sleep(Duration::from_millis(5));
     }
-    cluster.roster.tell(&plain::instance(1, cluster.hosts[1], "leaving"));
+    cluster.discovery.publish(&stand_ins::endpoint(1, cluster.backends[1], "leaving"));
     assert_eq!(asks.join().expect("a client"), Some(0));
     let told = told.lock().expect("a sound lock");
     assert!(told.iter().any(|(host, scout)| *host == 1 && *scout), "{told:?}");
@@ -430,18 +437,18 @@
         false => None,
     });
     let world = World::start(true, &slow, json!({"sketches": 0}), |_| {});
-    let mut raw = Raw::connect(world.program.flight);
+    let mut raw = RawHttp2Client::connect(world.program.flight);
     let body = json!({"tag": "t", "kind": "search", "id": "c", "ranges": SHARDS, "predicate": "x", "plan": {"wave": 1}});
     let say = |value: &Value| {
         frame(&FlightData { app_metadata: value.to_string().into(), ..FlightData::default() })
     };
-    let stream = raw.open("DoExchange", &[], false);
-    raw.data(stream, &say(&body), false);
+    let stream = raw.open_stream("DoExchange", &[], false);
+    raw.send_data(stream, &say(&body), false);
     while world.asked("c").1 == 0 {
         std::thread::sleep(Duration::from_millis(5));
     }
-    raw.data(stream, &say(&json!({"cancel": "t"})), true);
-    let reply = raw.reply(stream, true);
+    raw.send_data(stream, &say(&json!({"cancel": "t"})), true);
+    let reply = raw.read_reply(stream, true);
     let said = FlightData::decode(reply.messages[0].as_slice()).expect("FlightData").app_metadata;
     let said: Value = serde_json::from_slice(&said).expect("JSON");
     assert_eq!((&said["status"], reply.messages.len()), (&json!("cancelled"), 1));
--- a/crates/mallowgauge/tests/promises.rs
+++ b/crates/mallowgauge/tests/promises.rs
@@ -11,7 +11,9 @@
 use mallowgauge_core::{AttemptId, AttemptRequest};
 use mallowgauge_edge::upstream::frames;
 use mallowgauge_router::{PartId, ShardId};
-use mallowgauge_testkit::{config, plain, play_within, spawn, Event, Program, Query, Reply, Wire, HOSTS};
+use mallowgauge_testkit::{
+    config, play_with_descriptors, spawn, stand_ins, BackendReply, Event, Program, Protocol, Query, BACKENDS,
+};
 use regex::Regex;
 use serde_json::{json, Value};
 
@@ -28,16 +30,16 @@
 fn the_http_front_does_what_its_description_says() {
     let api = document("api/openapi.json");
     let (sender, events) = channel();
-    let hosts: Vec<_> = (0..HOSTS).map(|i| plain::host(i, sender.clone(), false)).collect();
-    let roster = plain::Roster::start();
+    let hosts: Vec<_> = (0..BACKENDS).map(|i| stand_ins::frame_backend(i, sender.clone(), false)).collect();
+    let roster = stand_ins::DiscoveryStandIn::start();
     let operator = json!({"flight": {"listen": "127.0.0.1:0"}});
     let program = Program::start(&config(&hosts, roster.addr), &operator, 1024);
     // Shard 0 answers, shard 1 fails, the others say nothing.
     std::thread::spawn(move || {
         for event in events {
             match event {
-                Event::Part(_, 0, reply) => reply(Reply::End("good".into(), "x \"y\"".into())),
-                Event::Part(_, 1, reply) => reply(Reply::End("bad".into(), String::new())),
+                Event::Part(_, 0, reply) => reply(BackendReply::Outcome("good".into(), "x \"y\"".into())),
+                Event::Part(_, 1, reply) => reply(BackendReply::Outcome("bad".into(), String::new())),
                 _ => {}
             }
         }
@@ -49,7 +51,7 @@
     let mut seen: BTreeSet<(String, String, u16)> = BTreeSet::new();
     let mut exchange = |path: &str, method: &str, request: &str| {
         let socket = TcpStream::connect(program.http).expect("a connection");
-        let (status, _, body) = plain::exchange(&socket, request).expect("a response");
+        let (status, _, body) = stand_ins::exchange(&socket, request).expect("a response");
         let described = &api["paths"][path][method]["responses"][status.to_string()];
         assert!(described.is_object(), "{method} {path} gave {status}, which is not described");
         let schema = &described["content"]["application/json"]["schema"];
@@ -63,19 +65,20 @@
         let ranges: Vec<Value> = shards.iter().map(|s| json!({"range": s, "portion": share})).collect();
         let body = json!({"ranges": ranges, "predicate": "c41e77d0"});
         valid(&json!({"$ref": "#/components/schemas/Query"}), &body);
-        Query { id: id.to_string(), kind: kind.to_owned(), ms, body }
+        Query { id: id.to_string(), kind: kind.to_owned(), deadline_ms: ms, body }
     };
     exchange("/healthz", "get", "GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n");
-    exchange("/api", "post", &plain::request(&query(1, "search", 3000, &[0])));
-    exchange("/api", "post", &plain::request(&query(2, "browse", 3000, &[0])));
-    exchange("/api", "post", &plain::request(&query(3, "place-hold", 3000, &[1])));
-    exchange("/api", "post", &plain::request(&query(4, "place-hold", 300, &[2])));
+    exchange("/api", "post", &stand_ins::http_request(&query(1, "search", 3000, &[0])));
+    exchange("/api", "post", &stand_ins::http_request(&query(2, "browse", 3000, &[0])));
+    exchange("/api", "post", &stand_ins::http_request(&query(3, "place-hold", 3000, &[1])));
+    exchange("/api", "post", &stand_ins::http_request(&query(4, "place-hold", 300, &[2])));
     exchange("/api", "post", "POST /api HTTP/1.1\r\nContent-Length: 65537\r\n\r\n");
     exchange("/api", "post", &format!("POST /api HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(17_000)));
     // Two queries of nine leave no room for a third; nobody reads their answers.
     let silent = [2, 3, 4, 5, 6, 7, 8, 9];
-    let open = [5, 6].map(|id| plain::ask(program.http, query(id, "search", 60_000, &silent), drop));
-    exchange("/api", "post", &plain::request(&query(7, "search", 3000, &silent)));
+    let open =
+        [5, 6].map(|id| stand_ins::send_query(program.http, query(id, "search", 60_000, &silent), drop));
+    exchange("/api", "post", &stand_ins::http_request(&query(7, "search", 3000, &silent)));
     open.into_iter().for_each(|close| close());
     let described: BTreeSet<(String, String, u16)> = api["paths"]
         .as_object()
@@ -189,7 +192,7 @@
 #[test]
 fn a_bad_configuration_is_one_clear_line() {
     let none = "127.0.0.1:1".parse().expect("an address");
-    let sound = config(&[none; HOSTS], none);
+    let sound = config(&[none; BACKENDS], none);
     let mut said = Vec::new();
     let mut start = |path: &str, value: Value, operator: Value| {
         let mut config = sound.clone();
@@ -233,7 +236,7 @@
 #[test]
 fn a_bad_fleet_is_one_clear_line() {
     let none = "127.0.0.1:1".parse().expect("an address");
-    let sound = config(&[none; HOSTS], none);
+    let sound = config(&[none; BACKENDS], none);
     let mut said = Vec::new();
     let mut start = |path: &str, value: Value| {
         let mut fleet = json!({"fleet": document("deploy/fleet.json")["fleet"]});
@@ -289,7 +292,7 @@
 fn the_example_of_a_fleet_starts_and_its_lines_say_who_wrote_them() {
     let none = "127.0.0.1:1".parse().expect("an address");
     let example = document("deploy/fleet.json");
-    let (mut child, _) = spawn(&config(&[none; HOSTS], none), &example, 1024);
+    let (mut child, _) = spawn(&config(&[none; BACKENDS], none), &example, 1024);
     let lines = BufReader::new(child.stdout.take().expect("a pipe")).lines();
     let mut said = Vec::new();
     for line in lines {
@@ -309,7 +312,7 @@
 // Guards the event loop where descriptors run out: it neither ends nor spins, and goes on when it can.
 #[test]
 fn a_crowd_beyond_the_descriptors_is_survived() {
-    assert_snapshot!(play_within(Wire::Http, 1024, 40, "
+    assert_snapshot!(play_with_descriptors(Protocol::Http, 1024, 40, "
         send crowd 60
         expect log clients wait
         close crowd
@@ -328,7 +331,7 @@
 // follow the limits that the program is told: neither a kept connection nor a descriptor is lost.
 #[test]
 fn a_crowd_pushes_out_its_own() {
-    assert_snapshot!(play_within(Wire::Http, 64, 64, r"
+    assert_snapshot!(play_with_descriptors(Protocol::Http, 64, 64, r"
         send raw GET /nothing HTTP/1.1\r\n\r\n
         expect raw
         send crowd 120
@@ -351,7 +354,7 @@
 // Guards the platform's way in: clients that ask once and stay do not hold more than their share.
 #[test]
 fn few_idle_clients_are_kept() {
-    assert_snapshot!(play_within(Wire::Http, 64, 64, "
+    assert_snapshot!(play_with_descriptors(Protocol::Http, 64, 64, "
         send asked 30
         expect staying
     "), @r"
@@ -363,7 +366,7 @@
 // is looked for once more, and answered.
 #[test]
 fn a_request_that_has_come_is_answered_before_its_connection_goes() {
-    assert_snapshot!(play_within(Wire::Http, 64, 64, r"
+    assert_snapshot!(play_with_descriptors(Protocol::Http, 64, 64, r"
         send raw GET /nothing HTTP/1.1\r\n\r\n
         expect raw
         send asked 7
--- a/crates/mallowgauge/tests/shutdown_crossings.rs
+++ b/crates/mallowgauge/tests/shutdown_crossings.rs
@@ -7,9 +7,11 @@
 
 use mallowgauge_flight::grpc;
 use mallowgauge_flight::proto::{FlightDescriptor, FlightInfo};
-use mallowgauge_testkit::hand::{query, End, Heard, Host, Rig, Wire};
-use mallowgauge_testkit::raw::{self, Raw};
-use mallowgauge_testkit::{config, program};
+use mallowgauge_testkit::manual_peers::{
+    query, BackendInput, Connection, ConnectionEnd, ManualBackend, TestBed,
+};
+use mallowgauge_testkit::raw_http2::{self, RawHttp2Client};
+use mallowgauge_testkit::{config, program_path};
 use prost::Message;
 use serde_json::{json, Value};
 
@@ -17,29 +19,29 @@
 const DRAINED: Duration = Duration::from_millis(2100);
 
 /// A program with one host, and that host.
-fn rig() -> (Rig, Host) {
+fn rig() -> (TestBed, ManualBackend) {
     within(1024)
 }
 
-fn within(descriptors: u32) -> (Rig, Host) {
+fn within(descriptors: u32) -> (TestBed, ManualBackend) {
     changed(descriptors, |_| {})
 }
 
-fn changed(descriptors: u32, change: impl FnOnce(&mut Value)) -> (Rig, Host) {
-    let mut rig = Rig::within(1, descriptors, |file| {
+fn changed(descriptors: u32, change: impl FnOnce(&mut Value)) -> (TestBed, ManualBackend) {
+    let mut rig = TestBed::start_with_descriptors(1, descriptors, |file| {
         file["settings"]["Limits"]["MaxOpen"] = json!(400);
         // A program that is halted for a while does not doubt its host for that.
         file["settings"]["Classes"][0]["AimUs"] = json!(3_900_000);
         change(file);
     });
-    let host = Host::of(rig.hosts.remove(0));
+    let host = ManualBackend::new(rig.backends.remove(0));
     (rig, host)
 }
 
 /// The program is told to end, and has heard so.
-fn terminate(rig: &Rig) {
+fn terminate(rig: &TestBed) {
     rig.program.signal(libc::SIGTERM);
-    rig.expect_log("Serving -> Draining");
+    rig.wait_for_log("Serving -> Draining");
 }
 
 fn whole(response: Option<(u16, String)>) -> bool {
@@ -53,7 +55,7 @@
     std::fs::create_dir_all(&folder).expect("a folder");
     let path = folder.join("config.json");
     assert!(Command::new("mkfifo").arg(&path).status().expect("mkfifo runs").success());
-    let mut child = Command::new(program())
+    let mut child = Command::new(program_path())
         .env("RELAY_CONFIG", &path)
         .stdout(Stdio::piped())
         .spawn()
@@ -83,22 +85,22 @@
     let (mut rig, mut host) = rig();
     let mut client = rig.client();
     client.send(query("a", "search", 4000, &[0]));
-    let part = host.part();
+    let part = host.next_part();
     terminate(&rig);
-    rig.halt();
+    rig.pause();
     for signal in [libc::SIGTERM, libc::SIGINT, libc::SIGHUP] {
         rig.program.signal(signal);
     }
-    rig.go_on();
-    rig.expect_log("configuration read again");
-    rig.expect_log("Draining -> Finishing");
+    rig.resume();
+    rig.wait_for_log("configuration read again");
+    rig.wait_for_log("Draining -> Finishing");
     for signal in [libc::SIGTERM, libc::SIGHUP] {
         rig.program.signal(signal);
     }
-    host.end(&part, "good", "x");
+    host.answer_part(&part, "good", "x");
     assert!(whole(client.response()));
     drop(client);
-    assert_eq!(rig.exits(), Some(0));
+    assert_eq!(rig.wait_for_exit(), Some(0));
 }
 
 // Everything that a client can have under way is there in the very turn in which the program ends to take
@@ -108,10 +110,10 @@
     let (mut rig, mut host) = rig();
     let mut resting = rig.client();
     resting.send(query("rests", "search", 4000, &[0]));
-    host.serve("x");
+    host.answer_next_part("x");
     assert!(whole(resting.response()));
     terminate(&rig);
-    rig.halt();
+    rig.pause();
     let mut backlog = rig.client();
     backlog.send(query("backlog", "search", 4000, &[0]));
     resting.send(query("again", "search", 4000, &[0]));
@@ -120,19 +122,19 @@
     half.send(&request[..40]);
     // Halted past the longest drain, the program reads all this in the turn in which it finishes.
     std::thread::sleep(DRAINED);
-    rig.go_on();
-    rig.expect_log("Draining -> Finishing");
+    rig.resume();
+    rig.wait_for_log("Draining -> Finishing");
     half.send(&request[40..]);
     for _ in 0..3 {
-        host.serve("x");
+        host.answer_next_part("x");
     }
     for client in [&mut backlog, &mut resting, &mut half] {
-        let (text, end) = client.rest();
+        let (text, end) = client.read_to_end();
         assert!(text.starts_with("HTTP/1.1 200"), "{text}");
-        assert_eq!(end, End::Clean);
+        assert_eq!(end, ConnectionEnd::Clean);
     }
     drop((backlog, resting, half));
-    assert_eq!(rig.exits(), Some(0));
+    assert_eq!(rig.wait_for_exit(), Some(0));
 }
 
 // Half a head, and half a body, are in when the program takes no more connections: both are waited for.
@@ -145,17 +147,17 @@
     let at = request("body").len() - 9;
     body.send(&request("body")[..at]);
     terminate(&rig);
-    rig.expect_log("Draining -> Finishing");
+    rig.wait_for_log("Draining -> Finishing");
     body.send(&request("body")[at..]);
-    host.serve("x");
+    host.answer_next_part("x");
     head.send(&request("head")[40..]);
-    host.serve("x");
+    host.answer_next_part("x");
     for client in [&mut head, &mut body] {
         assert!(whole(client.response()));
-        assert_eq!(client.rest(), (String::new(), End::Clean));
+        assert_eq!(client.read_to_end(), (String::new(), ConnectionEnd::Clean));
     }
     drop((head, body));
-    assert_eq!(rig.exits(), Some(0));
+    assert_eq!(rig.wait_for_exit(), Some(0));
 }
 
 // A client that rests is told first that nothing more will be written. What it sends after that is read and
@@ -165,17 +167,17 @@
     let (mut rig, mut host) = rig();
     let mut resting = rig.client();
     resting.send(query("a", "search", 4000, &[0]));
-    host.serve("x");
+    host.answer_next_part("x");
     assert!(whole(resting.response()));
     terminate(&rig);
-    assert_eq!(resting.rest(), (String::new(), End::Clean));
+    assert_eq!(resting.read_to_end(), (String::new(), ConnectionEnd::Clean));
     // A reset would come back before the call returns.
     resting.send(query("b", "search", 4000, &[0]));
     assert!(resting.0.take_error().expect("a socket").is_none(), "the connection was reset");
-    assert_eq!(resting.rest(), (String::new(), End::Clean));
+    assert_eq!(resting.read_to_end(), (String::new(), ConnectionEnd::Clean));
     drop(resting);
-    assert_eq!(rig.exits(), Some(0));
-    assert_eq!(host.rest(), []);
+    assert_eq!(rig.wait_for_exit(), Some(0));
+    assert_eq!(host.remaining_inputs(), []);
 }
 
 // A client that rests until it is ended, and does not close even then, does not keep the program.
@@ -187,7 +189,7 @@
     resting.send("GET /nothing HTTP/1.1\r\n\r\n");
     assert_eq!(resting.response().map(|(status, _)| status), Some(404));
     rig.program.signal(libc::SIGTERM);
-    assert_eq!(rig.exits(), Some(0));
+    assert_eq!(rig.wait_for_exit(), Some(0));
     drop((silent, resting));
 }
 
@@ -195,17 +197,17 @@
 #[test]
 fn an_answer_half_written_is_finished() {
     let (mut rig, mut host) = rig();
-    let mut client = Wire::narrow(rig.program.http);
+    let mut client = Connection::connect_with_small_buffer(rig.program.http);
     client.send(query("a", "search", 4000, &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9]));
-    let parts: Vec<_> = (0..10).map(|_| host.part()).collect();
+    let parts: Vec<_> = (0..10).map(|_| host.next_part()).collect();
     terminate(&rig);
-    parts.iter().for_each(|part| host.end(part, "good", &"x".repeat(60_000)));
-    rig.expect_log("Draining -> Finishing");
+    parts.iter().for_each(|part| host.answer_part(part, "good", &"x".repeat(60_000)));
+    rig.wait_for_log("Draining -> Finishing");
     let (status, body) = client.response().expect("a whole answer");
     assert_eq!((status, body.matches('x').count()), (200, 600_000));
-    assert_eq!(client.rest(), (String::new(), End::Clean));
+    assert_eq!(client.read_to_end(), (String::new(), ConnectionEnd::Clean));
     drop(client);
-    assert_eq!(rig.exits(), Some(0));
+    assert_eq!(rig.wait_for_exit(), Some(0));
 }
 
 // The same on Flight: the last answer is on its way to a client that reads late, its connection ends, and the
@@ -213,27 +215,27 @@
 #[test]
 fn an_answer_on_flight_is_not_lost_to_bytes_behind_the_last_call() {
     let (rig, mut host) = rig();
-    let socket = Wire::narrow(rig.program.flight).0;
+    let socket = Connection::connect_with_small_buffer(rig.program.flight).0;
     let addr = socket.local_addr().expect("an address");
-    let mut client = Raw::over(socket, 16 << 20);
+    let mut client = RawHttp2Client::from_socket(socket, 16 << 20);
     let command = json!({"kind": "search", "id": "a", "ranges": [0], "predicate": "c41e77d0"});
     let descriptor = FlightDescriptor::command(command.to_string().into());
-    let info = client.ask("GetFlightInfo", &[], &grpc::frame(&descriptor));
+    let info = client.call("GetFlightInfo", &[], &grpc::frame(&descriptor));
     let info = FlightInfo::decode(info.messages[0].as_slice()).expect("a FlightInfo");
     let ticket = grpc::frame(info.endpoint[0].ticket.as_ref().expect("a ticket"));
-    let stream = client.call("DoGet", &[], &ticket);
-    host.serve(&"x".repeat(60_000));
+    let stream = client.start_call("DoGet", &[], &ticket);
+    host.answer_next_part(&"x".repeat(60_000));
     // Another query shows that the answer has gone out as far as it can.
     let mut other = rig.client();
     other.send(query("other", "search", 4000, &[0]));
-    host.serve("x");
+    host.answer_next_part("x");
     assert!(whole(other.response()));
     terminate(&rig);
     // This acknowledges the end, and the connection is over.
-    client.frame(raw::PING, raw::ACK, 0, &[0x0b, 0x7b, 0xa2, 0xf0, 0x8b, 0x9b, 0xfe, 0x54]);
-    rig.expect_shut(addr);
-    client.frame(raw::PING, 0, 0, &[1; 8]);
-    let reply = client.reply(stream, false);
+    client.send_frame(raw_http2::PING, raw_http2::ACK, 0, &[0x0b, 0x7b, 0xa2, 0xf0, 0x8b, 0x9b, 0xfe, 0x54]);
+    rig.wait_for_half_close(addr);
+    client.send_frame(raw_http2::PING, 0, 0, &[1; 8]);
+    let reply = client.read_reply(stream, false);
     assert_eq!(reply.status(), Some(0));
     let held = reply.messages.iter().flatten().filter(|&&byte| byte == b'x').count();
     assert!(held >= 60_000, "{held}");
@@ -247,17 +249,17 @@
     let request = query("a", "search", 4000, &[0]);
     client.send(&request[..40]);
     terminate(&rig);
-    rig.expect_log("Draining -> Finishing");
+    rig.wait_for_log("Draining -> Finishing");
     client.send(&request[40..]);
-    let part = host.part();
+    let part = host.next_part();
     // Deadlines count as 3 s at most, and SIGKILL may come 0.7 s after that. 0.65 s of it are over.
-    assert!(part.1.wait <= 3_700 - 650, "{part:?}");
+    assert!(part.1.timeout_ms <= 3_700 - 650, "{part:?}");
     // The host hangs.
-    let (text, end) = client.rest();
+    let (text, end) = client.read_to_end();
     assert!(text.starts_with("HTTP/1.1 5"), "{text}");
-    assert_eq!(end, End::Clean);
+    assert_eq!(end, ConnectionEnd::Clean);
     drop(client);
-    assert_eq!(rig.exits(), Some(0));
+    assert_eq!(rig.wait_for_exit(), Some(0));
 }
 
 // A request becomes whole so late that nothing can be had for it any more: it is refused at once, and not lost.
@@ -272,16 +274,16 @@
     let request = query("a", "search", 300, &[0]);
     client.send(&request[..40]);
     terminate(&rig);
-    rig.expect_log("Draining -> Finishing");
+    rig.wait_for_log("Draining -> Finishing");
     // The last answers are due 0.9 s after SIGTERM, and 0.65 s of these are over.
     std::thread::sleep(Duration::from_millis(300));
     client.send(&request[40..]);
-    let (text, end) = client.rest();
+    let (text, end) = client.read_to_end();
     assert!(text.starts_with("HTTP/1.1 503 ") && text.contains("Retry-After: "), "{text}");
-    assert_eq!(end, End::Clean);
+    assert_eq!(end, ConnectionEnd::Clean);
     drop(client);
-    assert_eq!(rig.exits(), Some(0));
-    assert_eq!(host.rest(), []);
+    assert_eq!(rig.wait_for_exit(), Some(0));
+    assert_eq!(host.remaining_inputs(), []);
 }
 
 // Clients go on sending on every connection that stays open: each request is answered, or finds a clean end, and
@@ -289,12 +291,12 @@
 #[test]
 fn clients_that_never_stop_sending_do_not_keep_the_program() {
     let (mut rig, mut host) = rig();
-    let mut clients: Vec<Wire> = (0..4).map(|_| rig.client()).collect();
+    let mut clients: Vec<Connection> = (0..4).map(|_| rig.client()).collect();
     let host = std::thread::spawn(move || {
         let mut served = 0;
         loop {
-            match host.hears_until_the_end() {
-                Some(Heard::Part(at, part)) => host.end(&(at, part), "good", "x"),
+            match host.next_input_or_end() {
+                Some(BackendInput::Part(at, part)) => host.answer_part(&(at, part), "good", "x"),
                 Some(_) => continue,
                 None => return served,
             }
@@ -314,7 +316,7 @@
             })
         });
     }
-    assert_eq!(rig.exits(), Some(0));
+    assert_eq!(rig.wait_for_exit(), Some(0));
     // Nothing was sent on whose client got no answer.
     assert_eq!(host.join().expect("a host"), answered);
 }
@@ -325,27 +327,27 @@
     let (mut rig, mut host) = within(40);
     let mut first = rig.client();
     first.send(query("first", "search", 4000, &[0]));
-    let part = host.part();
+    let part = host.next_part();
     let mut clients = vec![first];
-    while !rig.logged("clients wait") {
+    while !rig.has_logged("clients wait") {
         let mut client = rig.client();
         client.send(query(&format!("q{}", clients.len()), "search", 4000, &[0]));
         clients.push(client);
         assert!(clients.len() < 40, "no end of descriptors");
-        host.look();
+        host.poll();
     }
     // From here on nothing is accepted before something has been closed.
     let mut last = rig.client();
     last.send(query("last", "search", 4000, &[0]));
     terminate(&rig);
-    rig.expect_log("Draining -> Finishing");
-    host.end(&part, "good", "x");
+    rig.wait_for_log("Draining -> Finishing");
+    host.answer_part(&part, "good", "x");
     for _ in 0..clients.len() {
-        host.serve("x");
+        host.answer_next_part("x");
     }
     for client in clients.iter_mut().chain([&mut last]) {
         assert!(whole(client.response()));
     }
     drop((clients, last));
-    assert_eq!(rig.exits(), Some(0));
+    assert_eq!(rig.wait_for_exit(), Some(0));
 }
--- a/crates/mallowgauge/tests/soak_counts.rs
+++ b/crates/mallowgauge/tests/soak_counts.rs
@@ -3,19 +3,19 @@
 
 use std::time::{Duration, Instant};
 
-use mallowgauge_testkit::hand::{accept, accept_within, frame, query, Rig, Wire};
+use mallowgauge_testkit::manual_peers::{accept, accept_within, frame, query, Connection, TestBed};
 
 /// What does not come within this time never comes.
 const PATIENCE: Duration = Duration::from_secs(20);
 
 /// How many descriptors the program holds.
-fn descriptors(rig: &Rig) -> usize {
+fn descriptors(rig: &TestBed) -> usize {
     let folder = format!("/proc/{}/fd", rig.program.child.id());
     std::fs::read_dir(folder).expect("the program runs").count()
 }
 
 /// Waits until the program holds so many.
-fn expect_descriptors(rig: &Rig, wanted: usize, when: &str) {
+fn wait_for_descriptors(rig: &TestBed, wanted: usize, when: &str) {
     let until = Instant::now() + PATIENCE;
     while descriptors(rig) != wanted {
         assert!(Instant::now() < until, "{when}: {} descriptors, not {wanted}", descriptors(rig));
@@ -37,7 +37,7 @@
     [Leaves::Silent, Leaves::InTheHead, Leaves::InTheBody, Leaves::Asked, Leaves::Answered];
 
 /// A client that goes as far as it should and stays until it is dropped.
-fn client(rig: &Rig, id: &str, leaves: Leaves) -> Wire {
+fn client(rig: &TestBed, id: &str, leaves: Leaves) -> Connection {
     let mut wire = rig.client();
     let request = query(id, ["search", "place-hold", "sales-report"][id.len() % 3], 400, &[0, 1, 2]);
     let body = request.find("\r\n\r\n").expect("a head") + 4;
@@ -52,10 +52,10 @@
 
 #[test]
 fn descriptors_come_back_to_their_base_after_a_flood() {
-    let rig = Rig::start(2, |_| {});
+    let rig = TestBed::start(2, |_| {});
     let mut discovery = accept(&rig.discovery);
     discovery.head();
-    discovery.list(2, true, &rig.instances("active"));
+    discovery.send_endpoint_list(2, true, &rig.endpoints("active"));
     // The next call on the same connection shows that the list was read.
     discovery.head();
     let base = descriptors(&rig);
@@ -76,19 +76,19 @@
         }
         most = most.max(descriptors(&rig));
         drop(clients);
-        expect_descriptors(&rig, base, &format!("after wave {wave}"));
+        wait_for_descriptors(&rig, base, &format!("after wave {wave}"));
     }
     assert!(most > base + 20, "the flood came: {most} descriptors, {base} before");
     // It goes on as before: with hosts that answer, a query is served.
     let mut client = rig.client();
     client.send(query("after", "search", 4000, &[0]));
     // Connections of the flood wait in the hosts' backlog, closed by the program.
-    let mut wires: Vec<Wire> = Vec::new();
+    let mut wires: Vec<Connection> = Vec::new();
     let until = Instant::now() + PATIENCE;
     let mut served = false;
     while !served {
         assert!(Instant::now() < until, "no part of the query came");
-        for host in &rig.hosts {
+        for host in &rig.backends {
             wires.extend(accept_within(host, Duration::from_millis(5)));
         }
         wires.retain_mut(|wire| {
@@ -114,5 +114,5 @@
     assert_eq!(client.response().map(|(status, _)| status), Some(200));
     drop(client);
     // The kept connection to the host rests, and is closed before the host would close it.
-    expect_descriptors(&rig, base, "at the end");
+    wait_for_descriptors(&rig, base, "at the end");
 }
--- a/crates/mallowgauge/tests/upstream_crossings.rs
+++ b/crates/mallowgauge/tests/upstream_crossings.rs
@@ -3,7 +3,9 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use mallowgauge_testkit::hand::{accept, addr, frame, query, takes_little, Held, Part, Rig, Wire};
+use mallowgauge_testkit::manual_peers::{
+    accept, addr, frame, limit_receive_buffer, query, Connection, Part, StalledListener, TestBed,
+};
 use serde_json::{json, Value};
 
 /// Beyond a second, after which a SYN is sent again.
@@ -22,25 +24,25 @@
 }
 
 /// Discovery's first call, which waits for news.
-fn watch(rig: &Rig) -> Wire {
+fn watch(rig: &TestBed) -> Connection {
     let mut watch = accept(&rig.discovery);
     assert!(watch.head().contains("index="));
     watch
 }
 
 /// A client's question, on its way.
-fn ask(rig: &Rig, id: &str, kind: &str, ms: u64, shards: &[u32]) -> Wire {
+fn ask(rig: &TestBed, id: &str, kind: &str, ms: u64, shards: &[u32]) -> Connection {
     let mut client = rig.client();
     client.send(query(id, kind, ms, shards));
     client
 }
 
-fn status(client: &mut Wire) -> u16 {
+fn status(client: &mut Connection) -> u16 {
     client.response().expect("an answer").0
 }
 
 /// The program has looked at its clients since this was called.
-fn turn(rig: &Rig) {
+fn turn(rig: &TestBed) {
     let mut client = rig.client();
     client.send("GET /healthz HTTP/1.1\r\n\r\n");
     assert_eq!(status(&mut client), 200);
@@ -52,9 +54,9 @@
 }
 
 /// Serves a part that comes next on this connection.
-fn serve(host: &mut Wire) {
-    let part = only(host.call());
-    host.end(&part, "good", "x");
+fn serve(host: &mut Connection) {
+    let part = only(host.next_parts());
+    host.answer_part(&part, "good", "x");
 }
 
 // ---- a dial that comes up late ----
@@ -63,28 +65,28 @@
 // turn that queued it behind a dial.
 #[test]
 fn a_call_that_waited_for_its_dial_tells_what_is_left() {
-    let rig = Rig::start(1, first_alone);
-    let held = Held::dials(&rig.hosts[0]);
+    let rig = TestBed::start(1, first_alone);
+    let held = StalledListener::stall(&rig.backends[0]);
     let _client = ask(&rig, "1", "search", 3_000, &[0]);
-    held.hang(1);
+    held.wait_for_attempts(1);
     let since = Instant::now();
     std::thread::sleep(Duration::from_millis(500));
     let waited = since.elapsed().as_millis() as u64;
-    let part = only(held.let_through().call());
-    assert!(part.wait <= 3_000 - waited, "{part:?} after {waited} ms");
+    let part = only(held.release().next_parts());
+    assert!(part.timeout_ms <= 3_000 - waited, "{part:?} after {waited} ms");
 }
 
 // The same for `grpc-timeout`.
 #[test]
 fn a_stream_that_waited_for_its_dial_tells_what_is_left() {
-    let rig = Rig::flight(1, first_alone);
-    let held = Held::dials(&rig.hosts[0]);
+    let rig = TestBed::start_with_flight(1, first_alone);
+    let held = StalledListener::stall(&rig.backends[0]);
     let _client = ask(&rig, "1", "search", 3_000, &[0]);
-    held.hang(1);
+    held.wait_for_attempts(1);
     let since = Instant::now();
     std::thread::sleep(Duration::from_millis(500));
     let waited = since.elapsed().as_micros() as u64;
-    let lines = held.let_through().stream();
+    let lines = held.release().read_first_stream_headers();
     let told = lines.iter().find(|(name, _)| name == "grpc-timeout").expect("a time").1.clone();
     let told: u64 = told.strip_suffix('u').and_then(|us| us.parse().ok()).expect("microseconds");
     assert!(told <= 3_000_000 - waited, "{told} us after {waited} us");
@@ -92,47 +94,47 @@
 
 /// A hold waits for the first host's dial; then discovery tells this of the hosts. The hold has to go to the
 /// second at once, and nothing is left that could come up at the first.
-fn a_hold_moves(mut news: impl FnMut(&Rig) -> (bool, Vec<Value>), told: &str, start: fn(&mut Value)) {
-    let rig = Rig::start(2, start);
-    let held = Held::dials(&rig.hosts[0]);
+fn a_hold_moves(mut news: impl FnMut(&TestBed) -> (bool, Vec<Value>), told: &str, start: fn(&mut Value)) {
+    let rig = TestBed::start(2, start);
+    let held = StalledListener::stall(&rig.backends[0]);
     let mut discovery = watch(&rig);
     let mut client = ask(&rig, "1", "place-hold", 3_500, &[0]);
-    held.hang(1);
+    held.wait_for_attempts(1);
     let (whole, hosts) = news(&rig);
-    discovery.list(2, whole, &hosts);
-    rig.expect_log(told);
-    serve(&mut accept(&rig.hosts[1]));
+    discovery.send_endpoint_list(2, whole, &hosts);
+    rig.wait_for_log(told);
+    serve(&mut accept(&rig.backends[1]));
     assert_eq!(status(&mut client), 200);
-    held.hang(0);
+    held.wait_for_attempts(0);
 }
 
 // Guards a host that drains against what waited for its dial: that goes elsewhere, effect or not, since it
 // has never run.
 #[test]
 fn nothing_that_waited_for_a_dial_goes_to_a_host_that_drains() {
-    let news = |rig: &Rig| (false, vec![rig.instance(0, "leaving"), rig.instance(1, "active")]);
+    let news = |rig: &TestBed| (false, vec![rig.endpoint(0, "leaving"), rig.endpoint(1, "active")]);
     a_hold_moves(news, "host s-0 is Draining", first_alone);
 }
 
 #[test]
 fn nothing_that_waited_for_a_dial_goes_to_a_host_that_has_left() {
-    let news = |rig: &Rig| (false, vec![rig.instance(0, "left"), started(rig.instance(1, "active"), 1)]);
+    let news = |rig: &TestBed| (false, vec![rig.endpoint(0, "left"), started(rig.endpoint(1, "active"), 1)]);
     a_hold_moves(news, "host s-1 is Ready", first_alone);
 }
 
 // What a whole list does not name is gone.
 #[test]
 fn nothing_that_waited_for_a_dial_goes_to_a_host_that_the_list_lacks() {
-    let news = |rig: &Rig| (true, vec![started(rig.instance(1, "active"), 1)]);
+    let news = |rig: &TestBed| (true, vec![started(rig.endpoint(1, "active"), 1)]);
     a_hold_moves(news, "host s-1 is Ready", first_alone);
 }
 
 // Guards the shards of another host that has got the address: parts go where their host is now.
 #[test]
 fn nothing_that_waited_for_a_dial_goes_to_the_address_that_a_host_had() {
-    let news = |rig: &Rig| {
-        let mut moved = started(rig.instance(0, "active"), 1);
-        moved["hostPort"] = json!(addr(&rig.hosts[1]).to_string());
+    let news = |rig: &TestBed| {
+        let mut moved = started(rig.endpoint(0, "active"), 1);
+        moved["hostPort"] = json!(addr(&rig.backends[1]).to_string());
         (false, vec![moved])
     };
     a_hold_moves(news, "host s-0 is Ready", |file| {
@@ -148,16 +150,16 @@
 
 /// A client asks and leaves while the dial hangs; nothing may be written once that comes up.
 fn a_client_leaves_a_dial(cancel: bool) {
-    let rig = Rig::start(1, |file| {
+    let rig = TestBed::start(1, |file| {
         first_alone(file);
         file["settings"]["Limits"]["Cancel"] = json!(cancel);
     });
-    let held = Held::dials(&rig.hosts[0]);
+    let held = StalledListener::stall(&rig.backends[0]);
     let client = ask(&rig, "1", "place-hold", 3_500, &[0, 1]);
-    held.hang(1);
+    held.wait_for_attempts(1);
     drop(client);
     turn(&rig);
-    assert!(held.let_through().closes(), "nobody waits for anything here");
+    assert!(held.release().is_closed_by_peer(), "nobody waits for anything here");
 }
 
 // Guards hosts against work that nobody waits for, and holds against an effect that nobody hears of.
@@ -175,30 +177,30 @@
 // Guards the window in which a repeat is dropped: one that waited for its dial beyond it is not written.
 #[test]
 fn a_repeat_that_waited_beyond_its_window_is_not_written() {
-    let rig = Rig::start(2, |file| {
+    let rig = TestBed::start(2, |file| {
         first_alone(file);
         let hold = class(file, "place-hold");
         file["settings"]["Classes"][hold]["Semantics"] = json!("guarded");
         file["settings"]["Classes"][hold]["WindowUs"] = json!(600_000);
     });
-    let held = Held::dials(&rig.hosts[1]);
+    let held = StalledListener::stall(&rig.backends[1]);
     let mut discovery = watch(&rig);
     let mut client = ask(&rig, "1", "place-hold", 3_500, &[0]);
-    let mut first = accept(&rig.hosts[0]);
-    only(first.call());
-    discovery.list(2, false, &[started(rig.instance(1, "active"), 1)]);
-    rig.expect_log("host s-1 is Ready");
+    let mut first = accept(&rig.backends[0]);
+    only(first.next_parts());
+    discovery.send_endpoint_list(2, false, &[started(rig.endpoint(1, "active"), 1)]);
+    rig.wait_for_log("host s-1 is Ready");
     first.reset();
-    held.hang(1);
+    held.wait_for_attempts(1);
     std::thread::sleep(Duration::from_millis(600));
-    assert!(held.let_through().closes(), "the window is over");
+    assert!(held.release().is_closed_by_peer(), "the window is over");
     assert!([429, 503].contains(&status(&mut client)), "it may be tried again");
 }
 
 // Guards the window against an attempt that is written after its copy: both could have an effect.
 #[test]
 fn an_attempt_that_waits_for_its_dial_is_taken_back_for_its_copy() {
-    let rig = Rig::start(2, |file| {
+    let rig = TestBed::start(2, |file| {
         first_alone(file);
         let hold = class(file, "place-hold");
         file["settings"]["Classes"][hold]["Semantics"] = json!("guarded");
@@ -206,15 +208,15 @@
         // Longer than what makes the hold overdue.
         file["settings"]["Limits"]["ConnIdleUs"] = json!(2_000_000);
     });
-    let held = Held::dials(&rig.hosts[0]);
+    let held = StalledListener::stall(&rig.backends[0]);
     let mut discovery = watch(&rig);
     let _client = ask(&rig, "1", "place-hold", 3_500, &[0]);
-    held.hang(1);
-    discovery.list(2, false, &[started(rig.instance(1, "active"), 1)]);
-    rig.expect_log("host s-1 is Ready");
+    held.wait_for_attempts(1);
+    discovery.send_endpoint_list(2, false, &[started(rig.endpoint(1, "active"), 1)]);
+    rig.wait_for_log("host s-1 is Ready");
     // Beside answers that came since it was sent, it is overdue.
     let mut other = ask(&rig, "2", "search", 3_000, &[0]);
-    let mut second = accept(&rig.hosts[1]);
+    let mut second = accept(&rig.backends[1]);
     serve(&mut second);
     assert_eq!(status(&mut other), 200);
     for id in ["3", "4"] {
@@ -222,30 +224,30 @@
         serve(&mut second);
         assert_eq!(status(&mut other), 200);
     }
-    assert_eq!(only(second.call()).id, "1.0");
-    assert!(held.let_through().closes(), "its copy runs in its place");
+    assert_eq!(only(second.next_parts()).id, "1.0");
+    assert!(held.release().is_closed_by_peer(), "its copy runs in its place");
 }
 
 // A dial that has nothing to carry any more gives way where no other place is left.
 #[test]
 fn a_dial_that_nobody_waits_for_gives_its_place_to_a_call() {
     // Ten places for connections to hosts, at which all dials but those to the last hang.
-    let rig = Rig::start(12, |file| {
+    let rig = TestBed::start(12, |file| {
         file["settings"]["Limits"]["DialTimeoutUs"] = json!(DIAL);
         file["limits"]["sockets"] = json!(32);
         file["settings"]["FamilyInfo"]["Places"] = json!(12);
         file["settings"]["FamilyInfo"]["Shards"] = json!(12);
         file["settings"]["FamilyInfo"]["Width"] = json!(1);
     });
-    let held: Vec<Held<'_>> = rig.hosts[..10].iter().map(Held::dials).collect();
+    let held: Vec<StalledListener<'_>> = rig.backends[..10].iter().map(StalledListener::stall).collect();
     for (shard, host) in held.iter().enumerate() {
         let client = ask(&rig, &format!("{shard}"), "search", 3_500, &[shard as u32]);
-        host.hang(1);
+        host.wait_for_attempts(1);
         drop(client);
     }
     turn(&rig);
     let mut client = ask(&rig, "11", "search", 3_500, &[11]);
-    serve(&mut accept(&rig.hosts[11]));
+    serve(&mut accept(&rig.backends[11]));
     assert_eq!(status(&mut client), 200);
 }
 
@@ -254,35 +256,35 @@
 // Guards a hold against a kept connection that was reset before it: nothing was written there.
 #[test]
 fn a_reset_before_the_frame_costs_nothing() {
-    let rig = Rig::start(1, first_alone);
+    let rig = TestBed::start(1, first_alone);
     let mut client = ask(&rig, "1", "place-hold", 3_000, &[0]);
-    let mut host = accept(&rig.hosts[0]);
+    let mut host = accept(&rig.backends[0]);
     serve(&mut host);
     assert_eq!(status(&mut client), 200);
     host.reset();
     client.send(query("2", "place-hold", 3_000, &[0]));
-    serve(&mut accept(&rig.hosts[0]));
+    serve(&mut accept(&rig.backends[0]));
     assert_eq!(status(&mut client), 200);
 }
 
 /// A hold and a search are on their way when this happens to their connection: the hold fails and is not sent
 /// again, the search is.
-fn after_the_frame(happens: fn(Wire, &Part)) {
-    let rig = Rig::start(1, first_alone);
+fn after_the_frame(happens: fn(Connection, &Part)) {
+    let rig = TestBed::start(1, first_alone);
     let mut client = ask(&rig, "1", "place-hold", 3_000, &[0]);
-    let mut host = accept(&rig.hosts[0]);
-    let part = only(host.call());
+    let mut host = accept(&rig.backends[0]);
+    let part = only(host.next_parts());
     happens(host, &part);
     assert!(![200, 429, 503].contains(&status(&mut client)), "it may have run");
     client.send(query("2", "search", 3_000, &[0]));
-    let mut host = accept(&rig.hosts[0]);
+    let mut host = accept(&rig.backends[0]);
     // The hold would have come first.
-    let part = only(host.call());
+    let part = only(host.next_parts());
     assert_eq!(part.id, "2.0");
     happens(host, &part);
-    let mut host = accept(&rig.hosts[0]);
-    assert_eq!(only(host.call()).id, "2.0");
-    host.end(&part, "good", "x");
+    let mut host = accept(&rig.backends[0]);
+    assert_eq!(only(host.next_parts()).id, "2.0");
+    host.answer_part(&part, "good", "x");
     assert_eq!(status(&mut client), 200);
 }
 
@@ -311,9 +313,9 @@
 // Guards what has come in whole against the end behind it.
 #[test]
 fn a_whole_answer_counts_though_the_connection_ends_behind_it() {
-    let rig = Rig::start(1, first_alone);
+    let rig = TestBed::start(1, first_alone);
     let mut client = ask(&rig, "1", "place-hold", 3_000, &[0]);
-    let mut host = accept(&rig.hosts[0]);
+    let mut host = accept(&rig.backends[0]);
     serve(&mut host);
     drop(host);
     assert_eq!(status(&mut client), 200);
@@ -322,39 +324,39 @@
 // Guards what is out on a connection against an answer for what was given up there.
 #[test]
 fn an_answer_for_a_part_given_up_takes_nothing_from_the_next() {
-    let rig = Rig::start(1, first_alone);
+    let rig = TestBed::start(1, first_alone);
     let client = ask(&rig, "1", "search", 3_000, &[0]);
-    let mut host = accept(&rig.hosts[0]);
-    let late = only(host.call());
+    let mut host = accept(&rig.backends[0]);
+    let late = only(host.next_parts());
     drop(client);
     assert_eq!(host.frame(), Some((b'n', late.id.clone())));
     let mut client = ask(&rig, "2", "place-hold", 3_000, &[0]);
     // While the place of the first may still be taken, the next gets a connection of its own.
-    let mut other = accept(&rig.hosts[0]);
-    host.end(&late, "good", "late");
+    let mut other = accept(&rig.backends[0]);
+    host.answer_part(&late, "good", "late");
     serve(&mut other);
     assert_eq!(client.response().expect("an answer").1.matches("late").count(), 0);
-    assert!(host.closes(), "by its rest, and not before");
+    assert!(host.is_closed_by_peer(), "by its rest, and not before");
 }
 
 // Guards the loop against a host that never ends its answers: a second copy is passed over, but not for ever.
 #[test]
 fn answers_without_end_end_their_connection() {
-    let rig = Rig::start(1, |file| {
+    let rig = TestBed::start(1, |file| {
         first_alone(file);
         file["settings"]["Limits"]["ConnIdleUs"] = json!(60_000_000);
     });
     let mut client = ask(&rig, "1", "search", 3_000, &[0]);
-    let mut host = accept(&rig.hosts[0]);
-    let part = only(host.call());
-    host.end(&part, "good", "x");
+    let mut host = accept(&rig.backends[0]);
+    let part = only(host.next_parts());
+    host.answer_part(&part, "good", "x");
     assert_eq!(status(&mut client), 200);
     client.send(query("2", "search", 3_000, &[0]));
-    assert_eq!(only(host.call()).id, "2.0");
+    assert_eq!(only(host.next_parts()).id, "2.0");
     let copy = frame(b'q', &format!("{} good 0 util=0.5\nx", part.id));
     host.send(copy.repeat(1_000));
-    assert!(host.closes(), "more answers than were asked for");
-    serve(&mut accept(&rig.hosts[0]));
+    assert!(host.is_closed_by_peer(), "more answers than were asked for");
+    serve(&mut accept(&rig.backends[0]));
     assert_eq!(status(&mut client), 200);
 }
 
@@ -364,7 +366,7 @@
 // vanished, and the first word on it would be met by a reset.
 #[test]
 fn a_kept_connection_to_a_process_before_the_last_start_is_closed() {
-    let rig = Rig::start(1, |file| {
+    let rig = TestBed::start(1, |file| {
         first_alone(file);
         file["settings"]["Limits"]["ConnIdleUs"] = json!(60_000_000);
         // What has just started is not cold here.
@@ -373,16 +375,16 @@
     });
     let mut discovery = watch(&rig);
     let mut client = ask(&rig, "1", "place-hold", 3_000, &[0]);
-    let mut host = accept(&rig.hosts[0]);
+    let mut host = accept(&rig.backends[0]);
     serve(&mut host);
     assert_eq!(status(&mut client), 200);
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_millis() as u64;
-    discovery.list(2, false, &[started(rig.instance(0, "active"), now + 1)]);
-    rig.expect_log("host s-0 is Ready");
+    discovery.send_endpoint_list(2, false, &[started(rig.endpoint(0, "active"), now + 1)]);
+    rig.wait_for_log("host s-0 is Ready");
     client.send(query("2", "place-hold", 3_000, &[0]));
-    serve(&mut accept(&rig.hosts[0]));
+    serve(&mut accept(&rig.backends[0]));
     assert_eq!(status(&mut client), 200);
-    assert!(host.closes(), "nothing more is due to the process before");
+    assert!(host.is_closed_by_peer(), "nothing more is due to the process before");
 }
 
 // ---- room on a connection ----
@@ -392,13 +394,13 @@
 #[test]
 fn a_frame_half_written_for_clients_that_left_is_not_completed() {
     // Twelve places for connections to twelve hosts, of which one is active: there is one connection to it.
-    let rig = Rig::start(12, |file| {
+    let rig = TestBed::start(12, |file| {
         first_alone(file);
         file["settings"]["Limits"]["MaxOpen"] = json!(1000);
         file["settings"]["Limits"]["MaxStreams"] = json!(1000);
         file["limits"]["sockets"] = json!(64);
     });
-    takes_little(&rig.hosts[0]);
+    limit_receive_buffer(&rig.backends[0]);
     // Ten parts of 60,000 bytes each: more than a socket holds for a host that does not read.
     let large = |id: usize| {
         let text = "x".repeat(60_000);
@@ -410,13 +412,13 @@
             body.len()
         )
     };
-    let mut clients: Vec<Wire> = Vec::new();
+    let mut clients: Vec<Connection> = Vec::new();
     for id in 0..8 {
         let mut client = rig.client();
         client.send(large(id));
         clients.push(client);
     }
-    let mut host = accept(&rig.hosts[0]);
+    let mut host = accept(&rig.backends[0]);
     turn(&rig);
     drop(clients);
     turn(&rig);
--- a/crates/mallowgauge/tests/wire_bytes.rs
+++ b/crates/mallowgauge/tests/wire_bytes.rs
@@ -4,17 +4,17 @@
 use std::time::Duration;
 
 use insta::assert_snapshot;
-use mallowgauge_testkit::hand::{accept, accept_within, addr, frame, query, Rig, Wire};
+use mallowgauge_testkit::manual_peers::{accept, accept_within, addr, frame, query, Connection, TestBed};
 use regex::Regex;
 
 /// What comes back for a request, to the end of the connection where it ends.
-fn exchange(rig: &Rig, request: &str) -> String {
+fn exchange(rig: &TestBed, request: &str) -> String {
     let mut client = rig.client();
     client.send(request);
     read_response(&mut client)
 }
 
-fn read_response(client: &mut Wire) -> String {
+fn read_response(client: &mut Connection) -> String {
     let head = client.head();
     let length = head.split_once("Content-Length: ").and_then(|(_, rest)| rest.split_once('\r'));
     let mut body = vec![0; length.map_or(0, |(length, _)| length.parse().expect("a length"))];
@@ -28,9 +28,9 @@
 }
 
 /// The first connection to any backend, with that backend's number.
-fn backend(rig: &Rig) -> Wire {
+fn backend(rig: &TestBed) -> Connection {
     let next = |host| accept_within(host, Duration::from_millis(10));
-    (0..500).flat_map(|_| &rig.hosts).find_map(next).expect("the program connects")
+    (0..500).flat_map(|_| &rig.backends).find_map(next).expect("the program connects")
 }
 
 fn post(headers: &str, body: &str) -> String {
@@ -41,7 +41,7 @@
 
 #[test]
 fn http_answers_to_requests_that_reach_no_backend() {
-    let rig = Rig::start(1, |_| {});
+    let rig = TestBed::start(1, |_| {});
     let long = "x".repeat(70_000);
     let requests = [
         ("health", "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n".to_owned()),
@@ -306,7 +306,7 @@
 
 #[test]
 fn http_answers_to_queries_and_the_frames_that_they_cause() {
-    let rig = Rig::start(1, |_| {});
+    let rig = TestBed::start(1, |_| {});
     let mut seen = Vec::new();
     // Complete: the call's bytes, and the answer's.
     let mut client = rig.client();
@@ -321,12 +321,12 @@
     seen.push(format!("== complete\n{}", visible(&read_response(&mut client))));
     // A query that must not be repeated fails with its part.
     client.send(query("failed", "place-hold", 4000, &[0]));
-    let part = host.call().pop().expect("a part");
-    host.end(&part, "bad", "");
+    let part = host.next_parts().pop().expect("a part");
+    host.answer_part(&part, "bad", "");
     seen.push(format!("== failed\n{}", visible(&read_response(&mut client))));
     // One that gets no answer in its time.
     client.send(query("late", "place-hold", 600, &[0]));
-    assert_eq!(host.call().pop().map(|part| part.id).as_deref(), Some("late.0"));
+    assert_eq!(host.next_parts().pop().map(|part| part.id).as_deref(), Some("late.0"));
     seen.push(format!("== late\n{}", visible(&read_response(&mut client))));
     assert_snapshot!(seen.join("\n"), @r#"
     == call
@@ -355,11 +355,11 @@
 
 #[test]
 fn a_part_whose_client_left_is_given_up() {
-    let rig = Rig::start(1, |_| {});
+    let rig = TestBed::start(1, |_| {});
     let mut client = rig.client();
     client.send(query("left", "search", 4000, &[0]));
     let mut host = backend(&rig);
-    assert_eq!(host.call().pop().map(|part| part.id).as_deref(), Some("left.0"));
+    assert_eq!(host.next_parts().pop().map(|part| part.id).as_deref(), Some("left.0"));
     drop(client);
     let (letter, text) = host.frame().expect("the part is given up");
     assert_eq!((letter, &*text), (b'n', "left.0"));
@@ -367,22 +367,22 @@
 
 #[test]
 fn http_answers_beyond_the_limit_and_after_shutdown() {
-    let rig = Rig::start(1, |file| file["settings"]["Limits"]["MaxOpen"] = serde_json::json!(3));
+    let rig = TestBed::start(1, |file| file["settings"]["Limits"]["MaxOpen"] = serde_json::json!(3));
     let mut seen = Vec::new();
     let mut open = rig.client();
     open.send(query("open", "search", 4000, &[0]));
     let mut host = backend(&rig);
-    let part = host.call().pop().expect("a part");
+    let part = host.next_parts().pop().expect("a part");
     // How long it says to wait is drawn.
     let rejected = exchange(&rig, &query("more", "search", 4000, &[0]));
     let wait = Regex::new(r"Retry-After: [0-9]\.[0-9]{3}\r").expect("a pattern");
     seen.push(format!("== one too many\n{}", visible(&wait.replace(&rejected, "Retry-After: S.MMM\r"))));
     let mut health = rig.client();
     rig.program.signal(libc::SIGTERM);
-    rig.expect_log("Serving -> Draining");
+    rig.wait_for_log("Serving -> Draining");
     health.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
     seen.push(format!("== health while draining\n{}", visible(&read_response(&mut health))));
-    host.end(&part, "good", "x");
+    host.answer_part(&part, "good", "x");
     seen.push(format!("== answer while draining\n{}", visible(&read_response(&mut open))));
     assert_snapshot!(seen.join("\n"), @r#"
     == one too many
@@ -411,7 +411,7 @@
 #[test]
 fn http_answers_before_the_start_is_complete_and_to_a_request_that_never_is() {
     // Discovery pushes its lists here and says nothing: the program is not ready for as long as it waits for one.
-    let rig = Rig::start(1, |file| file["settings"]["MembershipMode"] = serde_json::json!("automatic"));
+    let rig = TestBed::start(1, |file| file["settings"]["MembershipMode"] = serde_json::json!("automatic"));
     let mut seen = Vec::new();
     let health = exchange(&rig, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
     seen.push(format!("== health while starting\n{}", visible(&health)));
@@ -437,17 +437,17 @@
 
 #[test]
 fn calls_to_discovery() {
-    let rig = Rig::start(2, |_| {});
+    let rig = TestBed::start(2, |_| {});
     let own = addr(&rig.discovery).to_string();
     let mut wire = accept(&rig.discovery);
     let mut seen = Vec::new();
-    let mut take = |wire: &mut Wire, name: &str| {
+    let mut take = |wire: &mut Connection, name: &str| {
         seen.push(format!("== {name}\n{}", visible(&wire.head().replace(&own, "DISCOVERY"))));
     };
     take(&mut wire, "first");
-    wire.list(7, true, &rig.instances("active"));
+    wire.send_endpoint_list(7, true, &rig.endpoints("active"));
     take(&mut wire, "after a list");
-    wire.list(8, false, &[]);
+    wire.send_endpoint_list(8, false, &[]);
     take(&mut wire, "after a change");
     drop(wire);
     let mut wire = accept(&rig.discovery);
--- a/crates/testkit/src/bench_flight.rs
+++ b/crates/testkit/src/bench_flight.rs
@@ -13,12 +13,14 @@
 use http::Request;
 use mallowgauge_flight::grpc::{frame, status_of, Deframer, SERVICE};
 use mallowgauge_flight::proto::{FlightDescriptor, FlightInfo, Ticket};
-use mallowgauge_testkit::columns::{host, listings, numbers, Act, Dress, Runs, Script};
-use mallowgauge_testkit::{config, plain, Program};
+use mallowgauge_testkit::columns::{
+    listings, numbers, scripted_backend, AttemptCounts, Script, ScriptedReply, TableEncoding,
+};
+use mallowgauge_testkit::{config, stand_ins, Program};
 use prost::Message;
 use serde_json::{json, Value};
 
-const HOSTS: u32 = 4;
+const BACKENDS: u32 = 4;
 const ROUNDS: usize = 5;
 /// Record batches of a part, and their rows: about four megabytes.
 const BATCHES: usize = 8;
@@ -46,8 +48,8 @@
 }
 
 /// A program with these hosts, which may use so much memory.
-fn start(hosts: &[SocketAddr], memory_mb: u64) -> (Program, plain::Roster) {
-    let roster = plain::Roster::start();
+fn start(hosts: &[SocketAddr], memory_mb: u64) -> (Program, stand_ins::DiscoveryStandIn) {
+    let roster = stand_ins::DiscoveryStandIn::start();
     let mut file = config(hosts, roster.addr);
     file["settings"]["FamilyInfo"]["Places"] = json!(hosts.len());
     file["settings"]["FamilyInfo"]["Width"] = json!(hosts.len());
@@ -116,7 +118,7 @@
             let mut sum = 0;
             for i in 0..count {
                 let id = format!("f-{}-{i}", std::process::id());
-                let descriptor = FlightDescriptor::command(query(&id, HOSTS).to_string().into());
+                let descriptor = FlightDescriptor::command(query(&id, BACKENDS).to_string().into());
                 let (_, info, _) = call(&mut sender, "GetFlightInfo", frame(&descriptor)).await;
                 let info = FlightInfo::decode(info).expect("a FlightInfo");
                 let ticket = frame(info.endpoint[0].ticket.as_ref().expect("a ticket"));
@@ -156,8 +158,8 @@
 fn text(addr: SocketAddr, number: usize) -> u64 {
     let mut socket = TcpStream::connect(addr).expect("a connection");
     let id = format!("t-{}-{number}", std::process::id());
-    let share = 1.0 / f64::from(HOSTS);
-    let ranges: Vec<Value> = (0..HOSTS).map(|s| json!({"range": s, "portion": share})).collect();
+    let share = 1.0 / f64::from(BACKENDS);
+    let ranges: Vec<Value> = (0..BACKENDS).map(|s| json!({"range": s, "portion": share})).collect();
     let body = json!({"ranges": ranges, "predicate": "c41e77d0"}).to_string();
     let request = format!(
         "POST /api HTTP/1.1\r\nHost: x\r\nReq-Id: {id}\r\nReq-Kind: search\r\nReq-Deadline-Ms: 30000\r\n\
@@ -182,15 +184,19 @@
 
 fn throughput() {
     let table: Vec<_> = (0..BATCHES).map(|_| listings(0, ROWS)).collect();
-    let bytes: usize =
-        mallowgauge_testkit::columns::messages_of(&table, Dress::default()).iter().map(Bytes::len).sum();
-    let script: Script = Arc::new(move |_, _, _| Act::Table(table.clone(), Dress::default()));
-    let hosts: Vec<SocketAddr> =
-        (0..HOSTS as usize).map(|i| host(i, Arc::clone(&script), Runs::default(), None)).collect();
+    let bytes: usize = mallowgauge_testkit::columns::messages_of(&table, TableEncoding::default())
+        .iter()
+        .map(Bytes::len)
+        .sum();
+    let script: Script =
+        Arc::new(move |_, _, _| ScriptedReply::Table(table.clone(), TableEncoding::default()));
+    let hosts: Vec<SocketAddr> = (0..BACKENDS as usize)
+        .map(|i| scripted_backend(i, Arc::clone(&script), AttemptCounts::default(), None))
+        .collect();
     let (program, _roster) = start(&hosts, 1024);
-    let megabytes = f64::from(HOSTS) * bytes as f64 / 1e6;
+    let megabytes = f64::from(BACKENDS) * bytes as f64 / 1e6;
     println!(
-        "tables of {:.1} MB from each of {HOSTS} hosts; {ROUNDS} rounds in turns, medians",
+        "tables of {:.1} MB from each of {BACKENDS} hosts; {ROUNDS} rounds in turns, medians",
         bytes as f64 / 1e6
     );
     println!("per megabyte of columns, whatever they were turned into:");
@@ -243,10 +249,12 @@
 fn slow(readers: usize) {
     const A_CONNECTION: usize = 8;
     const MEMORY: u64 = 640;
-    let script: Script =
-        Arc::new(|_, _, _| Act::Table((0..15).map(|_| numbers(1 << 20)).collect(), Dress::default()));
-    let hosts: Vec<SocketAddr> =
-        (0..HOSTS as usize).map(|i| host(i, Arc::clone(&script), Runs::default(), None)).collect();
+    let script: Script = Arc::new(|_, _, _| {
+        ScriptedReply::Table((0..15).map(|_| numbers(1 << 20)).collect(), TableEncoding::default())
+    });
+    let hosts: Vec<SocketAddr> = (0..BACKENDS as usize)
+        .map(|i| scripted_backend(i, Arc::clone(&script), AttemptCounts::default(), None))
+        .collect();
     let (program, _roster) = start(&hosts, MEMORY);
     let addr = program.flight;
     println!("\n{readers} readers that take 16 KB a second of answers of 60 MB; {MEMORY} MB for the program");
@@ -268,7 +276,7 @@
             tasks.push(tokio::task::spawn_local(async move {
                 let work = async {
                     let descriptor =
-                        FlightDescriptor::command(query(&format!("s-{i}"), HOSTS).to_string().into());
+                        FlightDescriptor::command(query(&format!("s-{i}"), BACKENDS).to_string().into());
                     let (_, info, status) = call(&mut sender, "GetFlightInfo", frame(&descriptor)).await;
                     if status != 0 {
                         return Some(status);
@@ -336,9 +344,11 @@
 /// One query, and the program's log: for looking into what went wrong.
 fn once() {
     let table: Vec<_> = (0..BATCHES).map(|_| listings(0, ROWS)).collect();
-    let script: Script = Arc::new(move |_, _, _| Act::Table(table.clone(), Dress::default()));
-    let hosts: Vec<SocketAddr> =
-        (0..HOSTS as usize).map(|i| host(i, Arc::clone(&script), Runs::default(), None)).collect();
+    let script: Script =
+        Arc::new(move |_, _, _| ScriptedReply::Table(table.clone(), TableEncoding::default()));
+    let hosts: Vec<SocketAddr> = (0..BACKENDS as usize)
+        .map(|i| scripted_backend(i, Arc::clone(&script), AttemptCounts::default(), None))
+        .collect();
     let (program, _roster) = start(&hosts, 1024);
     let me = std::env::current_exe().expect("a path");
     let out = Command::new(&me).args(["reader", "flight", "1", &program.flight.to_string()]).output();
--- a/crates/testkit/src/bench_phases.rs
+++ b/crates/testkit/src/bench_phases.rs
@@ -13,12 +13,12 @@
 use http::Request;
 use mallowgauge_flight::grpc::{frame, status_of, Deframer, SERVICE};
 use mallowgauge_flight::proto::{FlightDescriptor, FlightInfo};
-use mallowgauge_testkit::columns::{text, working, Work};
-use mallowgauge_testkit::{config, plain, Program};
+use mallowgauge_testkit::columns::{queueing_backend, text_reply, PartWork};
+use mallowgauge_testkit::{config, stand_ins, Program};
 use prost::Message;
 use serde_json::{json, Value};
 
-const HOSTS: usize = 4;
+const BACKENDS: usize = 4;
 const BLOCKS: u32 = 12;
 /// What a scout and a block cost a host.
 const SCOUT_MS: u64 = 2;
@@ -81,11 +81,11 @@
     times: Histogram<u64>,
 }
 
-fn start(hosts: &[SocketAddr], rule: Value) -> (Program, plain::Roster) {
-    let roster = plain::Roster::start();
+fn start(hosts: &[SocketAddr], rule: Value) -> (Program, stand_ins::DiscoveryStandIn) {
+    let roster = stand_ins::DiscoveryStandIn::start();
     let mut file = config(hosts, roster.addr);
     let family = &mut file["settings"]["FamilyInfo"];
-    family["Places"] = json!(HOSTS);
+    family["Places"] = json!(BACKENDS);
     family["Shards"] = json!(BLOCKS);
     family["OverheadUs"] = json!(0);
     file["settings"]["Limits"]["MaxOpen"] = json!(2000);
@@ -202,7 +202,7 @@
 
 fn main() {
     let world = Arc::new(Mutex::new(World::default()));
-    let hosts: Vec<SocketAddr> = (0..HOSTS)
+    let hosts: Vec<SocketAddr> = (0..BACKENDS)
         .map(|i| {
             let world = Arc::clone(&world);
             let work = move |ticket: &Value| {
@@ -223,13 +223,13 @@
                     None => rows(world.skew, predicate, block),
                 };
                 let hangs = world.hangs == Some(i) || (scout.is_some() && world.mute == Some(block));
-                Work {
+                PartWork {
                     cost: Duration::from_secs_f64(cost as f64 / 1000.0 * times * cold),
-                    hangs,
-                    act: text(block, "good", &answer),
+                    never_answers: hangs,
+                    reply: text_reply(block, "good", &answer),
                 }
             };
-            working(2, Arc::new(work))
+            queueing_backend(2, Arc::new(work))
         })
         .collect();
     let (one, first) = start(&hosts, json!("learned"));
@@ -237,7 +237,7 @@
     let (fixed, _third) = start(&hosts, json!({"share": 0.2}));
     let programs = [one, half, fixed];
     let plan = || Some(json!({"top": 10, "wave": 2}));
-    println!("{HOSTS} hosts, two parts at a time; {BLOCKS} blocks; a scout costs {SCOUT_MS} ms, a block {BLOCK_MS} ms");
+    println!("{BACKENDS} hosts, two parts at a time; {BLOCKS} blocks; a scout costs {SCOUT_MS} ms, a block {BLOCK_MS} ms");
     println!(
         "service: share answered within {} ms; in turns of {} s, {SEGMENTS} each\n",
         AIM.as_millis(),
@@ -261,9 +261,9 @@
         // At the begin of each segment a successor of host 1 starts, and discovery tells so.
         let starts = || {
             let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a date");
-            let mut instance = plain::instance(1, hosts[1], "active");
+            let mut instance = stand_ins::endpoint(1, hosts[1], "active");
             instance["startedAtMs"] = json!(now.as_millis() as u64);
-            first.tell(&instance);
+            first.publish(&instance);
             world.lock().expect("a sound lock").cold = Some((1, Instant::now()));
         };
         play(&world, &programs, &mut sides, (8.0, seed), starts);
--- a/crates/testkit/src/columns.rs
+++ b/crates/testkit/src/columns.rs
@@ -24,21 +24,21 @@
 
 /// What a host does about a part.
 #[derive(Clone)]
-pub enum Act {
+pub enum ScriptedReply {
     /// Answers with a table.
-    Table(Vec<RecordBatch>, Dress),
+    Table(Vec<RecordBatch>, TableEncoding),
     /// Answers with these messages and OK.
     Messages(Vec<Bytes>),
     /// Sends so many bytes of a table, and resets the stream.
-    Cut(Vec<RecordBatch>, usize),
+    Reset(Vec<RecordBatch>, usize),
     /// Says that the part was turned away unseen.
-    Later,
+    Reject,
     /// Ends with this status.
     Fail(Code),
     /// Sends a table's first messages and then nothing more.
-    Half(Vec<RecordBatch>),
+    Stall(Vec<RecordBatch>),
     /// Does something else after so long.
-    After(std::time::Duration, Box<Act>),
+    Delay(std::time::Duration, Box<ScriptedReply>),
     /// Says nothing.
     Hang,
     /// Sends this batch again and again.
@@ -47,21 +47,26 @@
 
 /// How a table is written.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Dress {
+pub struct TableEncoding {
     /// The bodies' compression.
-    pub body: Option<CompressionType>,
+    pub body_compression: Option<CompressionType>,
     /// gRPC's compression.
     pub gzip: bool,
 }
 
 /// What has been asked of a set of hosts: by query and shard, how often.
-pub type Runs = Arc<Mutex<BTreeMap<(String, u32), u32>>>;
+pub type AttemptCounts = Arc<Mutex<BTreeMap<(String, u32), u32>>>;
 
 /// Decides what a host does: its number, the part's ticket, and how often the part was asked before.
-pub type Script = Arc<dyn Fn(usize, &Value, u32) -> Act + Send + Sync>;
+pub type Script = Arc<dyn Fn(usize, &Value, u32) -> ScriptedReply + Send + Sync>;
 
 /// A host that plays a script; `tls` is its certificate and key where it has one.
-pub fn host(number: usize, script: Script, runs: Runs, tls: Option<Arc<rustls::ServerConfig>>) -> SocketAddr {
+pub fn scripted_backend(
+    number: usize,
+    script: Script,
+    runs: AttemptCounts,
+    tls: Option<Arc<rustls::ServerConfig>>,
+) -> SocketAddr {
     listen(move |socket| {
         let (script, runs, tls) = (Arc::clone(&script), Arc::clone(&runs), tls.clone());
         tokio::task::spawn_local(async move {
@@ -77,7 +82,7 @@
     })
 }
 
-async fn serve<S>(number: usize, socket: S, script: Script, runs: Runs)
+async fn serve<S>(number: usize, socket: S, script: Script, runs: AttemptCounts)
 where
     S: tokio::io::AsyncRead + tokio::io::AsyncWrite + Unpin + 'static,
 {
@@ -95,7 +100,7 @@
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
     script: Script,
-    runs: Runs,
+    runs: AttemptCounts,
 ) -> Option<()> {
     let (messages, _) = read(request.into_body()).await?;
     let ticket = Ticket::decode(messages.first()?.clone()).ok()?;
@@ -108,7 +113,7 @@
         *count - 1
     };
     let mut act = script(number, &ticket, before);
-    while let Act::After(wait, then) = act {
+    while let ScriptedReply::Delay(wait, then) = act {
         let gone = std::future::poll_fn(|cx| respond.poll_reset(cx));
         if tokio::time::timeout(wait, gone).await.is_ok() {
             return None;
@@ -116,21 +121,21 @@
         act = *then;
     }
     let mut head = Response::builder().header("content-type", grpc::CONTENT_TYPE);
-    if matches!(act, Act::Table(_, Dress { gzip: true, .. })) {
+    if matches!(act, ScriptedReply::Table(_, TableEncoding { gzip: true, .. })) {
         head = head.header("grpc-encoding", "gzip");
     }
     let (status, pieces) = match act {
-        Act::Later => (Status::new(Code::Unavailable, "later").because(grpc::LATER), Vec::new()),
-        Act::Fail(code) => (Status::new(code, "as the script says"), Vec::new()),
-        Act::After(..) => return None,
-        Act::Hang => {
+        ScriptedReply::Reject => (Status::new(Code::Unavailable, "later").because(grpc::LATER), Vec::new()),
+        ScriptedReply::Fail(code) => (Status::new(code, "as the script says"), Vec::new()),
+        ScriptedReply::Delay(..) => return None,
+        ScriptedReply::Hang => {
             drop(std::future::poll_fn(|cx| respond.poll_reset(cx)).await);
             return None;
         }
-        Act::Table(batches, dress) => (Status::new(Code::Ok, ""), messages_of(&batches, dress)),
-        Act::Messages(messages) => (Status::new(Code::Ok, ""), messages),
-        Act::Cut(batches, bytes) => {
-            let all = messages_of(&batches, Dress::default()).concat();
+        ScriptedReply::Table(batches, dress) => (Status::new(Code::Ok, ""), messages_of(&batches, dress)),
+        ScriptedReply::Messages(messages) => (Status::new(Code::Ok, ""), messages),
+        ScriptedReply::Reset(batches, bytes) => {
+            let all = messages_of(&batches, TableEncoding::default()).concat();
             let mut stream = respond.send_response(head.body(()).ok()?, false).ok()?;
             push(&mut stream, all[..bytes.min(all.len())].to_vec().into()).await?;
             // Let it get through before the stream is cut.
@@ -138,15 +143,15 @@
             stream.send_reset(Reason::INTERNAL_ERROR);
             return None;
         }
-        Act::Half(batches) => {
-            let all = messages_of(&batches, Dress::default()).concat();
+        ScriptedReply::Stall(batches) => {
+            let all = messages_of(&batches, TableEncoding::default()).concat();
             let mut stream = respond.send_response(head.body(()).ok()?, false).ok()?;
             push(&mut stream, all[..all.len() / 2].to_vec().into()).await?;
             drop(std::future::poll_fn(|cx| stream.poll_reset(cx)).await);
             return None;
         }
-        Act::Endless(batch) => {
-            let all = messages_of(&[batch], Dress::default());
+        ScriptedReply::Endless(batch) => {
+            let all = messages_of(&[batch], TableEncoding::default());
             let mut stream = respond.send_response(head.body(()).ok()?, false).ok()?;
             push(&mut stream, all[0].clone()).await?;
             loop {
@@ -183,8 +188,8 @@
 }
 
 /// Batches as Flight's messages, in gRPC's frames.
-pub fn messages_of(batches: &[RecordBatch], dress: Dress) -> Vec<Bytes> {
-    let options = IpcWriteOptions::default().try_with_compression(dress.body).expect("a codec");
+pub fn messages_of(batches: &[RecordBatch], dress: TableEncoding) -> Vec<Bytes> {
+    let options = IpcWriteOptions::default().try_with_compression(dress.body_compression).expect("a codec");
     let (mut tracker, writer) = (DictionaryTracker::new(false), IpcDataGenerator::default());
     let schema = batches[0].schema();
     let head = writer.schema_to_bytes_with_dictionary_tracker(&schema, &mut tracker, &options);
@@ -239,31 +244,31 @@
 }
 
 /// The answer of the simple form: one text, with how the part went.
-pub fn text(shard: u32, end: &str, blob: &str) -> Act {
+pub fn text_reply(shard: u32, end: &str, blob: &str) -> ScriptedReply {
     let column = |name: &str, kind| Field::new(name, kind, false);
     let (end_column, blob_column) = (column("end", DataType::Utf8), column("blob", DataType::Utf8));
     let schema = Arc::new(Schema::new(vec![column("range", DataType::UInt32), end_column, blob_column]));
     let one = |text: &str| -> ArrayRef { Arc::new(StringArray::from_iter_values([text])) };
     let range: ArrayRef = Arc::new(arrow_array::UInt32Array::from(vec![shard]));
     let batch = RecordBatch::try_new(schema, vec![range, one(end), one(blob)]).expect("a batch");
-    Act::Table(vec![batch], Dress::default())
+    ScriptedReply::Table(vec![batch], TableEncoding::default())
 }
 
 /// What a part costs a host that works, and what it answers then.
-pub struct Work {
+pub struct PartWork {
     /// How long it takes.
     pub cost: std::time::Duration,
     /// The host takes the part and never answers.
-    pub hangs: bool,
+    pub never_answers: bool,
     /// The answer.
-    pub act: Act,
+    pub reply: ScriptedReply,
 }
 
 /// Says what a part costs, from its ticket.
-pub type Costs = Arc<dyn Fn(&Value) -> Work + Send + Sync>;
+pub type PartCost = Arc<dyn Fn(&Value) -> PartWork + Send + Sync>;
 
 /// A host that works on so many parts at a time; the others wait, and one that is reset meanwhile is dropped.
-pub fn working(at_a_time: usize, costs: Costs) -> SocketAddr {
+pub fn queueing_backend(at_a_time: usize, costs: PartCost) -> SocketAddr {
     let places = Arc::new(tokio::sync::Semaphore::new(at_a_time));
     listen(move |socket| {
         let (places, costs) = (Arc::clone(&places), Arc::clone(&costs));
@@ -281,7 +286,7 @@
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
     places: &tokio::sync::Semaphore,
-    costs: &Costs,
+    costs: &PartCost,
 ) -> Option<()> {
     let (messages, _) = read(request.into_body()).await?;
     let ticket = Ticket::decode(messages.first()?.clone()).ok()?;
@@ -290,7 +295,7 @@
         place = places.acquire() => place.ok()?,
         _ = std::future::poll_fn(|cx| respond.poll_reset(cx)) => return None,
     };
-    let Work { cost, hangs, act } = costs(&ticket);
+    let PartWork { cost, never_answers: hangs, reply: act } = costs(&ticket);
     if hangs {
         drop(place);
         drop(std::future::poll_fn(|cx| respond.poll_reset(cx)).await);
@@ -298,7 +303,7 @@
     }
     tokio::time::sleep(cost).await;
     drop(place);
-    let Act::Table(batches, dress) = act else { return None };
+    let ScriptedReply::Table(batches, dress) = act else { return None };
     let head = Response::builder().header("content-type", grpc::CONTENT_TYPE).body(()).ok()?;
     let mut stream = respond.send_response(head, false).ok()?;
     for piece in messages_of(&batches, dress) {
--- a/crates/testkit/src/inner.rs
+++ b/crates/testkit/src/core_scenario.rs
@@ -9,11 +9,11 @@
 use mallowgauge_router::{BackendId, Endpoint, EndpointState, EndpointUpdate, Outcome, ShardId};
 use mallowgauge_settings::Site;
 
-use super::{settings, transcript, HOSTS};
+use super::{settings, transcript, BACKENDS};
 
 const START: u64 = 1_000_000;
 
-struct Inner {
+struct CoreScenario {
     core: Core,
     now: u64,
     clients: BTreeMap<ResponseHandle, String>,
@@ -36,7 +36,7 @@
     }
 }
 
-impl Inner {
+impl CoreScenario {
     fn run(&mut self, until: u64) {
         while let Some(due) = self.core.poll_timeout().filter(|&due| due <= until) {
             self.now = self.now.max(due);
@@ -106,12 +106,12 @@
 }
 
 /// Plays a scenario against the core.
-pub fn inside(scenario: &str) -> String {
+pub fn play_in_core(scenario: &str) -> String {
     let site = Site::read(&settings()).expect("settings");
     let core = Core::new(0, site.settings, site.classes, CoreLimits { max_open: 20, shards: 10 })
         .expect("sound settings");
     let (clients, out, seen) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
-    let mut inner = Inner { core, now: START, clients, out, seen };
+    let mut scenario_player = CoreScenario { core, now: START, clients, out, seen };
     let entry = |i: usize| {
         let (server, cell) = (BackendId(i as u32), i as u32);
         Endpoint {
@@ -122,7 +122,7 @@
             zone: None,
         }
     };
-    inner.core.endpoint_update(EndpointUpdate::CachedSnapshot((0..HOSTS).map(entry).collect()));
-    inner.run(START);
-    transcript(scenario, |line| inner.step(line))
+    scenario_player.core.endpoint_update(EndpointUpdate::CachedSnapshot((0..BACKENDS).map(entry).collect()));
+    scenario_player.run(START);
+    transcript(scenario, |line| scenario_player.step(line))
 }
--- a/crates/testkit/src/demo.rs
+++ b/crates/testkit/src/demo.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use mallowgauge_testkit::{columns, Cluster};
-use mallowgauge_testkit::{config, flight, plain, Event, Program, Query, Reply, HOSTS};
+use mallowgauge_testkit::{columns, Deployment};
+use mallowgauge_testkit::{config, flight, stand_ins, BackendReply, Event, Program, Query, BACKENDS};
 use serde_json::json;
 
 /// Answers every part until the client's answer has come.
@@ -15,9 +15,9 @@
         match events.recv_timeout(Duration::from_secs(20)).expect("the program answers") {
             Event::Part(host, shard, reply) => {
                 println!("  host s-{host} has got the part for shard {shard} and answers it");
-                reply(Reply::End("good".to_owned(), format!("listing-{shard}")));
+                reply(BackendReply::Outcome("good".to_owned(), format!("listing-{shard}")));
             }
-            Event::Answer(_, text) => return text,
+            Event::Response(_, text) => return text,
             _ => {}
         }
     }
@@ -28,11 +28,11 @@
 fn run(words: &[String]) {
     let script: columns::Script = Arc::new(|_, ticket, _| {
         let shard = ticket["range"].as_u64().unwrap_or_default() as u32;
-        columns::Act::Table(vec![columns::listings(shard, 100)], columns::Dress::default())
+        columns::ScriptedReply::Table(vec![columns::listings(shard, 100)], columns::TableEncoding::default())
     });
-    let cluster = Cluster::start(script, json!({}), |_| {});
+    let cluster = Deployment::start(script, json!({}), |_| {});
     let addr = cluster.program.flight.to_string();
-    println!("Flight on {addr}; {HOSTS} stand-in hosts answer with tables of listings");
+    println!("Flight on {addr}; {BACKENDS} stand-in hosts answer with tables of listings");
     let words: Vec<String> = words.iter().map(|word| word.replace("ADDR", &addr)).collect();
     let status = std::process::Command::new(&words[0]).args(&words[1..]).status().expect("a program");
     assert!(status.success(), "{words:?}: {status}");
@@ -44,12 +44,13 @@
         return run(&words);
     }
     let (sender, events) = channel();
-    let frames: Vec<_> = (0..HOSTS - 1).map(|i| plain::host(i, sender.clone(), false)).collect();
+    let frames: Vec<_> =
+        (0..BACKENDS - 1).map(|i| stand_ins::frame_backend(i, sender.clone(), false)).collect();
     // The last host offers Flight, the others speak the platform's frames.
-    let last = flight::host(HOSTS - 1, sender.clone(), std::sync::Arc::default());
+    let last = flight::backend(BACKENDS - 1, sender.clone(), std::sync::Arc::default());
     let hosts: Vec<_> = frames.into_iter().chain([last]).collect();
-    let roster = plain::Roster::start();
-    let operator = json!({"flight": {"listen": "127.0.0.1:0", "hosts": [format!("s-{}", HOSTS - 1)]}});
+    let roster = stand_ins::DiscoveryStandIn::start();
+    let operator = json!({"flight": {"listen": "127.0.0.1:0", "hosts": [format!("s-{}", BACKENDS - 1)]}});
     let program = Program::start(&config(&hosts, roster.addr), &operator, 1024);
     println!(
         "the program is process {}: HTTP on {}, Flight on {}",
@@ -62,20 +63,20 @@
     let query = |id: &str| Query {
         id: id.to_owned(),
         kind: "search".to_owned(),
-        ms: 3000,
+        deadline_ms: 3000,
         body: json!({"ranges": [{"range": 0, "portion": 0.25}, {"range": 1, "portion": 0.25},
                                 {"range": 2, "portion": 0.25}, {"range": 3, "portion": 0.25}],
                      "predicate": "c41e77d0"}),
     };
     let answer = |sender: &Sender<Event>| {
         let sender = sender.clone();
-        move |text| drop(sender.send(Event::Answer("client".to_owned(), text)))
+        move |text| drop(sender.send(Event::Response("client".to_owned(), text)))
     };
     println!("\na search of four parts over HTTP:\n  {}", query("demo-http").body);
-    let _client = plain::ask(program.http, query("demo-http"), answer(&sender));
+    let _client = stand_ins::send_query(program.http, query("demo-http"), answer(&sender));
     println!("  answer: {}", settle(&events));
     println!("\nthe same over Arrow Flight, GetFlightInfo and DoGet:");
-    let _client = flight::ask(program.flight, query("demo-flight"), answer(&sender));
+    let _client = flight::send_query(program.flight, query("demo-flight"), answer(&sender));
     println!("  answer: {}", settle(&events));
 
     program.signal(libc::SIGTERM);
--- a/crates/testkit/src/trial/hosts.rs
+++ b/crates/testkit/src/fault_injection/backends.rs
@@ -10,30 +10,34 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-use super::{held, rules::Run, Notebook};
+use super::{lock_ignoring_poison, rules::ReceivedPart, Recorder};
 
 /// How a host behaves.
 #[derive(Clone, Copy, Debug)]
-pub struct Manner {
+pub struct BackendBehavior {
     /// How long a part takes.
-    pub work: Duration,
+    pub service_time: Duration,
     /// It takes nothing new.
     pub draining: bool,
     /// It runs a part for each one that it was sent, and one more: a planted fault, for the rule's own test.
-    pub doubles: bool,
+    pub executes_twice: bool,
 }
 
 /// A host.
-pub struct Host {
+pub struct RecordingBackend {
     pub addresses: Vec<SocketAddr>,
-    manner: Arc<Mutex<Manner>>,
+    manner: Arc<Mutex<BackendBehavior>>,
 }
 
-impl Host {
+impl RecordingBackend {
     /// The host of that number, for these processes.
-    pub async fn start(number: usize, processes: &[String], notes: &Notebook) -> io::Result<Self> {
+    pub async fn start(number: usize, processes: &[String], notes: &Recorder) -> io::Result<Self> {
         let work = Duration::from_millis(2);
-        let manner = Arc::new(Mutex::new(Manner { work, draining: false, doubles: false }));
+        let manner = Arc::new(Mutex::new(BackendBehavior {
+            service_time: work,
+            draining: false,
+            executes_twice: false,
+        }));
         let mut addresses = Vec::new();
         for process in processes {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
@@ -49,8 +53,8 @@
         Ok(Self { addresses, manner })
     }
 
-    pub fn change(&self, change: impl FnOnce(&mut Manner)) {
-        change(&mut held(&self.manner));
+    pub fn update(&self, change: impl FnOnce(&mut BackendBehavior)) {
+        change(&mut lock_ignoring_poison(&self.manner));
     }
 }
 
@@ -63,8 +67,8 @@
     socket: TcpStream,
     number: usize,
     process: String,
-    notes: Notebook,
-    manner: Arc<Mutex<Manner>>,
+    notes: Recorder,
+    manner: Arc<Mutex<BackendBehavior>>,
 ) -> io::Result<()> {
     socket.set_nodelay(true)?;
     let (mut from, mut to) = socket.into_split();
@@ -92,19 +96,25 @@
             let [id, shard, _, length] = words[..] else { return Ok(()) };
             let (Ok(shard), Ok(length)) = (shard.parse(), length.parse::<usize>()) else { return Ok(()) };
             text = after.get(length..).unwrap_or_default();
-            let manner = *held(&manner);
+            let manner = *lock_ignoring_poison(&manner);
             let query = id.rsplit_once('.').map_or(id, |(query, _)| query).to_owned();
             if manner.draining {
                 let _ = answers.send(frame(b'q', &format!("{id} later 0 -\n")));
             }
-            let run = Run { at: notes.now(), process: process.clone(), host: number, id: query, shard };
-            let times = usize::from(manner.doubles) + 1;
-            notes.history().runs.extend(std::iter::repeat_n(run, times));
+            let run = ReceivedPart {
+                at: notes.now(),
+                instance: process.clone(),
+                backend: number,
+                id: query,
+                shard,
+            };
+            let times = usize::from(manner.executes_twice) + 1;
+            notes.history().received_parts.extend(std::iter::repeat_n(run, times));
             if !manner.draining {
                 let answer = frame(b'q', &format!("{id} good 0 util=0.1\nvalue-{shard}"));
                 let answers = answers.clone();
                 tokio::spawn(async move {
-                    tokio::time::sleep(manner.work).await;
+                    tokio::time::sleep(manner.service_time).await;
                     let _ = answers.send(answer);
                 });
             }
--- a/crates/testkit/src/trial/clients.rs
+++ b/crates/testkit/src/fault_injection/clients.rs
@@ -7,9 +7,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use super::rules::{Asked, End};
-use super::Notebook;
-use crate::{plain, Query};
+use super::rules::{ClientResult, RecordedQuery};
+use super::Recorder;
+use crate::{stand_ins, Query};
 
 /// What is asked, one after the other.
 pub fn query(id: String, number: u64, wait: u64) -> (Query, bool) {
@@ -21,37 +21,44 @@
     let share = 1.0 / shards.len() as f64;
     let ranges: Vec<_> = shards.iter().map(|shard| json!({"range": shard, "portion": share})).collect();
     let body = json!({"ranges": ranges, "predicate": "c41e77d0"});
-    (Query { id, kind: kind.to_owned(), ms: wait / 1000, body }, kind == "place-hold")
+    (Query { id, kind: kind.to_owned(), deadline_ms: wait / 1000, body }, kind == "place-hold")
 }
 
 /// Asks one query and writes down what came of it.
 ///
 /// The status, if a whole response came.
-pub async fn ask(
+pub async fn send_query(
     addr: SocketAddr,
     process: String,
     query: Query,
     effect: bool,
-    notes: Notebook,
+    notes: Recorder,
 ) -> Option<u16> {
-    ask_as(addr, process, query, (effect, false), notes).await
+    send_query_marked(addr, process, query, (effect, false), notes).await
 }
 
 /// The same, marked as a further try if it is one.
-pub async fn ask_as(
+pub async fn send_query_marked(
     addr: SocketAddr,
     process: String,
     query: Query,
     (effect, again): (bool, bool),
-    notes: Notebook,
+    notes: Recorder,
 ) -> Option<u16> {
-    let (at, wait) = (notes.now(), query.ms * 1000);
-    let asked =
-        Asked { id: query.id.clone(), effect, process, at, wait, ends: Vec::new(), said: String::new() };
+    let (at, wait) = (notes.now(), query.deadline_ms * 1000);
+    let asked = RecordedQuery {
+        id: query.id.clone(),
+        non_idempotent: effect,
+        instance: process,
+        at,
+        timeout: wait,
+        results: Vec::new(),
+        response_body: String::new(),
+    };
     let place = {
         let mut history = notes.history();
-        history.asked.push(asked);
-        history.asked.len() - 1
+        history.queries.push(asked);
+        history.queries.len() - 1
     };
     // Far beyond any verdict: an answer that comes then is late by the rules.
     let patience = Duration::from_micros(wait) + Duration::from_secs(30);
@@ -59,27 +66,27 @@
     let (ends, said) = tokio::time::timeout(patience, exchange).await.unwrap_or_default();
     let now = notes.now();
     let status = match ends[..] {
-        [End::Answer(status)] => Some(status),
+        [ClientResult::Answer(status)] => Some(status),
         _ => None,
     };
-    let asked = &mut notes.history().asked[place];
-    (asked.ends, asked.said) = (ends.into_iter().map(|end| (now, end)).collect(), said);
+    let asked = &mut notes.history().queries[place];
+    (asked.results, asked.response_body) = (ends.into_iter().map(|end| (now, end)).collect(), said);
     status
 }
 
-async fn exchange(addr: SocketAddr, query: &Query, again: bool) -> (Vec<End>, String) {
+async fn exchange(addr: SocketAddr, query: &Query, again: bool) -> (Vec<ClientResult>, String) {
     let mut text = Vec::new();
     let read = async {
         let mut socket = TcpStream::connect(addr).await?;
         let mark = if again { "Req-Retry: 1\r\nContent-Length" } else { "Content-Length" };
-        let request = plain::request(query).replacen("Content-Length", mark, 1);
+        let request = stand_ins::http_request(query).replacen("Content-Length", mark, 1);
         socket.write_all(request.as_bytes()).await?;
         socket.read_to_end(&mut text).await
     };
     let broken = read.await.err();
-    let mut ends = responses(&text);
+    let mut ends = parse_responses(&text);
     if let (true, Some(e)) = (ends.is_empty(), broken) {
-        ends.push(End::Broken(e.to_string()));
+        ends.push(ClientResult::Broken(e.to_string()));
     }
     let text = String::from_utf8_lossy(&text);
     let said = text.split_once("\r\n\r\n").map_or(String::new(), |(_, body)| body.to_owned());
@@ -87,7 +94,7 @@
 }
 
 /// The whole responses in what a connection gave, and what is left over.
-pub fn responses(bytes: &[u8]) -> Vec<End> {
+pub fn parse_responses(bytes: &[u8]) -> Vec<ClientResult> {
     let mut rest = String::from_utf8_lossy(bytes).into_owned();
     let mut ends = Vec::new();
     while !rest.is_empty() {
@@ -98,10 +105,10 @@
             Some((status, body.get(length..)?.to_owned()))
         });
         let Some((status, after)) = whole else {
-            ends.push(End::Broken(format!("{} bytes that are no whole response", rest.len())));
+            ends.push(ClientResult::Broken(format!("{} bytes that are no whole response", rest.len())));
             break;
         };
-        ends.push(End::Answer(status));
+        ends.push(ClientResult::Answer(status));
         rest = after;
     }
     ends
--- a/crates/testkit/src/trial/discovery.rs
+++ b/crates/testkit/src/fault_injection/discovery.rs
@@ -10,25 +10,25 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use super::{held, Notebook};
+use super::{lock_ignoring_poison, Recorder};
 
 /// A host, as discovery knows it.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct KnownBackend {
     /// Its address for each process.
     pub addresses: Vec<SocketAddr>,
     pub state: &'static str,
     /// Its last start, in milliseconds of Unix time; 0 for long ago.
-    pub started: u64,
+    pub started_at_ms: u64,
 }
 
 /// What is told.
 #[derive(Clone, Debug, Default)]
 pub struct State {
-    pub hosts: Vec<Known>,
+    pub backends: Vec<KnownBackend>,
     pub down: bool,
     /// Changes are written down as told and not told: a planted fault, for the rules' own tests.
-    pub mute: bool,
+    pub suppress_updates: bool,
     generation: u64,
 }
 
@@ -40,19 +40,19 @@
 }
 
 /// The list as one process gets it.
-pub fn list(state: &State, process: usize) -> Value {
-    let instance = |(at, host): (usize, &Known)| {
+pub fn endpoint_list(state: &State, process: usize) -> Value {
+    let instance = |(at, host): (usize, &KnownBackend)| {
         json!({"instanceId": format!("s-{at}"), "hostPort": host.addresses[process].to_string(),
                "zone": "regina-dc1", "machineType": "m2", "cell": at, "lifecycle": host.state,
-               "weight": 1.0, "startedAtMs": host.started})
+               "weight": 1.0, "startedAtMs": host.started_at_ms})
     };
-    let instances: Vec<Value> = state.hosts.iter().enumerate().map(instance).collect();
+    let instances: Vec<Value> = state.backends.iter().enumerate().map(instance).collect();
     json!({"generation": state.generation, "reset": true, "instances": instances})
 }
 
 impl Discovery {
-    pub async fn start(processes: &[String], hosts: Vec<Known>, notes: &Notebook) -> io::Result<Self> {
-        let state = State { hosts, generation: 1, ..State::default() };
+    pub async fn start(processes: &[String], hosts: Vec<KnownBackend>, notes: &Recorder) -> io::Result<Self> {
+        let state = State { backends: hosts, generation: 1, ..State::default() };
         let state = Arc::new(Mutex::new(state));
         let (changed, watching) = watch::channel(1);
         let mut addresses = Vec::new();
@@ -63,7 +63,7 @@
             let (notes, process) = (notes.clone(), process.clone());
             tokio::spawn(async move {
                 while let Ok((socket, _)) = listener.accept().await {
-                    let teller = Teller {
+                    let teller = DiscoveryConnection {
                         at,
                         process: process.clone(),
                         state: state.clone(),
@@ -78,12 +78,12 @@
     }
 
     pub fn state(&self) -> State {
-        held(&self.state).clone()
+        lock_ignoring_poison(&self.state).clone()
     }
 
-    pub fn change(&self, change: impl FnOnce(&mut State)) {
+    pub fn update(&self, change: impl FnOnce(&mut State)) {
         let generation = {
-            let mut state = held(&self.state);
+            let mut state = lock_ignoring_poison(&self.state);
             change(&mut state);
             state.generation += 1;
             state.generation
@@ -93,15 +93,15 @@
 }
 
 /// One connection.
-struct Teller {
+struct DiscoveryConnection {
     at: usize,
     process: String,
     state: Arc<Mutex<State>>,
-    notes: Notebook,
+    notes: Recorder,
     watching: watch::Receiver<u64>,
 }
 
-impl Teller {
+impl DiscoveryConnection {
     async fn serve(mut self, socket: TcpStream) -> io::Result<()> {
         let (from, mut to) = socket.into_split();
         let mut lines = BufReader::new(from).lines();
@@ -114,21 +114,21 @@
                 let news = self.watching.wait_for(|generation| *generation > index);
                 let _ = tokio::time::timeout(Duration::from_secs(10), news).await;
             }
-            let state = held(&self.state).clone();
+            let state = lock_ignoring_poison(&self.state).clone();
             if state.down {
                 return Ok(());
             }
-            for (host, _) in state.hosts.iter().enumerate().filter(|(_, host)| host.state == "leaving") {
+            for (host, _) in state.backends.iter().enumerate().filter(|(_, host)| host.state == "leaving") {
                 if !drains.contains(&host) {
                     drains.push(host);
                     self.notes.history().drains.push((self.notes.now(), self.process.clone(), host));
                 }
             }
             let mut told = state;
-            if told.mute {
-                told.hosts.iter_mut().for_each(|host| (host.state, host.started) = ("active", 0));
+            if told.suppress_updates {
+                told.backends.iter_mut().for_each(|host| (host.state, host.started_at_ms) = ("active", 0));
             }
-            let body = list(&told, self.at).to_string();
+            let body = endpoint_list(&told, self.at).to_string();
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
             to.write_all((head + &body).as_bytes()).await?;
         }
--- a/crates/testkit/src/trial/strangers.rs
+++ b/crates/testkit/src/fault_injection/misbehaving_peers.rs
@@ -13,7 +13,8 @@
 /// What a stranger does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Act {
+#[schemars(rename = "Act")]
+pub enum Misbehavior {
     /// Half a message, then silence.
     Half,
     /// A message of 1 GB is announced.
@@ -85,18 +86,18 @@
 
 /// In whose name a stranger comes.
 #[derive(Clone, Debug)]
-pub struct Guise {
+pub struct PeerIdentity {
     /// The names of the list that the process has, in its order.
     pub names: Vec<String>,
     /// Its version.
-    pub list: u64,
+    pub list_version: u64,
     /// The name that a sound hello says.
     pub name: String,
     /// The name of the process itself.
-    pub other: String,
+    pub target_name: String,
 }
 
-impl Guise {
+impl PeerIdentity {
     fn hello(&self, major: u32, name: &str) -> Vec<u8> {
         let bytes = self.names.iter().flat_map(|name| name.bytes().chain([0]));
         let digest = bytes.fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
@@ -104,30 +105,35 @@
         });
         // A later life than the one that the others know, so that it is taken.
         let own = Some(Life { number: 50, nonce: 7 });
-        let hello = Some(Hello { major, name: name.to_owned(), list: self.list, digest, own });
+        let hello = Some(Hello { major, name: name.to_owned(), list: self.list_version, digest, own });
         framed(&First { hello }.encode_to_vec())
     }
 }
 
 /// Plays it for so long at most, and says how many bytes came back before the other side closed; `None` if it
 /// did not close.
-pub async fn play(addr: SocketAddr, act: Act, guise: &Guise, most: Duration) -> io::Result<Option<usize>> {
+pub async fn run(
+    addr: SocketAddr,
+    act: Misbehavior,
+    guise: &PeerIdentity,
+    most: Duration,
+) -> io::Result<Option<usize>> {
     let mut socket = TcpStream::connect(addr).await?;
     // What is not read fills little.
     socket2::SockRef::from(&socket).set_recv_buffer_size(4096)?;
     let question = |seq| framed(&Ping { ping: Some(Question { seq }) }.encode_to_vec());
     let sound = guise.hello(1, &guise.name);
     let first = match act {
-        Act::Half => sound[..sound.len() - 3].to_vec(),
-        Act::Huge => 0x4000_0000_u32.to_be_bytes().to_vec(),
-        Act::Garbage => framed(&[0xff; 64]),
-        Act::Version => guise.hello(9, &guise.name),
-        Act::Unlisted => guise.hello(1, "nobody"),
-        Act::Namesake => guise.hello(1, &guise.other),
-        Act::Silent => Vec::new(),
+        Misbehavior::Half => sound[..sound.len() - 3].to_vec(),
+        Misbehavior::Huge => 0x4000_0000_u32.to_be_bytes().to_vec(),
+        Misbehavior::Garbage => framed(&[0xff; 64]),
+        Misbehavior::Version => guise.hello(9, &guise.name),
+        Misbehavior::Unlisted => guise.hello(1, "nobody"),
+        Misbehavior::Namesake => guise.hello(1, &guise.target_name),
+        Misbehavior::Silent => Vec::new(),
         // Field 99, of bytes: no kind of today's.
-        Act::UnknownKinds => [sound, framed(&[0x9a, 0x06, 1, 0]).repeat(100)].concat(),
-        Act::Flood | Act::Deaf | Act::Unread => sound,
+        Misbehavior::UnknownKinds => [sound, framed(&[0x9a, 0x06, 1, 0]).repeat(100)].concat(),
+        Misbehavior::Flood | Misbehavior::Deaf | Misbehavior::Unread => sound,
     };
     socket.write_all(&first).await?;
     let play = async {
@@ -141,15 +147,15 @@
                 .collect()
         };
         match act {
-            Act::Deaf => loop {
+            Misbehavior::Deaf => loop {
                 socket.write_all(&many(&mut seq)).await?;
             },
-            Act::Unread => loop {
+            Misbehavior::Unread => loop {
                 // All of it is taken at once, so that nothing but the answers stands still.
                 socket.write_all(&many(&mut seq)).await?;
                 tokio::time::sleep(Duration::from_millis(100)).await;
             },
-            Act::Flood => {
+            Misbehavior::Flood => {
                 let (mut from, mut to) = socket.split();
                 let flood = async {
                     loop {
