--- a/crates/testkit/src/trial/relay.rs
+++ b/crates/testkit/src/fault_injection/relay.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::Instant;
 
-use super::held;
+use super::lock_ignoring_poison;
 
 /// What a relay does to what goes one way. All of it is off where nothing is said.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
@@ -63,12 +63,12 @@
 
 impl Flow {
     fn fault(&self) -> Fault {
-        held(&self.fault).clone()
+        lock_ignoring_poison(&self.fault).clone()
     }
 
     /// How many bytes come through before the connection is reset.
     fn until_reset(&self) -> Option<u64> {
-        held(&self.fault).reset_at
+        lock_ignoring_poison(&self.fault).reset_at
     }
 
     async fn opened(&self) {
@@ -109,7 +109,7 @@
                 let mut number = seed;
                 while let Ok((socket, _)) = listener.accept().await {
                     number = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
-                    let target = held(&targets).get(&to).copied();
+                    let target = lock_ignoring_poison(&targets).get(&to).copied();
                     tokio::spawn(join(socket, target, there.clone(), back.clone(), number));
                 }
             });
@@ -123,14 +123,14 @@
     }
 
     /// Where a process listens now.
-    pub fn target(&self, process: usize, addr: SocketAddr) {
-        held(&self.targets).insert(process, addr);
+    pub fn set_target(&self, process: usize, addr: SocketAddr) {
+        lock_ignoring_poison(&self.targets).insert(process, addr);
     }
 
     /// Sets what happens to what goes one way.
-    pub fn set(&self, from: usize, to: usize, fault: &Fault) {
+    pub fn set_fault(&self, from: usize, to: usize, fault: &Fault) {
         if let Some(flow) = self.flows.get(&(from, to)) {
-            *held(&flow.fault) = fault.clone();
+            *lock_ignoring_poison(&flow.fault) = fault.clone();
             flow.changed.notify_waiters();
         }
     }
@@ -138,7 +138,7 @@
     /// No faults any more.
     pub fn heal(&self) {
         for &(from, to) in self.flows.keys() {
-            self.set(from, to, &Fault::default());
+            self.set_fault(from, to, &Fault::default());
         }
     }
 
@@ -265,7 +265,7 @@
         }
         done += part.len() as u64;
         if part.len() < message.len() || armed == Some(done) {
-            held(&flow.fault).reset_at = None;
+            lock_ignoring_poison(&flow.fault).reset_at = None;
             return;
         }
         let rate = flow.fault().bytes_a_second;
--- a/crates/testkit/src/flight.rs
+++ b/crates/testkit/src/flight.rs
@@ -20,7 +20,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::unbounded_channel;
 
-use super::{plain, Event, Query, Reply};
+use super::{stand_ins, BackendReply, Event, Query};
 
 pub(crate) fn run(task: impl std::future::Future + Send + 'static) {
     std::thread::spawn(move || {
@@ -42,7 +42,7 @@
 }
 
 /// A host that offers Flight.
-pub fn host(number: usize, events: Sender<Event>, away: Arc<Mutex<Option<u32>>>) -> SocketAddr {
+pub fn backend(number: usize, events: Sender<Event>, away: Arc<Mutex<Option<u32>>>) -> SocketAddr {
     listen(move |socket| {
         let events = events.clone();
         if let Some(last) = away.lock().expect("a sound lock").take() {
@@ -54,7 +54,7 @@
             while let Some(Ok((request, respond))) = connection.accept().await {
                 tokio::task::spawn_local(do_get(number, request, respond, events.clone()));
             }
-            events.send(Event::Closed).ok()
+            events.send(Event::ConnectionClosed).ok()
         });
     })
 }
@@ -120,26 +120,26 @@
         _ = std::future::poll_fn(|cx| respond.poll_reset(cx)) => None,
     };
     let Some(reply) = reply else { return drop(events.send(Event::Cancel(shard))) };
-    if matches!(&reply, Reply::End(end, _) if end == "refused") {
+    if matches!(&reply, BackendReply::Outcome(end, _) if end == "refused") {
         return respond.send_reset(Reason::REFUSED_STREAM);
     }
     let response = Response::builder().header("content-type", "application/grpc").body(());
     let mut stream = respond.send_response(response.expect("a head"), false).expect("a stream");
     let rows = match reply {
-        Reply::End(end, _) if end == "nonsense" => {
+        BackendReply::Outcome(end, _) if end == "nonsense" => {
             let data_header = Bytes::from_static(b"no flatbuffer");
             let message = FlightData { data_header, ..FlightData::default() };
             return stream.send_data(frame(&message).into(), true).expect("room");
         }
-        Reply::End(end, _) if end == "half" => {
+        BackendReply::Outcome(end, _) if end == "half" => {
             let half = table(&[(shard, "good".to_owned(), "half".to_owned())]);
             stream.send_data(half[..half.len() - 1].to_vec().into(), false).expect("room");
             drop(std::future::poll_fn(|cx| stream.poll_reset(cx)).await);
             return;
         }
-        Reply::End(end, value) if end == "stray" => [(shard + 1, "good".to_owned(), value)],
-        Reply::End(end, value) => [(shard, end, value)],
-        Reply::Cut => {
+        BackendReply::Outcome(end, value) if end == "stray" => [(shard + 1, "good".to_owned(), value)],
+        BackendReply::Outcome(end, value) => [(shard, end, value)],
+        BackendReply::Disconnect => {
             // An answer that looks good, and then the stream breaks off.
             let half = table(&[(shard, "good".to_owned(), "half".to_owned())]);
             stream.send_data(half.into(), false).expect("room");
@@ -176,7 +176,11 @@
 }
 
 /// A Flight client; the returned call makes it go away.
-pub fn ask(addr: SocketAddr, query: Query, answer: impl Fn(String) + Send + 'static) -> Box<dyn FnOnce()> {
+pub fn send_query(
+    addr: SocketAddr,
+    query: Query,
+    answer: impl Fn(String) + Send + 'static,
+) -> Box<dyn FnOnce()> {
     let (closer, mut closed) = unbounded_channel::<()>();
     run(async move {
         tokio::select! {
@@ -198,7 +202,7 @@
     let call = |method: &str, message: Vec<u8>| {
         let request = Request::post(format!("http://{addr}{SERVICE}{method}"))
             .header("content-type", "application/grpc")
-            .header("grpc-timeout", write_timeout(query.ms * 1000))
+            .header("grpc-timeout", write_timeout(query.deadline_ms * 1000))
             .body(())
             .expect("a request");
         let sent = sender.lock().expect("a sound lock").send_request(request, false);
@@ -258,5 +262,5 @@
         let row = |(range, blob)| json!({"range": range, "blob": blob});
         answers.extend(ranges.iter().zip(blobs.iter()).map(row));
     }
-    plain::body(&json!({"total": total, "answers": answers}))
+    stand_ins::describe_body(&json!({"total": total, "answers": answers}))
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -39,13 +39,13 @@
 #![allow(missing_docs)] // The language above is the documentation
 
 pub mod columns;
+pub mod core_scenario;
+pub mod fault_injection;
 pub mod flight;
-pub mod hand;
-pub mod inner;
-pub mod plain;
-pub mod raw;
+pub mod manual_peers;
+pub mod raw_http2;
+pub mod stand_ins;
 pub mod tls;
-pub mod trial;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -59,31 +59,31 @@
 use serde_json::{json, Value};
 
 /// Longer than any step may take on a slow machine; only a failing test waits for it.
-const PATIENCE: Duration = Duration::from_secs(20);
-pub const HOSTS: usize = 3;
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+pub const BACKENDS: usize = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wire {
+pub enum Protocol {
     Http,
     Flight,
     /// As Flight, but the first connection to any host ends with a GOAWAY that names this stream as the
     /// last one that the host has looked at.
-    Away(u32),
+    FlightGoAway(u32),
 }
 
 /// What a host does about a part.
 #[derive(Clone, Debug)]
-pub enum Reply {
-    End(String, String),
-    Cut,
+pub enum BackendReply {
+    Outcome(String, String),
+    Disconnect,
 }
 
 pub enum Event {
-    Part(usize, u32, Box<dyn Fn(Reply) + Send>),
+    Part(usize, u32, Box<dyn Fn(BackendReply) + Send>),
     Cancel(u32),
-    Closed,
-    Probe(Box<dyn Fn() + Send>),
-    Answer(String, String),
+    ConnectionClosed,
+    HealthCheck(Box<dyn Fn() + Send>),
+    Response(String, String),
 }
 
 /// A client's query.
@@ -91,7 +91,7 @@
 pub struct Query {
     pub id: String,
     pub kind: String,
-    pub ms: u64,
+    pub deadline_ms: u64,
     pub body: Value,
 }
 
@@ -115,7 +115,7 @@
                     class("sales-report", "free", 0.1)],
         "FamilyInfo": {"ClassFloor": [1.0, 1.0, 0.8], "ClassPartial": [0.9, 0.9, 0.9],
             "CompleteFrom": [1.0, 1.0, 1.0], "FollowUp": [0, 0, 0], "OverheadUs": 48000,
-            "PartsACall": 16, "Places": HOSTS, "Shards": 10, "Width": HOSTS},
+            "PartsACall": 16, "Places": BACKENDS, "Shards": 10, "Width": BACKENDS},
         "Limits": {"Cancel": true, "ConnIdleUs": 1_000_000, "DialTimeoutUs": 250_000, "MaxAttempts": 3,
             "MaxOpen": 20, "MaxRetryAfterUs": 2_000_000, "MaxStreams": 32, "Probing": true,
             "RetryAfter": true, "SecondCopies": true},
@@ -125,7 +125,7 @@
 }
 
 pub fn config(hosts: &[SocketAddr], discovery: SocketAddr) -> Value {
-    let instance = |(i, addr): (usize, &SocketAddr)| plain::instance(i, *addr, "active");
+    let instance = |(i, addr): (usize, &SocketAddr)| stand_ins::endpoint(i, *addr, "active");
     let known: Vec<Value> = hosts.iter().enumerate().map(instance).collect();
     json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
            "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -146,7 +146,7 @@
     let config = file("config", config);
     let child = Command::new("sh")
         .args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\" \"$1\"")])
-        .arg(program())
+        .arg(program_path())
         .arg(file("operator", operator))
         .env("RELAY_CONFIG", &config)
         .stdout(Stdio::piped())
@@ -156,7 +156,7 @@
 }
 
 /// The program under test: `MALLOWGAUGE` names it, or else it stands beside or above this one.
-pub fn program() -> PathBuf {
+pub fn program_path() -> PathBuf {
     let named = std::env::var_os("MALLOWGAUGE").map(PathBuf::from);
     named.unwrap_or_else(|| {
         let this = std::env::current_exe().expect("a path");
@@ -212,22 +212,22 @@
 }
 
 /// A program with hosts that play a script.
-pub struct Cluster {
+pub struct Deployment {
     pub program: Program,
-    pub runs: columns::Runs,
-    pub roster: plain::Roster,
-    pub hosts: Vec<SocketAddr>,
+    pub attempts: columns::AttemptCounts,
+    pub discovery: stand_ins::DiscoveryStandIn,
+    pub backends: Vec<SocketAddr>,
 }
 
-impl Cluster {
+impl Deployment {
     /// Starts it; `flight` is what the operator's file says beside `listen` and `hosts`, and `change` has the
     /// last word on the platform's file.
     pub fn start(script: columns::Script, flight: Value, change: impl FnOnce(&mut Value)) -> Self {
-        Self::secured(script, flight, None, change)
+        Self::start_with_tls(script, flight, None, change)
     }
 
     /// The same with hosts that speak TLS.
-    pub fn secured(
+    pub fn start_with_tls(
         script: columns::Script,
         flight: Value,
         tls: Option<Arc<rustls::ServerConfig>>,
@@ -237,56 +237,61 @@
         for (key, value) in flight.as_object().into_iter().flatten() {
             operator[key] = value.clone();
         }
-        Self::whole(script, operator, Value::Null, tls, change)
+        Self::start_with(script, operator, Value::Null, tls, change)
     }
 
-    fn whole(
+    fn start_with(
         script: columns::Script,
         flight: Value,
         phases: Value,
         tls: Option<Arc<rustls::ServerConfig>>,
         change: impl FnOnce(&mut Value),
     ) -> Self {
-        let runs = columns::Runs::default();
-        let host = |i| columns::host(i, Arc::clone(&script), Arc::clone(&runs), tls.clone());
-        let hosts: Vec<SocketAddr> = (0..HOSTS).map(host).collect();
-        let roster = plain::Roster::start();
-        let mut file = config(&hosts, roster.addr);
+        let attempts = columns::AttemptCounts::default();
+        let backend =
+            |i| columns::scripted_backend(i, Arc::clone(&script), Arc::clone(&attempts), tls.clone());
+        let backends: Vec<SocketAddr> = (0..BACKENDS).map(backend).collect();
+        let discovery = stand_ins::DiscoveryStandIn::start();
+        let mut file = config(&backends, discovery.addr);
         file["settings"]["Limits"]["MaxOpen"] = json!(400);
         change(&mut file);
         let program = Program::start(&file, &json!({"flight": flight, "phases": phases}), 1024);
-        Self { program, runs, roster, hosts }
+        Self { program, attempts, discovery, backends }
     }
 
     /// Starts it with queries in two phases.
-    pub fn phased(script: columns::Script, phases: Value) -> Self {
-        Self::whole(script, json!({"listen": "127.0.0.1:0", "hosts": "all"}), phases, None, |_| {})
+    pub fn start_two_phase(script: columns::Script, phases: Value) -> Self {
+        Self::start_with(script, json!({"listen": "127.0.0.1:0", "hosts": "all"}), phases, None, |_| {})
     }
 
     /// How often the parts of a query were run, by shard.
-    pub fn runs(&self, query: &str) -> Vec<(u32, u32)> {
-        let runs = self.runs.lock().expect("a sound lock");
-        runs.iter().filter(|((id, _), _)| id == query).map(|((_, shard), count)| (*shard, *count)).collect()
+    pub fn attempts_by_shard(&self, query: &str) -> Vec<(u32, u32)> {
+        let attempts = self.attempts.lock().expect("a sound lock");
+        attempts
+            .iter()
+            .filter(|((id, _), _)| id == query)
+            .map(|((_, shard), count)| (*shard, *count))
+            .collect()
     }
 
     /// Waits until the program has written such a line.
-    pub fn log(&self, text: &str) -> bool {
-        (0..PATIENCE.as_millis() / 10).any(|_| {
+    pub fn wait_for_log(&self, text: &str) -> bool {
+        (0..TEST_TIMEOUT.as_millis() / 10).any(|_| {
             std::thread::sleep(Duration::from_millis(10));
             self.program.log.lock().expect("a sound lock").iter().any(|line| line.contains(text))
         })
     }
 }
 
-struct World {
-    wire: Wire,
+struct ScenarioRunner {
+    wire: Protocol,
     program: Program,
-    roster: plain::Roster,
+    roster: stand_ins::DiscoveryStandIn,
     hosts: Vec<SocketAddr>,
     sender: Sender<Event>,
     events: Receiver<Event>,
     seen: Vec<Event>,
-    replies: BTreeMap<u32, Box<dyn Fn(Reply) + Send>>,
+    replies: BTreeMap<u32, Box<dyn Fn(BackendReply) + Send>>,
     runs: BTreeMap<u32, u32>,
     used: BTreeSet<usize>,
     clients: BTreeMap<String, Box<dyn FnOnce()>>,
@@ -296,17 +301,20 @@
     next: u32,
 }
 
-impl World {
-    fn new(wire: Wire, told: u32, descriptors: u32, probes: bool) -> Self {
+impl ScenarioRunner {
+    fn new(wire: Protocol, told: u32, descriptors: u32, probes: bool) -> Self {
         let (sender, events) = channel();
-        let away = Arc::new(Mutex::new(if let Wire::Away(last) = wire { Some(last) } else { None }));
+        let away =
+            Arc::new(Mutex::new(if let Protocol::FlightGoAway(last) = wire { Some(last) } else { None }));
         let host = |i| match wire {
-            Wire::Http => plain::host(i, sender.clone(), probes),
-            Wire::Flight | Wire::Away(_) => flight::host(i, sender.clone(), Arc::clone(&away)),
+            Protocol::Http => stand_ins::frame_backend(i, sender.clone(), probes),
+            Protocol::Flight | Protocol::FlightGoAway(_) => {
+                flight::backend(i, sender.clone(), Arc::clone(&away))
+            }
         };
-        let hosts: Vec<SocketAddr> = (0..HOSTS).map(host).collect();
-        let roster = plain::Roster::start();
-        let offers = if wire == Wire::Http { json!([]) } else { json!("all") };
+        let hosts: Vec<SocketAddr> = (0..BACKENDS).map(host).collect();
+        let roster = stand_ins::DiscoveryStandIn::start();
+        let offers = if wire == Protocol::Http { json!([]) } else { json!("all") };
         let operator = json!({"flight": {"listen": "127.0.0.1:0", "hosts": offers}});
         let mut file = config(&hosts, roster.addr);
         file["limits"]["sockets"] = json!(told);
@@ -339,7 +347,7 @@
             }
             at += 1;
             if at >= self.seen.len() {
-                let event = self.events.recv_timeout(PATIENCE).unwrap_or_else(|_| {
+                let event = self.events.recv_timeout(TEST_TIMEOUT).unwrap_or_else(|_| {
                     panic!("no {what}; log: {:#?}", self.program.log.lock().expect("a sound lock"))
                 });
                 if let Event::Part(host, shard, _) = &event {
@@ -359,16 +367,16 @@
             ["send", "part", _, end, ..] => {
                 let value = words.get(4).copied().unwrap_or_default();
                 let value = if value == "big" { "x".repeat(60_000) } else { value.to_owned() };
-                self.replies[&number(2)](Reply::End(end.to_owned(), value));
+                self.replies[&number(2)](BackendReply::Outcome(end.to_owned(), value));
             }
             ["send", "probe"] => self.probe.as_ref().expect("a probe")(),
             ["send", "roster", "fail"] => self.roster.fail(),
             ["send", "roster", _, state] => {
                 let host = number(2) as usize;
                 let nobody = "127.0.0.1:1".parse().expect("an address");
-                self.roster.tell(&match state {
-                    "dead" => plain::instance(host, nobody, "active"),
-                    state => plain::instance(host, self.hosts[host], state),
+                self.roster.publish(&match state {
+                    "dead" => stand_ins::endpoint(host, nobody, "active"),
+                    state => stand_ins::endpoint(host, self.hosts[host], state),
                 });
             }
             ["send", "raw", ..] => {
@@ -386,7 +394,7 @@
                 self.crowd.extend((0..number(2)).map(connect));
             }
             ["send", "reload", ..] => {
-                let fresh = plain::Roster::start();
+                let fresh = stand_ins::DiscoveryStandIn::start();
                 let file = match words.get(2) {
                     None => config(&self.hosts, fresh.addr).to_string(),
                     Some(_) => "{".to_owned(),
@@ -429,14 +437,16 @@
                 let query = Query {
                     id: format!("{:016x}", self.next),
                     kind: kind.to_owned(),
-                    ms: ms.parse().expect("a number"),
+                    deadline_ms: ms.parse().expect("a number"),
                     body: json!({"ranges": ranges, "predicate": "c41e77d0"}),
                 };
                 let (name, sender) = (name.to_owned(), self.sender.clone());
-                let answer = move |text: String| drop(sender.send(Event::Answer(name.clone(), text)));
+                let answer = move |text: String| drop(sender.send(Event::Response(name.clone(), text)));
                 let close = match self.wire {
-                    Wire::Http => plain::ask(self.program.http, query, answer),
-                    Wire::Flight | Wire::Away(_) => flight::ask(self.program.flight, query, answer),
+                    Protocol::Http => stand_ins::send_query(self.program.http, query, answer),
+                    Protocol::Flight | Protocol::FlightGoAway(_) => {
+                        flight::send_query(self.program.flight, query, answer)
+                    }
                 };
                 self.clients.insert(words[1].to_owned(), close);
             }
@@ -457,12 +467,12 @@
                 return Some(format!("runs {}: {}", words[2], self.runs.get(&number(2)).unwrap_or(&0)));
             }
             ["expect", "closed"] => {
-                self.event(line, |e| matches!(e, Event::Closed).then_some(()));
+                self.event(line, |e| matches!(e, Event::ConnectionClosed).then_some(()));
                 return Some("closed".to_owned());
             }
             ["expect", "probe"] => {
-                let pick = |e: &Event| matches!(e, Event::Probe(_)).then_some(());
-                if let (_, Event::Probe(reply)) = self.event(line, pick) {
+                let pick = |e: &Event| matches!(e, Event::HealthCheck(_)).then_some(());
+                if let (_, Event::HealthCheck(reply)) = self.event(line, pick) {
                     self.probe = Some(reply);
                 }
                 return Some("probe".to_owned());
@@ -470,7 +480,7 @@
             ["expect", "hosts"] => return Some(format!("hosts {:?}", self.used)),
             ["expect", "raw"] => {
                 let mut raw = self.raw.take().expect("raw bytes were sent");
-                raw.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+                raw.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
                 let mut text = String::new();
                 let mut byte = [0];
                 while !text.ends_with("\r\n\r\n") && raw.read_exact(&mut byte).is_ok() {
@@ -498,7 +508,7 @@
                 let text = line.split_once("log ").expect("a text").1;
                 let written =
                     || self.program.log.lock().expect("a sound lock").iter().any(|l| l.contains(text));
-                let tries = (0..PATIENCE.as_millis() / 20).any(|_| {
+                let tries = (0..TEST_TIMEOUT.as_millis() / 20).any(|_| {
                     std::thread::sleep(Duration::from_millis(20));
                     written()
                 });
@@ -507,13 +517,13 @@
             }
             ["expect", name] => {
                 let pick = |e: &Event| match e {
-                    Event::Answer(n, text) if n == name => Some(text.clone()),
+                    Event::Response(n, text) if n == name => Some(text.clone()),
                     _ => None,
                 };
                 return Some(format!("{name}: {}", self.event(line, pick).0));
             }
             ["close", "crowd"] => self.crowd.clear(),
-            ["close", "part", _] => self.replies[&number(2)](Reply::Cut),
+            ["close", "part", _] => self.replies[&number(2)](BackendReply::Disconnect),
             ["close", name] => self.clients.remove(name).expect("such a client")(),
             ["wait", _] => std::thread::sleep(Duration::from_millis(number(1).into())),
             _ => panic!("no such step: {line}"),
@@ -523,8 +533,8 @@
 }
 
 /// Plays a scenario on one wire and returns its transcript.
-pub fn play(wire: Wire, scenario: &str) -> String {
-    play_within(wire, 1024, 1024, scenario)
+pub fn play(wire: Protocol, scenario: &str) -> String {
+    play_with_descriptors(wire, 1024, 1024, scenario)
 }
 
 fn raw_bytes(line: &str, word: &str) -> Vec<u8> {
@@ -533,8 +543,8 @@
 }
 
 /// Plays a scenario with a program that is told so many descriptors and may hold so many.
-pub fn play_within(wire: Wire, told: u32, descriptors: u32, scenario: &str) -> String {
-    let mut world = World::new(wire, told, descriptors, scenario.contains("expect probe"));
+pub fn play_with_descriptors(wire: Protocol, told: u32, descriptors: u32, scenario: &str) -> String {
+    let mut world = ScenarioRunner::new(wire, told, descriptors, scenario.contains("expect probe"));
     transcript(scenario, |line| world.step(line))
 }
 
@@ -544,8 +554,8 @@
 }
 
 /// Plays a scenario on both wires; the transcripts have to be the same.
-pub fn both(scenario: &str) -> String {
-    let (http, flight) = (play(Wire::Http, scenario), play(Wire::Flight, scenario));
+pub fn play_on_both(scenario: &str) -> String {
+    let (http, flight) = (play(Protocol::Http, scenario), play(Protocol::Flight, scenario));
     assert_eq!(http, flight, "the wires differ");
     http
 }
--- a/crates/testkit/src/hand.rs
+++ b/crates/testkit/src/manual_peers.rs
@@ -7,11 +7,11 @@
 
 use serde_json::{json, Value};
 
-use crate::plain::instance;
-use crate::{config, Program, PATIENCE};
+use crate::stand_ins::endpoint;
+use crate::{config, Program, TEST_TIMEOUT};
 
 /// One end of a connection.
-pub struct Wire(pub TcpStream);
+pub struct Connection(pub TcpStream);
 
 /// A listener on a free port.
 pub fn listener() -> TcpListener {
@@ -19,17 +19,17 @@
 }
 
 /// The next connection that the program opens to this listener.
-pub fn accept(listener: &TcpListener) -> Wire {
-    accept_within(listener, PATIENCE).expect("the program connects")
+pub fn accept(listener: &TcpListener) -> Connection {
+    accept_within(listener, TEST_TIMEOUT).expect("the program connects")
 }
 
 /// The next connection, if one comes within that time.
-pub fn accept_within(listener: &TcpListener, time: Duration) -> Option<Wire> {
+pub fn accept_within(listener: &TcpListener, time: Duration) -> Option<Connection> {
     listener.set_nonblocking(true).expect("a listener");
     let until = Instant::now() + time;
     while Instant::now() < until {
         match listener.accept() {
-            Ok((socket, _)) => return Some(Wire::of(socket)),
+            Ok((socket, _)) => return Some(Connection::of(socket)),
             Err(e) if e.kind() == ErrorKind::WouldBlock => std::thread::sleep(Duration::from_millis(2)),
             Err(e) => panic!("accepting: {e}"),
         }
@@ -37,16 +37,16 @@
     None
 }
 
-impl Wire {
+impl Connection {
     fn of(socket: TcpStream) -> Self {
         socket.set_nonblocking(false).expect("a socket");
         socket.set_nodelay(true).expect("a socket");
-        socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         Self(socket)
     }
 
     /// A client's connection.
-    pub fn dial(addr: SocketAddr) -> Self {
+    pub fn connect(addr: SocketAddr) -> Self {
         Self::of(TcpStream::connect(addr).expect("a connection"))
     }
 
@@ -54,7 +54,7 @@
         self.0.write_all(bytes.as_ref()).expect("the program reads");
     }
 
-    /// As [`Wire::send`] to a side that may close the connection before it has read everything: whether it did.
+    /// As [`Connection::send`] to a side that may close the connection before it has read everything: whether it did.
     pub fn send_until_closed(&mut self, bytes: impl AsRef<[u8]>) -> bool {
         match self.0.write_all(bytes.as_ref()) {
             Err(e) if matches!(e.kind(), ErrorKind::BrokenPipe | ErrorKind::ConnectionReset) => true,
@@ -67,11 +67,11 @@
 
     /// Reads up to and with the next empty line; panics if the connection ends before.
     pub fn head(&mut self) -> String {
-        self.try_head().expect("a whole head")
+        self.try_read_head().expect("a whole head")
     }
 
-    /// As [`Wire::head`]; `None` if the connection ends before.
-    pub fn try_head(&mut self) -> Option<String> {
+    /// As [`Connection::head`]; `None` if the connection ends before.
+    pub fn try_read_head(&mut self) -> Option<String> {
         let (mut text, mut byte) = (Vec::new(), [0]);
         while !text.ends_with(b"\r\n\r\n") {
             match self.0.read(&mut byte) {
@@ -85,7 +85,7 @@
 
     /// Reads a response with a length: its status and body. `None` if the connection ends before it is whole.
     pub fn response(&mut self) -> Option<(u16, String)> {
-        let head = self.try_head()?;
+        let head = self.try_read_head()?;
         let length = head.split_once("Content-Length: ").and_then(|(_, rest)| rest.split_once('\r'));
         let mut body = vec![0; length.map_or(0, |(length, _)| length.parse().expect("a length"))];
         self.0.read_exact(&mut body).ok()?;
@@ -106,7 +106,7 @@
     }
 
     /// The next call's parts; anything else that comes first is passed over.
-    pub fn call(&mut self) -> Vec<Part> {
+    pub fn next_parts(&mut self) -> Vec<Part> {
         loop {
             match self.frame().expect("a call") {
                 (b'm', text) => return parts(&text),
@@ -117,12 +117,12 @@
     }
 
     /// Ends a part.
-    pub fn end(&mut self, part: &Part, end: &str, value: &str) {
-        self.send(frame(b'q', &format!("{} {end} 0 util=0.5\n{value}", part.id)));
+    pub fn answer_part(&mut self, part: &Part, outcome: &str, value: &str) {
+        self.send(frame(b'q', &format!("{} {outcome} 0 util=0.5\n{value}", part.id)));
     }
 
     /// Whether the other side closes or resets the connection, with nothing more to read before that.
-    pub fn closes(&mut self) -> bool {
+    pub fn is_closed_by_peer(&mut self) -> bool {
         match self.0.read(&mut [0; 1]) {
             Ok(n) => n == 0,
             Err(e) => !matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut),
@@ -136,15 +136,15 @@
     }
 
     /// Answers a call for the list with these hosts.
-    pub fn list(&mut self, generation: u64, whole: bool, instances: &[Value]) {
-        let body = list(generation, whole, instances);
+    pub fn send_endpoint_list(&mut self, generation: u64, snapshot: bool, instances: &[Value]) {
+        let body = endpoint_list(generation, snapshot, instances);
         self.send(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
     }
 }
 
 /// A list of hosts as discovery words it.
-pub fn list(generation: u64, whole: bool, instances: &[Value]) -> String {
-    json!({"generation": generation, "reset": whole, "instances": instances}).to_string()
+pub fn endpoint_list(generation: u64, snapshot: bool, instances: &[Value]) -> String {
+    json!({"generation": generation, "reset": snapshot, "instances": instances}).to_string()
 }
 
 /// A part as a host got it.
@@ -154,7 +154,7 @@
     pub id: String,
     pub shard: u32,
     /// How long the program said that it waits, in milliseconds.
-    pub wait: u64,
+    pub timeout_ms: u64,
 }
 
 /// A frame as a host writes it.
@@ -168,7 +168,11 @@
     while let Some((line, rest)) = text.split_once('\n') {
         let words: Vec<&str> = line.split(' ').collect();
         let wait = words[2].strip_prefix("d=").and_then(|ms| ms.parse().ok()).expect("a wait");
-        all.push(Part { id: words[0].to_owned(), shard: words[1].parse().expect("a shard"), wait });
+        all.push(Part {
+            id: words[0].to_owned(),
+            shard: words[1].parse().expect("a shard"),
+            timeout_ms: wait,
+        });
         text = &rest[words[3].parse::<usize>().expect("a length")..];
     }
     all
@@ -193,68 +197,68 @@
 const FIN_WAIT_2: &str = "05";
 
 /// A program whose hosts and discovery are in the test's hands.
-pub struct Rig {
+pub struct TestBed {
     pub program: Program,
-    pub hosts: Vec<TcpListener>,
+    pub backends: Vec<TcpListener>,
     pub discovery: TcpListener,
 }
 
-impl Rig {
+impl TestBed {
     /// Starts it with so many hosts in the saved list; `change` has the last word on its configuration.
     pub fn start(hosts: usize, change: impl FnOnce(&mut Value)) -> Self {
-        Self::within(hosts, 1024, change)
+        Self::start_with_descriptors(hosts, 1024, change)
     }
 
     /// The same with so many descriptors.
-    pub fn within(hosts: usize, descriptors: u32, change: impl FnOnce(&mut Value)) -> Self {
-        Self::wired(hosts, descriptors, &json!([]), change)
+    pub fn start_with_descriptors(hosts: usize, descriptors: u32, change: impl FnOnce(&mut Value)) -> Self {
+        Self::start_with(hosts, descriptors, &json!([]), change)
     }
 
     /// The same with hosts that are spoken to by Flight.
-    pub fn flight(hosts: usize, change: impl FnOnce(&mut Value)) -> Self {
-        Self::wired(hosts, 1024, &json!("all"), change)
+    pub fn start_with_flight(hosts: usize, change: impl FnOnce(&mut Value)) -> Self {
+        Self::start_with(hosts, 1024, &json!("all"), change)
     }
 
-    fn wired(hosts: usize, descriptors: u32, flight: &Value, change: impl FnOnce(&mut Value)) -> Self {
+    fn start_with(hosts: usize, descriptors: u32, flight: &Value, change: impl FnOnce(&mut Value)) -> Self {
         let hosts: Vec<TcpListener> = (0..hosts).map(|_| listener()).collect();
         let discovery = listener();
         let addrs: Vec<SocketAddr> = hosts.iter().map(addr).collect();
         let mut file = config(&addrs, addr(&discovery));
         change(&mut file);
         let operator = json!({"flight": {"listen": "127.0.0.1:0", "hosts": flight}});
-        Self { program: Program::start(&file, &operator, descriptors), hosts, discovery }
+        Self { program: Program::start(&file, &operator, descriptors), backends: hosts, discovery }
     }
 
     /// A host as discovery tells it.
-    pub fn instance(&self, host: usize, state: &str) -> Value {
-        instance(host, addr(&self.hosts[host]), state)
+    pub fn endpoint(&self, host: usize, state: &str) -> Value {
+        endpoint(host, addr(&self.backends[host]), state)
     }
 
     /// All hosts in one state.
-    pub fn instances(&self, state: &str) -> Vec<Value> {
-        (0..self.hosts.len()).map(|host| self.instance(host, state)).collect()
+    pub fn endpoints(&self, state: &str) -> Vec<Value> {
+        (0..self.backends.len()).map(|host| self.endpoint(host, state)).collect()
     }
 
-    pub fn client(&self) -> Wire {
-        Wire::dial(self.program.http)
+    pub fn client(&self) -> Connection {
+        Connection::connect(self.program.http)
     }
 
     /// Waits until the program has written such a line.
-    pub fn expect_log(&self, text: &str) {
-        let until = Instant::now() + PATIENCE;
-        while !self.logged(text) {
+    pub fn wait_for_log(&self, text: &str) {
+        let until = Instant::now() + TEST_TIMEOUT;
+        while !self.has_logged(text) {
             assert!(Instant::now() < until, "no line {text}: {:#?}", self.program.log.lock());
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
     /// Whether it has written such a line so far.
-    pub fn logged(&self, text: &str) -> bool {
+    pub fn has_logged(&self, text: &str) -> bool {
         self.program.log.lock().expect("a sound lock").iter().any(|line| line.contains(text))
     }
 
     /// Whether the program has ended with this code.
-    pub fn exits(&mut self) -> Option<i32> {
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
         self.program.child.wait().expect("an exit code").code()
     }
 }
@@ -265,29 +269,29 @@
 }
 
 /// Dials to a listener that go unanswered until the test lets them come up.
-pub struct Held<'a> {
+pub struct StalledListener<'a> {
     listener: &'a TcpListener,
     /// Takes the only place in the backlog.
     _filler: TcpStream,
 }
 
-impl<'a> Held<'a> {
+impl<'a> StalledListener<'a> {
     /// From now on nobody gets through to this listener.
-    pub fn dials(listener: &'a TcpListener) -> Self {
+    pub fn stall(listener: &'a TcpListener) -> Self {
         socket2::SockRef::from(listener).listen(0).expect("a listener");
         let filler = TcpStream::connect(addr(listener)).expect("the only place");
         Self { listener, _filler: filler }
     }
 
     /// Waits until so many dials hang.
-    pub fn hang(&self, dials: usize) {
+    pub fn wait_for_attempts(&self, dials: usize) {
         let port = format!(":{:04X}", addr(self.listener).port());
         // Of each socket: a number, its own address, the other's, and its state; 02 is a SYN that was sent.
         let hangs = |line: &&str| {
             let words: Vec<&str> = line.split_whitespace().collect();
             words[2].ends_with(&port) && words[3] == "02"
         };
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TEST_TIMEOUT;
         loop {
             let sockets = std::fs::read_to_string("/proc/net/tcp").expect("the system's sockets");
             if sockets.lines().filter(hangs).count() == dials {
@@ -299,16 +303,16 @@
     }
 
     /// Lets dials come up, and gives the first; a SYN is sent again a second after the last one.
-    pub fn let_through(self) -> Wire {
+    pub fn release(self) -> Connection {
         drop(accept(self.listener));
         socket2::SockRef::from(self.listener).listen(128).expect("a listener");
         accept(self.listener)
     }
 }
 
-impl Wire {
+impl Connection {
     /// Reads a Flight connection up to its first stream: the header lines of that.
-    pub fn stream(&mut self) -> Vec<(String, String)> {
+    pub fn read_first_stream_headers(&mut self) -> Vec<(String, String)> {
         let mut read = |length: usize| {
             let mut bytes = vec![0; length];
             self.0.read_exact(&mut bytes).expect("the program writes HTTP/2");
@@ -318,7 +322,7 @@
         loop {
             let head = read(9);
             let mut payload = read(u32::from_be_bytes([0, head[0], head[1], head[2]]) as usize);
-            if head[3] == crate::raw::HEADERS {
+            if head[3] == crate::raw_http2::HEADERS {
                 let mut lines = Vec::new();
                 httlib_hpack::Decoder::default().decode(&mut payload, &mut lines).expect("header lines");
                 let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
@@ -329,36 +333,36 @@
 }
 
 /// Connections to this listener take few bytes that nobody reads.
-pub fn takes_little(listener: &TcpListener) {
+pub fn limit_receive_buffer(listener: &TcpListener) {
     socket2::SockRef::from(listener).set_recv_buffer_size(4096).expect("a listener");
 }
 
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum ConnectionEnd {
     Clean,
     Reset,
 }
 
-impl Wire {
+impl Connection {
     /// Reads to the end of the connection: what came, and how it ended.
-    pub fn rest(&mut self) -> (String, End) {
+    pub fn read_to_end(&mut self) -> (String, ConnectionEnd) {
         let mut bytes = Vec::new();
         let end = match self.0.read_to_end(&mut bytes) {
-            Ok(_) => End::Clean,
+            Ok(_) => ConnectionEnd::Clean,
             Err(e) if e.kind() == ErrorKind::WouldBlock => panic!("no end; so far {} bytes", bytes.len()),
-            Err(_) => End::Reset,
+            Err(_) => ConnectionEnd::Reset,
         };
         (String::from_utf8(bytes).expect("text"), end)
     }
 
     /// Ends the sending side alone.
-    pub fn finish(&self) {
+    pub fn shut_down_writing(&self) {
         self.0.shutdown(std::net::Shutdown::Write).expect("a connection");
     }
 
     /// A client's connection that takes no more than a few KB before it is read.
-    pub fn narrow(addr: SocketAddr) -> Self {
+    pub fn connect_with_small_buffer(addr: SocketAddr) -> Self {
         let socket = socket2::Socket::new(socket2::Domain::for_address(addr), socket2::Type::STREAM, None);
         let socket = socket.expect("a socket");
         socket.set_recv_buffer_size(4096).expect("a socket");
@@ -367,12 +371,12 @@
     }
 }
 
-impl Rig {
-    /// Halts the program, so that all that comes until [`Rig::go_on`] is ready in one turn.
-    pub fn halt(&self) {
+impl TestBed {
+    /// Halts the program, so that all that comes until [`TestBed::go_on`] is ready in one turn.
+    pub fn pause(&self) {
         self.program.signal(libc::SIGSTOP);
         let stat = format!("/proc/{}/stat", self.program.child.id());
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TEST_TIMEOUT;
         while !std::fs::read_to_string(&stat).expect("a process").contains(") T ") {
             assert!(Instant::now() < until, "it does not halt");
             std::thread::sleep(Duration::from_millis(1));
@@ -380,8 +384,8 @@
     }
 
     /// Lets it go on, once all that was sent to it has come: a busy system hands things over late.
-    pub fn go_on(&self) {
-        let until = Instant::now() + PATIENCE;
+    pub fn resume(&self) {
+        let until = Instant::now() + TEST_TIMEOUT;
         while !self.all_has_come() {
             assert!(Instant::now() < until, "something is still on its way");
             std::thread::sleep(Duration::from_millis(1));
@@ -412,8 +416,8 @@
     }
 
     /// Waits until the program has said to this client that nothing more will come, by the system's table.
-    pub fn expect_shut(&self, client: SocketAddr) {
-        let (until, there) = (Instant::now() + PATIENCE, format!(":{:04X}", client.port()));
+    pub fn wait_for_half_close(&self, client: SocketAddr) {
+        let (until, there) = (Instant::now() + TEST_TIMEOUT, format!(":{:04X}", client.port()));
         let is_shut = |line: &str| {
             let row: Vec<&str> = line.split_whitespace().collect();
             row[2].ends_with(&there) && [FIN_WAIT, FIN_WAIT_2].contains(&row[3])
@@ -430,8 +434,8 @@
     }
 
     /// Waits until the program holds no more descriptors than this.
-    pub fn expect_descriptors(&self, most: usize) {
-        let until = Instant::now() + PATIENCE;
+    pub fn wait_for_descriptors(&self, most: usize) {
+        let until = Instant::now() + TEST_TIMEOUT;
         while self.descriptors() > most {
             assert!(Instant::now() < until, "{} descriptors, not {most}", self.descriptors());
             std::thread::sleep(Duration::from_millis(5));
@@ -441,27 +445,27 @@
 
 /// What a host hears.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum BackendInput {
     /// A part, and on which of the host's connections it came.
     Part(usize, Part),
     /// The id of a part that was given up.
-    GivenUp(String),
+    Cancelled(String),
 }
 
 /// One host with all connections that the program opens to it; probes pass.
-pub struct Host {
+pub struct ManualBackend {
     listener: TcpListener,
-    wires: Vec<Option<Wire>>,
-    heard: std::collections::VecDeque<Heard>,
+    wires: Vec<Option<Connection>>,
+    heard: std::collections::VecDeque<BackendInput>,
 }
 
-impl Host {
-    pub fn of(listener: TcpListener) -> Self {
+impl ManualBackend {
+    pub fn new(listener: TcpListener) -> Self {
         Self { listener, wires: Vec::new(), heard: std::collections::VecDeque::new() }
     }
 
     /// Takes what has come, and says whether any connection is open.
-    pub fn look(&mut self) -> bool {
+    pub fn poll(&mut self) -> bool {
         let come = accept_within(&self.listener, Duration::from_millis(1));
         self.wires.extend(come.map(Some));
         for (at, place) in self.wires.iter_mut().enumerate() {
@@ -473,9 +477,9 @@
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
                 Ok(1) => match wire.frame() {
                     Some((b'm', text)) => {
-                        self.heard.extend(parts(&text).into_iter().map(|part| Heard::Part(at, part)));
+                        self.heard.extend(parts(&text).into_iter().map(|part| BackendInput::Part(at, part)));
                     }
-                    Some((b'n', id)) => self.heard.push_back(Heard::GivenUp(id)),
+                    Some((b'n', id)) => self.heard.push_back(BackendInput::Cancelled(id)),
                     Some((b'o', _)) => wire.send(frame(b'o', "good")),
                     Some(_) => {}
                     None => *place = None,
@@ -487,52 +491,52 @@
     }
 
     /// What it hears next.
-    pub fn hears(&mut self) -> Heard {
-        let until = Instant::now() + PATIENCE;
+    pub fn next_input(&mut self) -> BackendInput {
+        let until = Instant::now() + TEST_TIMEOUT;
         loop {
             if let Some(heard) = self.heard.pop_front() {
                 return heard;
             }
             assert!(Instant::now() < until, "the host hears nothing");
-            self.look();
+            self.poll();
         }
     }
 
     /// What it hears next; `None` once the program has closed all connections.
-    pub fn hears_until_the_end(&mut self) -> Option<Heard> {
-        let until = Instant::now() + PATIENCE;
-        while self.heard.is_empty() && (self.look() || self.wires.is_empty()) {
+    pub fn next_input_or_end(&mut self) -> Option<BackendInput> {
+        let until = Instant::now() + TEST_TIMEOUT;
+        while self.heard.is_empty() && (self.poll() || self.wires.is_empty()) {
             assert!(Instant::now() < until, "the program goes on");
         }
         self.heard.pop_front()
     }
 
     /// The next part; panics if something else comes first.
-    pub fn part(&mut self) -> (usize, Part) {
-        match self.hears() {
-            Heard::Part(at, part) => (at, part),
+    pub fn next_part(&mut self) -> (usize, Part) {
+        match self.next_input() {
+            BackendInput::Part(at, part) => (at, part),
             other => panic!("{other:?} came first"),
         }
     }
 
     /// Ends a part.
-    pub fn end(&mut self, (at, part): &(usize, Part), end: &str, value: &str) {
-        self.wires[*at].as_mut().expect("an open connection").end(part, end, value);
+    pub fn answer_part(&mut self, (at, part): &(usize, Part), outcome: &str, value: &str) {
+        self.wires[*at].as_mut().expect("an open connection").answer_part(part, outcome, value);
     }
 
     /// Takes the next part and answers it.
-    pub fn serve(&mut self, value: &str) -> Part {
-        let part = self.part();
-        self.end(&part, "good", value);
+    pub fn answer_next_part(&mut self, value: &str) -> Part {
+        let part = self.next_part();
+        self.answer_part(&part, "good", value);
         part.1
     }
 
     /// What else it hears until the program has closed all connections.
-    pub fn rest(mut self) -> Vec<Heard> {
-        self.look();
+    pub fn remaining_inputs(mut self) -> Vec<BackendInput> {
+        self.poll();
         if self.wires.is_empty() && self.heard.is_empty() {
             return Vec::new();
         }
-        std::iter::from_fn(|| self.hears_until_the_end()).collect()
+        std::iter::from_fn(|| self.next_input_or_end()).collect()
     }
 }
--- a/crates/testkit/src/raw.rs
+++ b/crates/testkit/src/raw_http2.rs
@@ -9,10 +9,10 @@
 use mallowgauge_flight::grpc::{Deframer, SERVICE};
 
 /// Longer than any answer may take on a slow machine.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Longest frame that may be sent unasked.
-const MOST: usize = 16_384;
+const MAX_FRAME_BYTES: usize = 16_384;
 
 /// Kinds of frames.
 pub const DATA: u8 = 0;
@@ -39,31 +39,31 @@
 
 /// What came of a stream.
 #[derive(Clone, Debug, Default)]
-pub struct Reply {
+pub struct StreamReply {
     /// Header lines and trailers.
-    pub lines: Vec<(String, String)>,
+    pub headers: Vec<(String, String)>,
     /// Whole messages.
     pub messages: Vec<Vec<u8>>,
     /// The reason of a reset.
     pub reset: Option<u32>,
     /// The connection ended, or a GOAWAY came with this reason.
-    pub away: Option<u32>,
+    pub goaway: Option<u32>,
 }
 
-impl Reply {
+impl StreamReply {
     /// A header line or trailer.
-    pub fn line(&self, name: &str) -> Option<&str> {
-        self.lines.iter().rev().find(|(key, _)| key == name).map(|(_, value)| value.as_str())
+    pub fn header(&self, name: &str) -> Option<&str> {
+        self.headers.iter().rev().find(|(key, _)| key == name).map(|(_, value)| value.as_str())
     }
 
     /// gRPC's status.
     pub fn status(&self) -> Option<u32> {
-        self.line("grpc-status")?.parse().ok()
+        self.header("grpc-status")?.parse().ok()
     }
 }
 
 /// The client.
-pub struct Raw {
+pub struct RawHttp2Client {
     socket: TcpStream,
     decoder: Decoder<'static>,
     next: u32,
@@ -89,7 +89,7 @@
 }
 
 /// The head of a call of a method.
-pub fn head(method: &str, extra: &[(&str, &str)]) -> Vec<u8> {
+pub fn request_headers(method: &str, extra: &[(&str, &str)]) -> Vec<u8> {
     let path = if method.starts_with('/') { method.to_owned() } else { format!("{SERVICE}{method}") };
     let mut out = Vec::new();
     let fixed = [
@@ -106,81 +106,81 @@
     out
 }
 
-impl Raw {
+impl RawHttp2Client {
     /// Connects and says the preface.
     pub fn connect(addr: SocketAddr) -> Self {
-        let mut raw = Self::silent(addr);
-        raw.bytes(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
-        raw.frame(SETTINGS, 0, 0, &[]);
+        let mut raw = Self::connect_without_preface(addr);
+        raw.write(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
+        raw.send_frame(SETTINGS, 0, 0, &[]);
         raw
     }
 
     /// Connects with these settings (number, value).
     pub fn with_settings(addr: SocketAddr, settings: &[(u16, u32)]) -> Self {
-        let mut raw = Self::silent(addr);
-        raw.bytes(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
+        let mut raw = Self::connect_without_preface(addr);
+        raw.write(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
         let payload: Vec<u8> =
             settings.iter().flat_map(|(id, v)| [&id.to_be_bytes()[..], &v.to_be_bytes()].concat()).collect();
-        raw.frame(SETTINGS, 0, 0, &payload);
+        raw.send_frame(SETTINGS, 0, 0, &payload);
         raw
     }
 
     /// Connects and says nothing.
-    pub fn silent(addr: SocketAddr) -> Self {
+    pub fn connect_without_preface(addr: SocketAddr) -> Self {
         let socket = TcpStream::connect(addr).expect("a connection");
-        socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        socket.set_write_timeout(Some(PATIENCE)).expect("a time-out");
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+        socket.set_write_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         Self { socket, decoder: Decoder::default(), next: 1 }
     }
 
     /// A client on a connection that is there, which lets so much come before it gives room back.
-    pub fn over(socket: TcpStream, window: u32) -> Self {
+    pub fn from_socket(socket: TcpStream, window: u32) -> Self {
         let mut raw = Self { socket, decoder: Decoder::default(), next: 1 };
-        raw.bytes(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
-        raw.frame(SETTINGS, 0, 0, &[&4_u16.to_be_bytes()[..], &window.to_be_bytes()].concat());
-        raw.frame(WINDOW_UPDATE, 0, 0, &window.to_be_bytes());
+        raw.write(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
+        raw.send_frame(SETTINGS, 0, 0, &[&4_u16.to_be_bytes()[..], &window.to_be_bytes()].concat());
+        raw.send_frame(WINDOW_UPDATE, 0, 0, &window.to_be_bytes());
         raw
     }
 
     /// Writes bytes as they are; `false` if the program has closed the connection.
-    pub fn bytes(&mut self, bytes: &[u8]) -> bool {
+    pub fn write(&mut self, bytes: &[u8]) -> bool {
         self.socket.write_all(bytes).is_ok()
     }
 
     /// Writes a frame.
-    pub fn frame(&mut self, kind: u8, flags: u8, stream: u32, payload: &[u8]) -> bool {
+    pub fn send_frame(&mut self, kind: u8, flags: u8, stream: u32, payload: &[u8]) -> bool {
         let length = (payload.len() as u32).to_be_bytes();
         let head = [&length[1..], &[kind, flags], &stream.to_be_bytes()].concat();
-        self.bytes(&[&head, payload].concat())
+        self.write(&[&head, payload].concat())
     }
 
     /// Opens a stream.
-    pub fn open(&mut self, method: &str, extra: &[(&str, &str)], end: bool) -> u32 {
+    pub fn open_stream(&mut self, method: &str, extra: &[(&str, &str)], end: bool) -> u32 {
         let stream = self.next;
         self.next += 2;
         let flags = END_HEADERS | if end { END_STREAM } else { 0 };
-        self.frame(HEADERS, flags, stream, &head(method, extra));
+        self.send_frame(HEADERS, flags, stream, &request_headers(method, extra));
         stream
     }
 
     /// Sends bytes on a stream.
-    pub fn data(&mut self, stream: u32, bytes: &[u8], end: bool) -> bool {
-        let count = bytes.len().div_ceil(MOST).max(1);
+    pub fn send_data(&mut self, stream: u32, bytes: &[u8], end: bool) -> bool {
+        let count = bytes.len().div_ceil(MAX_FRAME_BYTES).max(1);
         (0..count).all(|i| {
-            let piece = &bytes[i * MOST..bytes.len().min((i + 1) * MOST)];
-            self.frame(DATA, if end && i + 1 == count { END_STREAM } else { 0 }, stream, piece)
+            let piece = &bytes[i * MAX_FRAME_BYTES..bytes.len().min((i + 1) * MAX_FRAME_BYTES)];
+            self.send_frame(DATA, if end && i + 1 == count { END_STREAM } else { 0 }, stream, piece)
         })
     }
 
     /// A call with one message.
-    pub fn call(&mut self, method: &str, extra: &[(&str, &str)], message: &[u8]) -> u32 {
-        let stream = self.open(method, extra, false);
-        self.data(stream, message, true);
+    pub fn start_call(&mut self, method: &str, extra: &[(&str, &str)], message: &[u8]) -> u32 {
+        let stream = self.open_stream(method, extra, false);
+        self.send_data(stream, message, true);
         stream
     }
 
     /// Reads a frame; `None` once the connection is over.
-    pub fn read(&mut self) -> Option<Frame> {
+    pub fn read_frame(&mut self) -> Option<Frame> {
         let mut head = [0; 9];
         self.socket.read_exact(&mut head).ok()?;
         let length = u32::from_be_bytes([0, head[0], head[1], head[2]]) as usize;
@@ -191,12 +191,12 @@
     }
 
     /// Reads until a stream is over, giving back what its windows lost if `takes`.
-    pub fn reply(&mut self, stream: u32, takes: bool) -> Reply {
-        let mut reply = Reply::default();
+    pub fn read_reply(&mut self, stream: u32, takes: bool) -> StreamReply {
+        let mut reply = StreamReply::default();
         let mut frames = Deframer::new(64 << 20);
         loop {
-            let Some(frame) = self.read() else {
-                reply.away.get_or_insert(u32::MAX);
+            let Some(frame) = self.read_frame() else {
+                reply.goaway.get_or_insert(u32::MAX);
                 return reply;
             };
             match frame.kind {
@@ -206,7 +206,7 @@
                     self.decoder.decode(&mut payload, &mut lines).expect("header lines");
                     if frame.stream == stream {
                         let text = |bytes: Vec<u8>| String::from_utf8_lossy(&bytes).into_owned();
-                        reply.lines.extend(lines.into_iter().map(|(n, v, _)| (text(n), text(v))));
+                        reply.headers.extend(lines.into_iter().map(|(n, v, _)| (text(n), text(v))));
                     }
                 }
                 DATA => {
@@ -217,12 +217,12 @@
                     }
                     if takes && !frame.payload.is_empty() {
                         let size = (frame.payload.len() as u32).to_be_bytes();
-                        self.frame(WINDOW_UPDATE, 0, 0, &size);
-                        self.frame(WINDOW_UPDATE, 0, frame.stream, &size);
+                        self.send_frame(WINDOW_UPDATE, 0, 0, &size);
+                        self.send_frame(WINDOW_UPDATE, 0, frame.stream, &size);
                     }
                 }
-                SETTINGS if frame.flags & ACK == 0 => drop(self.frame(SETTINGS, ACK, 0, &[])),
-                PING if frame.flags & ACK == 0 => drop(self.frame(PING, ACK, 0, &frame.payload)),
+                SETTINGS if frame.flags & ACK == 0 => drop(self.send_frame(SETTINGS, ACK, 0, &[])),
+                PING if frame.flags & ACK == 0 => drop(self.send_frame(PING, ACK, 0, &frame.payload)),
                 RST_STREAM if frame.stream == stream => {
                     let code = frame.payload.first_chunk::<4>().map(|b| u32::from_be_bytes(*b));
                     reply.reset = code;
@@ -230,7 +230,7 @@
                 }
                 GOAWAY => {
                     let code = frame.payload[4..].first_chunk::<4>().map(|b| u32::from_be_bytes(*b));
-                    reply.away = code;
+                    reply.goaway = code;
                 }
                 _ => {}
             }
@@ -242,13 +242,13 @@
     }
 
     /// A call with one message, to its end.
-    pub fn ask(&mut self, method: &str, extra: &[(&str, &str)], message: &[u8]) -> Reply {
-        let stream = self.call(method, extra, message);
-        self.reply(stream, true)
+    pub fn call(&mut self, method: &str, extra: &[(&str, &str)], message: &[u8]) -> StreamReply {
+        let stream = self.start_call(method, extra, message);
+        self.read_reply(stream, true)
     }
 
     /// Closes the sending side.
-    pub fn finish(&self) {
+    pub fn shut_down_writing(&self) {
         self.socket.shutdown(Shutdown::Write).expect("a connection");
     }
 
--- a/crates/testkit/src/plain.rs
+++ b/crates/testkit/src/stand_ins.rs
@@ -7,7 +7,7 @@
 
 use serde_json::{json, Value};
 
-use super::{Event, Query, Reply, PATIENCE};
+use super::{BackendReply, Event, Query, TEST_TIMEOUT};
 
 fn listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -21,14 +21,14 @@
 }
 
 /// A host that takes frames; whether it leaves probes to the scenario.
-pub fn host(number: usize, events: Sender<Event>, probes: bool) -> SocketAddr {
+pub fn frame_backend(number: usize, events: Sender<Event>, probes: bool) -> SocketAddr {
     let (listener, addr) = listener();
     std::thread::spawn(move || {
         for socket in listener.incoming().flatten() {
             let events = events.clone();
             std::thread::spawn(move || {
                 serve(number, socket, &events, probes);
-                drop(events.send(Event::Closed));
+                drop(events.send(Event::ConnectionClosed));
             });
         }
     });
@@ -57,7 +57,7 @@
             b'o' if probes => {
                 let socket = socket.try_clone().ok()?;
                 let reply = move || (&socket).write_all(&frame(b'o', "good")).expect("a connection");
-                drop(events.send(Event::Probe(Box::new(reply))));
+                drop(events.send(Event::HealthCheck(Box::new(reply))));
             }
             b'o' => socket.write_all(&frame(b'o', "good")).ok()?,
             letter => panic!("a frame {letter}"),
@@ -74,9 +74,11 @@
         assert_eq!(carried, "c41e77d0", "the query's text goes on unchanged");
         text = after;
         let (id, socket) = (id.to_owned(), socket.try_clone().expect("a socket"));
-        let reply = move |reply: Reply| match reply {
-            Reply::End(end, _) if end == "nonsense" => (&socket).write_all(&frame(b'z', "")).expect("room"),
-            Reply::End(end, value) => {
+        let reply = move |reply: BackendReply| match reply {
+            BackendReply::Outcome(end, _) if end == "nonsense" => {
+                (&socket).write_all(&frame(b'z', "")).expect("room")
+            }
+            BackendReply::Outcome(end, value) => {
                 let good = frame(b'q', &format!("{id} good 0 util=0.5\n{value}"));
                 let answer = match &*end {
                     "stray" => frame(b'q', &format!("x{id} good 0 util=0.5\n{value}")),
@@ -92,19 +94,19 @@
                 };
                 (&socket).write_all(&answer).expect("a connection");
             }
-            Reply::Cut => socket.shutdown(Shutdown::Both).expect("a connection"),
+            BackendReply::Disconnect => socket.shutdown(Shutdown::Both).expect("a connection"),
         };
         drop(events.send(Event::Part(number, shard.parse().expect("a shard"), Box::new(reply))));
     }
 }
 
-pub fn instance(host: usize, addr: SocketAddr, state: &str) -> Value {
+pub fn endpoint(host: usize, addr: SocketAddr, state: &str) -> Value {
     json!({"instanceId": format!("s-{host}"), "hostPort": addr.to_string(), "zone": "regina-dc1",
            "machineType": "m2", "cell": host, "lifecycle": state, "weight": 1.0, "startedAtMs": 0})
 }
 
 /// Discovery: holds each watch until there is something to tell.
-pub struct Roster {
+pub struct DiscoveryStandIn {
     pub addr: SocketAddr,
     news: Sender<String>,
     asked: Receiver<()>,
@@ -112,7 +114,7 @@
     generation: Cell<u64>,
 }
 
-impl Roster {
+impl DiscoveryStandIn {
     pub fn start() -> Self {
         let (listener, addr) = listener();
         let (news, told) = channel::<String>();
@@ -133,9 +135,9 @@
         Self { addr, news, asked, asked_again: Cell::new(false), generation: Cell::new(1) }
     }
 
-    pub fn tell(&self, instance: &Value) {
+    pub fn publish(&self, endpoint: &Value) {
         self.generation.set(self.generation.get() + 1);
-        let list = json!({"generation": self.generation.get(), "reset": false, "instances": [instance]});
+        let list = json!({"generation": self.generation.get(), "reset": false, "instances": [endpoint]});
         self.answer("200 OK", &list.to_string());
     }
 
@@ -146,16 +148,16 @@
     /// Answers the watch. The program has read that once it asks again.
     fn answer(&self, status: &str, body: &str) {
         if !self.asked_again.replace(true) {
-            self.asked.recv_timeout(PATIENCE).expect("a watch");
+            self.asked.recv_timeout(TEST_TIMEOUT).expect("a watch");
         }
         let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n", body.len());
         self.news.send(head + body).expect("discovery runs");
-        self.asked.recv_timeout(PATIENCE).expect("the next watch");
+        self.asked.recv_timeout(TEST_TIMEOUT).expect("the next watch");
     }
 }
 
 /// What a transcript says of an answer's body.
-pub fn body(body: &Value) -> String {
+pub fn describe_body(body: &Value) -> String {
     let mark = if body["total"] == true { "whole" } else { "partial" };
     let value = |a: &Value| match a["blob"].as_str().unwrap_or_default() {
         long if long.len() > 100 => format!(" {}=({} bytes)", a["range"], long.len()),
@@ -176,8 +178,8 @@
 }
 
 /// A query as an HTTP request.
-pub fn request(query: &Query) -> String {
-    let (Query { id, kind, ms, .. }, body) = (query, query.body.to_string());
+pub fn http_request(query: &Query) -> String {
+    let (Query { id, kind, deadline_ms: ms, .. }, body) = (query, query.body.to_string());
     format!(
         "POST /api HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: {id}\r\nReq-Kind: {kind}\r\n\
          Req-Deadline-Ms: {ms}\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{body}",
@@ -186,15 +188,19 @@
 }
 
 /// An HTTP client; the returned call makes it go away.
-pub fn ask(addr: SocketAddr, query: Query, answer: impl Fn(String) + Send + 'static) -> Box<dyn FnOnce()> {
+pub fn send_query(
+    addr: SocketAddr,
+    query: Query,
+    answer: impl Fn(String) + Send + 'static,
+) -> Box<dyn FnOnce()> {
     let socket = TcpStream::connect(addr).expect("a connection");
     let closer = socket.try_clone().expect("a socket");
     std::thread::spawn(move || {
-        let Some((status, head, got)) = exchange(&socket, &request(&query)) else { return };
+        let Some((status, head, got)) = exchange(&socket, &http_request(&query)) else { return };
         let got: Value = serde_json::from_str(&got).expect("a body");
         let advice = head.contains("\r\nRetry-After: ");
         answer(match status {
-            200 => body(&got),
+            200 => describe_body(&got),
             503 => format!("refused{}", if advice { ", with advice" } else { "" }),
             502 => "failed".to_owned(),
             504 => "time up".to_owned(),
@@ -206,10 +212,15 @@
 }
 
 /// What a host by script answers to a part: its end and value; `None` for silence.
-pub type Answering = std::sync::Arc<dyn Fn(usize, &str, u32, &str) -> Option<(String, String)> + Send + Sync>;
+pub type FrameScript =
+    std::sync::Arc<dyn Fn(usize, &str, u32, &str) -> Option<(String, String)> + Send + Sync>;
 
 /// A host on frames that answers by a script, which is given its number, the query, the shard and the text.
-pub fn scripted(number: usize, script: Answering, runs: crate::columns::Runs) -> SocketAddr {
+pub fn scripted_frame_backend(
+    number: usize,
+    script: FrameScript,
+    runs: crate::columns::AttemptCounts,
+) -> SocketAddr {
     let (listener, addr) = listener();
     std::thread::spawn(move || {
         for socket in listener.incoming().flatten() {
@@ -223,8 +234,8 @@
 fn answer_all(
     number: usize,
     mut socket: TcpStream,
-    script: &Answering,
-    runs: &crate::columns::Runs,
+    script: &FrameScript,
+    runs: &crate::columns::AttemptCounts,
 ) -> Option<()> {
     loop {
         let (letter, text) = read_frame(&mut socket)?;
--- a/crates/testkit/src/tls.rs
+++ b/crates/testkit/src/tls.rs
@@ -54,7 +54,7 @@
 
 impl Identity {
     /// The certificate as a server's settings; with roots, clients have to show a certificate from there.
-    pub fn server(&self, clients: Option<&str>) -> Arc<rustls::ServerConfig> {
+    pub fn server_config(&self, clients: Option<&str>) -> Arc<rustls::ServerConfig> {
         let chain = vec![CertificateDer::from_pem_slice(self.certificate.as_bytes()).expect("a certificate")];
         let key = PrivateKeyDer::from_pem_slice(self.key.as_bytes()).expect("a key");
         let provider = Arc::new(rustls::crypto::ring::default_provider());
@@ -78,7 +78,7 @@
 }
 
 /// Writes a file for the program to read, in a folder of the test's own.
-pub fn file(folder: &std::path::Path, name: &str, text: &str) -> PathBuf {
+pub fn write_file(folder: &std::path::Path, name: &str, text: &str) -> PathBuf {
     std::fs::create_dir_all(folder).expect("a folder");
     let path = folder.join(name);
     std::fs::write(&path, text).expect("a file");
