--- a/crates/edge/tests/discovery_timing.rs
+++ b/crates/edge/tests/discovery_timing.rs
@@ -12,7 +12,7 @@
 use mallowgauge_net::{EventHandler, Handle, Token};
 use mallowgauge_router::{EndpointUpdate, Micros};
 use mallowgauge_settings::Site;
-use mallowgauge_testkit::hand::{accept, addr, listener, Held, Wire};
+use mallowgauge_testkit::manual_peers::{accept, addr, listener, Connection, StalledListener};
 use mallowgauge_testkit::settings;
 
 /// A change counts as notified this long after discovery had it, in microseconds.
@@ -139,7 +139,7 @@
     }
 
     /// Accepts the connection for the next request. Returns it with the head of the request.
-    fn accept_request(&mut self, listener: &TcpListener) -> (Wire, String) {
+    fn accept_request(&mut self, listener: &TcpListener) -> (Connection, String) {
         self.run_until_request();
         let mut wire = accept(listener);
         self.handle_socket();
@@ -148,11 +148,11 @@
     }
 
     /// A simulation with one answered watch, and the next watch in flight.
-    fn with_watch(seed: u64) -> (Self, Wire, TcpListener) {
+    fn with_watch(seed: u64) -> (Self, Connection, TcpListener) {
         let listener = listener();
         let mut simulation = Self::new(seed, &listener);
         let (mut wire, _) = simulation.accept_request(&listener);
-        wire.list(2, true, &[]);
+        wire.send_endpoint_list(2, true, &[]);
         simulation.handle_socket();
         assert!(wire.head().starts_with("GET /v1/servers?index=2&wait="));
         assert_eq!(simulation.received_lists, 1);
@@ -294,7 +294,7 @@
         "unanswered connection attempts",
         longest_gap(|seed| {
             let silent = listener();
-            let held = Held::dials(&silent);
+            let held = StalledListener::stall(&silent);
             let mut simulation = Simulation::new(seed, &silent);
             let mut from = 0;
             for _ in 0..12 {
@@ -341,7 +341,7 @@
     let gap = longest_gap(|seed| {
         let (mut simulation, _wire, port) = Simulation::with_watch(seed);
         let silent = listener();
-        let held = Held::dials(&silent);
+        let held = StalledListener::stall(&silent);
         let events = simulation.discovery.relocate(simulation.now, &simulation.handle, addr(&silent));
         simulation.handle_events(events);
         let from = simulation.now;
@@ -361,7 +361,7 @@
     let (from, mut requests) = (simulation.now, 0);
     while simulation.now < from + 60_000_000 {
         simulation.now += 2_200_000;
-        wire.list(2, false, &[]);
+        wire.send_endpoint_list(2, false, &[]);
         simulation.handle_socket();
         wire.head();
         requests += 1;
--- a/crates/mallowgauge/tests/discovery_crossings.rs
+++ b/crates/mallowgauge/tests/discovery_crossings.rs
@@ -4,7 +4,9 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-use mallowgauge_testkit::hand::{accept, accept_within, addr, list, listener, query, Part, Rig, Wire};
+use mallowgauge_testkit::manual_peers::{
+    accept, accept_within, addr, endpoint_list, listener, query, Connection, Part, TestBed,
+};
 use serde_json::{json, Value};
 
 /// A list as the body of a response without a length, which ends with the connection.
@@ -24,7 +26,7 @@
 
 /// Submits a query. Returns the backend that got its part, the connection to it and the client's connection.
 /// Connections that other backends opened before are ignored.
-fn submit(rig: &Rig, id: &str) -> (usize, Wire, Wire) {
+fn submit(rig: &TestBed, id: &str) -> (usize, Connection, Connection) {
     let mut client = rig.client();
     client.send(query(id, "place-hold", 3000, &[0]));
     let (backend, wire) = accept_at_any_backend(rig);
@@ -32,35 +34,35 @@
 }
 
 /// The next connection to any backend.
-fn accept_at_any_backend(rig: &Rig) -> (usize, Wire) {
+fn accept_at_any_backend(rig: &TestBed) -> (usize, Connection) {
     let accept = |(index, listener)| Some((index, accept_within(listener, Duration::from_millis(5))?));
-    let mut rounds = std::iter::repeat_with(|| rig.hosts.iter().enumerate().find_map(accept)).take(2000);
+    let mut rounds = std::iter::repeat_with(|| rig.backends.iter().enumerate().find_map(accept)).take(2000);
     rounds.find_map(|found| found).expect("a backend is dialed")
 }
 
 /// Answers the only part of a query on this connection.
-fn answer_part(wire: &mut Wire, client: &mut Wire) -> Part {
-    let parts = wire.call();
-    wire.end(&parts[0], "good", "x");
+fn answer_part(wire: &mut Connection, client: &mut Connection) -> Part {
+    let parts = wire.next_parts();
+    wire.answer_part(&parts[0], "good", "x");
     assert_eq!(client.response().expect("an answer").0, 200);
     parts[0].clone()
 }
 
 /// The response to the platform's health check.
-fn health(rig: &Rig) -> (u16, String) {
+fn health(rig: &TestBed) -> (u16, String) {
     let mut client = rig.client();
     client.send("GET /healthz HTTP/1.1\r\n\r\n");
     client.response().expect("an answer")
 }
 
 /// All backends as active, except one in the given state.
-fn with_one_in_state(rig: &Rig, changed: usize, state: &str) -> Vec<Value> {
-    let state = |index| rig.instance(index, if index == changed { state } else { "active" });
-    (0..rig.hosts.len()).map(state).collect()
+fn with_one_in_state(rig: &TestBed, changed: usize, state: &str) -> Vec<Value> {
+    let state = |index| rig.endpoint(index, if index == changed { state } else { "active" });
+    (0..rig.backends.len()).map(state).collect()
 }
 
 /// Expects the watch after a list, which shows that the list was applied.
-fn expect_watch(wire: &mut Wire, generation: u64) {
+fn expect_watch(wire: &mut Connection, generation: u64) {
     let head = wire.head();
     assert!(head.starts_with(&format!("GET /v1/servers?index={generation}&wait=")), "{head}");
 }
@@ -68,12 +70,12 @@
 // Guards against a missing watch where lists are pushed: backends that drained or were removed stayed in use.
 #[test]
 fn pushed_lists_are_watched() {
-    let rig = Rig::start(3, use_push);
+    let rig = TestBed::start(3, use_push);
     let mut watch = accept(&rig.discovery);
     watch.head();
-    watch.list(2, true, &with_one_in_state(&rig, 0, "active"));
+    watch.send_endpoint_list(2, true, &with_one_in_state(&rig, 0, "active"));
     expect_watch(&mut watch, 2);
-    watch.list(3, false, &[rig.instance(0, "leaving"), rig.instance(1, "left")]);
+    watch.send_endpoint_list(3, false, &[rig.endpoint(0, "leaving"), rig.endpoint(1, "left")]);
     expect_watch(&mut watch, 3);
     let (backend, mut wire, mut client) = submit(&rig, "1");
     assert_eq!(backend, 2);
@@ -84,7 +86,7 @@
 // wait and the program is not ready.
 #[test]
 fn cached_snapshot_is_confirmed_before_use_where_lists_are_pushed() {
-    let rig = Rig::start(3, use_push);
+    let rig = TestBed::start(3, use_push);
     let mut watch = accept(&rig.discovery);
     let head = watch.head();
     assert!(head.starts_with("GET /v1/servers?index=1&wait=1 "), "a poll: {head}");
@@ -95,8 +97,8 @@
         [health(&rig), health(&rig)],
         [(503, "starting\n".to_owned()), (503, "starting\n".to_owned())]
     );
-    watch.list(2, false, &[rig.instance(0, "leaving"), rig.instance(1, "left")]);
-    let mut wire = accept(&rig.hosts[2]);
+    watch.send_endpoint_list(2, false, &[rig.endpoint(0, "leaving"), rig.endpoint(1, "left")]);
+    let mut wire = accept(&rig.backends[2]);
     answer_part(&mut wire, &mut early);
     assert_eq!(health(&rig), (200, "ok\n".to_owned()));
 }
@@ -105,11 +107,11 @@
 // available then.
 #[test]
 fn cached_snapshot_is_used_unconfirmed_while_discovery_is_down() {
-    let rig = Rig::start(3, |file| {
+    let rig = TestBed::start(3, |file| {
         use_push(file);
         file["discovery"] = json!(addr(&listener()).to_string());
     });
-    rig.expect_log("using the cached endpoint list unverified");
+    rig.wait_for_log("using the cached endpoint list unverified");
     assert_eq!(health(&rig), (200, "ok\n".to_owned()));
     let (_, mut wire, mut client) = submit(&rig, "1");
     answer_part(&mut wire, &mut client);
@@ -119,19 +121,19 @@
 // arrived.
 #[test]
 fn list_without_length_is_complete_only_after_a_regular_close() {
-    let rig = Rig::start(3, |_| {});
+    let rig = TestBed::start(3, |_| {});
     let mut watch = accept(&rig.discovery);
     watch.head();
-    let truncated = list(7, true, &[rig.instance(0, "active")]);
+    let truncated = endpoint_list(7, true, &[rig.endpoint(0, "active")]);
     watch.send(without_length(&truncated));
     // Once these are answered, the body has been read.
     assert_eq!([health(&rig).0, health(&rig).0], [200, 200]);
     watch.reset();
-    rig.expect_log("discovery request failed");
+    rig.wait_for_log("discovery request failed");
     let mut watch = accept(&rig.discovery);
     let head = watch.head();
     assert!(head.contains("?index=1&"), "the truncated list is not applied: {head}");
-    watch.send(without_length(&list(8, true, &with_one_in_state(&rig, 0, "leaving"))));
+    watch.send(without_length(&endpoint_list(8, true, &with_one_in_state(&rig, 0, "leaving"))));
     drop(watch);
     expect_watch(&mut accept(&rig.discovery), 8);
     let (backend, mut wire, mut client) = submit(&rig, "1");
@@ -141,18 +143,18 @@
 
 #[test]
 fn lists_are_read_in_every_encoding() {
-    let rig = Rig::start(3, |_| {});
+    let rig = TestBed::start(3, |_| {});
     let mut watch = accept(&rig.discovery);
     watch.head();
-    watch.send(in_one_byte_chunks(&list(2, false, &[rig.instance(0, "leaving")])));
+    watch.send(in_one_byte_chunks(&endpoint_list(2, false, &[rig.endpoint(0, "leaving")])));
     expect_watch(&mut watch, 2);
     let body = serde_json::to_string_pretty(&json!({"generation": 3, "reset": false,
-        "instances": [rig.instance(1, "leaving")]}));
+        "instances": [rig.endpoint(1, "leaving")]}));
     let body = body.expect("JSON");
     let response = format!("HTTP/1.1 200 OK\r\ncontent-length:   {}\r\n\r\n{body}", body.len());
     response.bytes().for_each(|byte| watch.send([byte]));
     expect_watch(&mut watch, 3);
-    watch.list(4, false, &[]);
+    watch.send_endpoint_list(4, false, &[]);
     expect_watch(&mut watch, 4);
     let (backend, mut wire, mut client) = submit(&rig, "1");
     assert_eq!(backend, 2);
@@ -162,13 +164,13 @@
 // A snapshot older than the list in use would bring back backends that were removed since.
 #[test]
 fn outdated_list_is_rejected_and_the_snapshot_requested() {
-    let rig = Rig::start(2, |_| {});
+    let rig = TestBed::start(2, |_| {});
     let mut watch = accept(&rig.discovery);
     watch.head();
-    watch.list(9, true, &[rig.instance(1, "active")]);
+    watch.send_endpoint_list(9, true, &[rig.endpoint(1, "active")]);
     expect_watch(&mut watch, 9);
-    watch.list(4, true, &rig.instances("active"));
-    rig.expect_log("endpoint list is older than the one in use");
+    watch.send_endpoint_list(4, true, &rig.endpoints("active"));
+    rig.wait_for_log("endpoint list is older than the one in use");
     let mut watch = accept(&rig.discovery);
     let head = watch.head();
     assert!(head.starts_with("GET /v1/servers HTTP/1.1"), "a request for the snapshot: {head}");
@@ -176,7 +178,7 @@
     assert_eq!(backend, 1, "the list in use still applies");
     answer_part(&mut wire, &mut client);
     // A requested snapshot is applied whatever its version: discovery may have restarted.
-    watch.list(5, true, &[rig.instance(0, "active")]);
+    watch.send_endpoint_list(5, true, &[rig.endpoint(0, "active")]);
     expect_watch(&mut watch, 5);
     let (backend, mut wire, mut client) = submit(&rig, "2");
     assert_eq!(backend, 0);
@@ -186,10 +188,10 @@
 // A malformed or endless response only closes its connection.
 #[test]
 fn malformed_and_endless_responses_change_nothing() {
-    let rig = Rig::start(2, |_| {});
+    let rig = TestBed::start(2, |_| {});
     let mut watch = accept(&rig.discovery);
     watch.head();
-    let malformed = list(2, true, &[rig.instance(0, "active")]).replace("\"reset\"", "\"reset");
+    let malformed = endpoint_list(2, true, &[rig.endpoint(0, "active")]).replace("\"reset\"", "\"reset");
     let truncated = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{\"ge".to_owned();
     let complete = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{malformed}", malformed.len());
     let empty = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_owned();
@@ -200,7 +202,7 @@
     for response in [truncated, complete, empty, noise, endless_head, too_long, endless_body] {
         // The program may close the connection before all of it is written.
         let _ = std::io::Write::write_all(&mut watch.0, response.as_bytes());
-        assert!(watch.closes(), "the connection of a malformed response is closed");
+        assert!(watch.is_closed_by_peer(), "the connection of a malformed response is closed");
         watch = accept(&rig.discovery);
         let head = watch.head();
         assert!(head.contains("?index=1&"), "nothing was applied: {head}");
@@ -212,33 +214,33 @@
 // Bytes after a response belong to no request: the next request uses a new connection.
 #[test]
 fn bytes_after_a_response_are_not_the_next_response() {
-    let rig = Rig::start(2, |_| {});
+    let rig = TestBed::start(2, |_| {});
     let mut watch = accept(&rig.discovery);
     watch.head();
     let response = |generation, instances: &[Value]| {
-        let body = list(generation, true, instances);
+        let body = endpoint_list(generation, true, instances);
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
     };
-    watch.send(response(2, &rig.instances("active")) + &response(3, &[rig.instance(0, "active")]));
+    watch.send(response(2, &rig.endpoints("active")) + &response(3, &[rig.endpoint(0, "active")]));
     expect_watch(&mut accept(&rig.discovery), 2);
 }
 
 // A query and a list with draining backends, read in the same event-loop iteration: the query is not sent to these.
 #[test]
 fn drain_read_in_the_iteration_of_a_query_applies_to_it() {
-    let rig = Rig::start(3, |_| {});
+    let rig = TestBed::start(3, |_| {});
     let mut watch = accept(&rig.discovery);
     watch.head();
-    watch.list(2, true, &rig.instances("active"));
+    watch.send_endpoint_list(2, true, &rig.endpoints("active"));
     expect_watch(&mut watch, 2);
     let mut client = rig.client();
     client.send("GET /nothing HTTP/1.1\r\n\r\n");
     assert_eq!(client.response().expect("an answer").0, 404);
-    rig.halt();
+    rig.pause();
     client.send(query("1", "place-hold", 3000, &[0]));
-    watch.list(3, false, &[rig.instance(0, "leaving"), rig.instance(1, "left")]);
-    rig.go_on();
-    let mut wire = accept(&rig.hosts[2]);
+    watch.send_endpoint_list(3, false, &[rig.endpoint(0, "leaving"), rig.endpoint(1, "left")]);
+    rig.resume();
+    let mut wire = accept(&rig.backends[2]);
     answer_part(&mut wire, &mut client);
     expect_watch(&mut watch, 3);
 }
@@ -247,10 +249,10 @@
 // the new address is applied whatever its version.
 #[test]
 fn relocation_in_the_middle_of_a_response_discards_the_response() {
-    let rig = Rig::start(2, |_| {});
+    let rig = TestBed::start(2, |_| {});
     let mut old = accept(&rig.discovery);
     old.head();
-    let body = list(50, true, &[rig.instance(0, "active")]);
+    let body = endpoint_list(50, true, &[rig.endpoint(0, "active")]);
     let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     old.send(&response[..response.len() - 1]);
     let new: TcpListener = listener();
@@ -259,8 +261,8 @@
     let head = moved.head();
     assert!(head.starts_with("GET /v1/servers HTTP/1.1"), "{head}");
     let _ = std::io::Write::write_all(&mut old.0, &response.as_bytes()[response.len() - 1..]);
-    assert!(old.closes());
-    moved.list(3, true, &[rig.instance(1, "active")]);
+    assert!(old.is_closed_by_peer());
+    moved.send_endpoint_list(3, true, &[rig.endpoint(1, "active")]);
     expect_watch(&mut moved, 3);
     let (backend, mut wire, mut client) = submit(&rig, "1");
     assert_eq!(backend, 1);
@@ -272,21 +274,21 @@
 #[test]
 fn backend_that_returns_with_another_address_is_used_there() {
     for removal_listed in [true, false] {
-        let rig = Rig::start(1, |_| {});
+        let rig = TestBed::start(1, |_| {});
         let mut watch = accept(&rig.discovery);
         watch.head();
-        watch.list(2, true, &rig.instances("active"));
+        watch.send_endpoint_list(2, true, &rig.endpoints("active"));
         expect_watch(&mut watch, 2);
         let (_, mut old, mut client) = submit(&rig, "1");
         answer_part(&mut old, &mut client);
         if removal_listed {
-            watch.list(3, false, &[rig.instance(0, "left")]);
+            watch.send_endpoint_list(3, false, &[rig.endpoint(0, "left")]);
             expect_watch(&mut watch, 3);
         }
         let new_address = listener();
-        let mut returned = rig.instance(0, "active");
+        let mut returned = rig.endpoint(0, "active");
         returned["hostPort"] = json!(addr(&new_address).to_string());
-        watch.list(4, false, &[returned]);
+        watch.send_endpoint_list(4, false, &[returned]);
         expect_watch(&mut watch, 4);
         client.send(query("2", "place-hold", 3000, &[0]));
         let mut new = accept(&new_address);
--- a/crates/mallowgauge/tests/leaving.rs
+++ b/crates/mallowgauge/tests/leaving.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use mallowgauge_edge::peers::wire::{decode, encode, Frame};
-use mallowgauge_testkit::hand::{accept, accept_within, addr, listener, query, Wire};
+use mallowgauge_testkit::manual_peers::{accept, accept_within, addr, listener, query, Connection};
 use mallowgauge_testkit::{config, Program};
 use serde_json::{json, Value};
 
@@ -60,14 +60,14 @@
 /// Submits non-idempotent queries to the first instance until one is admitted. Returns its number, the connection of
 /// its client and its connection to the backend. All instances have just started, and reject such queries until no query
 /// id from before the start can be submitted any more.
-fn submit_until_admitted(programs: &[Program], backend: &TcpListener) -> (u32, Wire, Wire) {
+fn submit_until_admitted(programs: &[Program], backend: &TcpListener) -> (u32, Connection, Connection) {
     for other in ["g1", "g2"] {
         expect_log(&programs[0], &format!("peer {other} connected"));
     }
     let give_up_at = Instant::now() + TIMEOUT;
     let admitted = (0..).find_map(|number| {
         assert!(Instant::now() < give_up_at, "no query was admitted");
-        let mut client = Wire::dial(programs[0].http);
+        let mut client = Connection::connect(programs[0].http);
         client.send(query(&format!("hold-{number}"), "place-hold", 2_000, &[0]));
         accept_within(backend, Duration::from_millis(500)).map(|wire| (number, client, wire))
     });
@@ -81,16 +81,16 @@
     let (backend, discovery) = (listener(), listener());
     let programs = start_cluster(&backend, &discovery);
     let (_, mut client, mut at_backend) = submit_until_admitted(&programs, &backend);
-    let parts = at_backend.call();
+    let parts = at_backend.next_parts();
     programs[0].signal(libc::SIGTERM);
     for other in &programs[1..] {
-        expect_log(other, "peer g0 is left");
+        wait_for_log(other, "peer g0 is left");
     }
     // A second signal changes nothing.
     programs[0].signal(libc::SIGTERM);
     // Leaves enough time for a takeover: two steps of 30 ms and a round of messages.
     std::thread::sleep(Duration::from_millis(300));
-    at_backend.end(&parts[0], "good", "held");
+    at_backend.answer_part(&parts[0], "good", "held");
     let (status, body) = client.response().expect("a final answer");
     assert_eq!(status, 200, "{body}");
 }
@@ -102,14 +102,14 @@
     let (backend, discovery) = (listener(), listener());
     let mut programs = start_cluster(&backend, &discovery);
     let (number, _client, mut at_backend) = submit_until_admitted(&programs, &backend);
-    at_backend.call();
+    at_backend.next_parts();
     programs[0].signal(libc::SIGTERM);
     for other in &programs[1..] {
-        expect_log(other, "peer g0 is left");
+        wait_for_log(other, "peer g0 is left");
     }
     programs[0].child.kill().expect("a process");
     programs[0].child.wait().expect("its end");
-    let mut resubmission = Wire::dial(programs[1].http);
+    let mut resubmission = Connection::connect(programs[1].http);
     let request = query(&format!("hold-{number}"), "place-hold", 1_500, &[0]);
     resubmission.send(request.replace("Req-Kind", "Req-Retry: 1\r\nReq-Kind"));
     let (status, body) = resubmission.response().expect("a final answer");
@@ -139,15 +139,15 @@
     (own.name, own.known, own.incarnation.nonce) = ("g2".to_owned(), None, hello.incarnation.nonce + 1);
     let bytes = encode(&Frame::Hello(own));
     for cut in 0..bytes.len() {
-        let mut closed = Wire::dial(first);
+        let mut closed = Connection::connect(first);
         closed.send(&bytes[..cut]);
         drop(closed);
-        let mut reset = Wire::dial(first);
+        let mut reset = Connection::connect(first);
         reset.send(&bytes[..cut]);
         reset.reset();
     }
     assert!(!logged(&programs[0], "peer g2 connected"));
-    let mut complete = Wire::dial(first);
+    let mut complete = Connection::connect(first);
     complete.send(&bytes);
     expect_log(&programs[0], "peer g2 connected");
     for program in &programs {
