--- a/crates/mallowgauge/tests/leaving.rs
+++ b/crates/mallowgauge/tests/leaving.rs
@@ -45,13 +45,13 @@
     (listens.iter().enumerate().take(running).map(start).collect(), first, others)
 }
 
-fn logged(program: &Program, text: &str) -> bool {
+fn has_logged(program: &Program, text: &str) -> bool {
     program.log.lock().expect("a sound lock").iter().any(|line| line.contains(text))
 }
 
-fn expect_log(program: &Program, text: &str) {
+fn wait_for_log(program: &Program, text: &str) {
     let give_up_at = Instant::now() + TIMEOUT;
-    while !logged(program, text) {
+    while !has_logged(program, text) {
         assert!(Instant::now() < give_up_at, "no line {text}: {:#?}", program.log.lock());
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -62,7 +62,7 @@
 /// id from before the start can be submitted any more.
 fn submit_until_admitted(programs: &[Program], backend: &TcpListener) -> (u32, Connection, Connection) {
     for other in ["g1", "g2"] {
-        expect_log(&programs[0], &format!("peer {other} connected"));
+        wait_for_log(&programs[0], &format!("peer {other} connected"));
     }
     let give_up_at = Instant::now() + TIMEOUT;
     let admitted = (0..).find_map(|number| {
@@ -122,7 +122,7 @@
 fn hello_cut_at_any_byte_makes_no_peer_suspect() {
     let (backend, discovery) = (listener(), listener());
     let (programs, first, others) = start_instances(&backend, &discovery, 2);
-    expect_log(&programs[0], "peer g1 connected");
+    wait_for_log(&programs[0], "peer g1 connected");
     // The first instance dials the third. Its hello is the template for one with the same peer list.
     let mut dialed = accept(&others[0]);
     let mut received = Vec::new();
@@ -146,10 +146,10 @@
         reset.send(&bytes[..cut]);
         reset.reset();
     }
-    assert!(!logged(&programs[0], "peer g2 connected"));
+    assert!(!has_logged(&programs[0], "peer g2 connected"));
     let mut complete = Connection::connect(first);
     complete.send(&bytes);
-    expect_log(&programs[0], "peer g2 connected");
+    wait_for_log(&programs[0], "peer g2 connected");
     for program in &programs {
         for line in [
             "peer g0 is suspect",
@@ -157,7 +157,7 @@
             "connection to peer g0 ended",
             "connection to peer g1 ended",
         ] {
-            assert!(!logged(program, line), "{line}");
+            assert!(!has_logged(program, line), "{line}");
         }
     }
 }
