--- a/crates/edge/tests/parts.rs
+++ b/crates/edge/tests/parts.rs
@@ -12,14 +12,14 @@
 use mallowgauge_flight::{ipc, rows};
 use mallowgauge_router::ShardId;
 use mallowgauge_settings::endpoint_list::parse;
-use mallowgauge_testkit::inner::inside;
+use mallowgauge_testkit::core_scenario::play_in_core;
 use prost::Message;
 use serde_json::{json, Value};
 
 // Guards the cost of calls: what a turn sends to one host is one call, for several queries too.
 #[test]
 fn sends_of_a_turn_share_a_call() {
-    assert_snapshot!(inside("
+    assert_snapshot!(play_in_core("
         wait 10
         send a search 3000 0 1 2 3
         send b search 3000 4 5
@@ -36,7 +36,7 @@
 // Guards against a turn for each event: the next comes a tick after the last.
 #[test]
 fn events_gather_until_the_next_turn() {
-    assert_snapshot!(inside("
+    assert_snapshot!(play_in_core("
         wait 10
         send a search 3000 0
         wait 1
@@ -54,7 +54,7 @@
 
 #[test]
 fn an_answer_goes_out_in_the_turn_after_the_last_part() {
-    assert_snapshot!(inside("
+    assert_snapshot!(play_in_core("
         send a place-hold 3000 0 1
         wait 100
         send part 0 good x
@@ -73,7 +73,7 @@
 // Guards against holding an answer back: a hold that cannot be repeated fails in the same turn.
 #[test]
 fn a_lost_hold_fails_at_once_and_drops_the_rest() {
-    assert_snapshot!(inside("
+    assert_snapshot!(play_in_core("
         send a place-hold 3000 0 1
         wait 100
         send part 0 bad
@@ -91,7 +91,7 @@
 
 #[test]
 fn the_end_of_the_time_is_answered_before_it() {
-    assert_snapshot!(inside("
+    assert_snapshot!(play_in_core("
         send a place-hold 400 0
         wait 1000
         expect
@@ -105,7 +105,7 @@
 
 #[test]
 fn nothing_is_owed_to_a_client_that_left() {
-    assert_snapshot!(inside("
+    assert_snapshot!(play_in_core("
         send a search 3000 0
         wait 100
         close a
@@ -127,7 +127,7 @@
 // Guards the bound: queries and parts are counted, and room comes back with the answer.
 #[test]
 fn the_bound_on_what_is_open_holds() {
-    assert_snapshot!(inside("
+    assert_snapshot!(play_in_core("
         send a search 3000 0 1 2 3 4 5 6 7 8
         send b search 3000 0 1 2 3 4 5 6 7 8
         send c search 3000 0
@@ -160,7 +160,7 @@
 // An id names parts on their way to hosts, so two open queries must not share one.
 #[test]
 fn an_id_that_is_open_is_not_taken_again() {
-    assert_snapshot!(inside("
+    assert_snapshot!(play_in_core("
         send a search 3000 0
         send a search 3000 0
         wait 100
@@ -174,7 +174,7 @@
 
 #[test]
 fn a_spent_deadline_is_said() {
-    assert_snapshot!(inside("
+    assert_snapshot!(play_in_core("
         send a search 0 0
         expect
     "), @r"
@@ -186,7 +186,7 @@
 // Guards the room for queries: a client that states an endless time does not keep its place.
 #[test]
 fn no_query_outlasts_its_class() {
-    assert_snapshot!(inside("
+    assert_snapshot!(play_in_core("
         send a place-hold 3600000 0
         wait 10000
         expect
@@ -272,10 +272,10 @@
     assert!(taken.iter().all(|&count| count > 1_000), "{taken:?}");
 }
 
-// Guards the request that is found by the last look for one: the phases never pass from draining to the
-// exit without asking whether anything is left.
+// Guards requests that are read just before the exit: the phases never pass from draining to stopped without checking
+// whether a request is unanswered.
 #[test]
-fn the_program_stops_only_once_nothing_is_left() {
+fn server_stops_only_once_all_requests_are_answered() {
     let mut lifecycle = Lifecycle::new(3_000_000);
     let mut seen = vec![format!("{:?}", lifecycle.phase())];
     let mut see = |lifecycle: &Lifecycle| seen.push(format!("{:?}", lifecycle.phase()));
@@ -298,20 +298,23 @@
     ");
 }
 
-// Guards what comes after the program was told to end, where deadlines are short or long: the platform kills it
-// no sooner than the longest deadline, of which 3 s count at most, and 0.7 s more.
+// Guards the times of the shutdown, with short and long deadlines: the platform kills the process no sooner than the
+// longest deadline, of which at most 3 s count, plus 0.7 s.
 #[test]
-fn the_last_answer_comes_before_the_program_may_be_killed() {
-    let (told, second) = (10_000_000, 1_000_000);
+fn last_answer_precedes_the_earliest_kill() {
+    let (requested_at, second) = (10_000_000, 1_000_000);
     let end = |longest| {
         let mut lifecycle = Lifecycle::new(longest);
         lifecycle.start_serving();
         assert_eq!(lifecycle.answer_deadline(), None);
-        lifecycle.request_shutdown(told);
-        // A second signal moves nothing, and clients never stop to connect.
-        lifecycle.request_shutdown(told + second);
-        lifecycle.connection_accepted(told + 10 * second);
-        (lifecycle.poll_timeout().map(|at| at - told), lifecycle.answer_deadline().map(|at| at - told))
+        lifecycle.request_shutdown(requested_at);
+        // A second signal changes nothing, and clients never stop connecting.
+        lifecycle.request_shutdown(requested_at + second);
+        lifecycle.connection_accepted(requested_at + 10 * second);
+        (
+            lifecycle.poll_timeout().map(|at| at - requested_at),
+            lifecycle.answer_deadline().map(|at| at - requested_at),
+        )
     };
     assert_eq!(end(300_000), (Some(800_000), Some(900_000)));
     assert_eq!(end(3_000_000), (Some(2_000_000), Some(3_600_000)));
@@ -356,30 +359,30 @@
     "#);
 }
 
-// Guards the memory of a long day: the name of a host that has left, or that a whole list lacks, is
-// forgotten, and its number is not given out again.
+// Guards against memory growth over long runs: the name of a backend that was removed, or that a snapshot lacks, is
+// deleted, and its id is not reused.
 #[test]
-fn hosts_that_have_left_are_forgotten() {
+fn removed_backends_are_deregistered() {
     let mut registry = BackendRegistry::default();
     let mut seen = Vec::new();
-    let mut tell = |reset: bool, told: &[(&str, &str)]| {
-        let host = |(name, state): &(&str, &str)| json!({"instanceId": name, "hostPort": "127.0.0.1:1", "cell": 0, "lifecycle": state});
-        let instances: Vec<Value> = told.iter().map(host).collect();
+    let mut apply = |reset: bool, listed: &[(&str, &str)]| {
+        let instance = |(name, state): &(&str, &str)| json!({"instanceId": name, "hostPort": "127.0.0.1:1", "cell": 0, "lifecycle": state});
+        let instances: Vec<Value> = listed.iter().map(instance).collect();
         let list = parse(&json!({"generation": 1, "reset": reset, "instances": instances})).expect("a list");
         let update = registry.apply(&list);
-        let named: Vec<String> =
-            update.named.iter().map(|(id, host)| format!("{}={}", host.id, id.0)).collect();
-        let gone: Vec<u32> = update.removed.iter().map(|id| id.0).collect();
-        seen.push(format!("{} forgets {gone:?}", named.join(" ")));
+        let listed: Vec<String> =
+            update.listed.iter().map(|(id, backend)| format!("{}={}", backend.id, id.0)).collect();
+        let removed: Vec<u32> = update.removed.iter().map(|id| id.0).collect();
+        seen.push(format!("{} removed {removed:?}", listed.join(" ")));
     };
-    tell(true, &[("a", "active"), ("b", "active"), ("c", "active")]);
-    tell(false, &[("a", "left"), ("d", "active")]);
-    tell(false, &[("a", "left"), ("a", "active")]);
-    tell(true, &[("b", "leaving"), ("a", "active")]);
+    apply(true, &[("a", "active"), ("b", "active"), ("c", "active")]);
+    apply(false, &[("a", "left"), ("d", "active")]);
+    apply(false, &[("a", "left"), ("a", "active")]);
+    apply(true, &[("b", "leaving"), ("a", "active")]);
     assert_snapshot!(seen.join("\n"), @r"
-    a=0 b=1 c=2 forgets []
-    a=0 d=3 forgets [0]
-    a=4 forgets []
-    b=1 a=4 forgets [2, 3]
+    a=0 b=1 c=2 removed []
+    a=0 d=3 removed [0]
+    a=4 removed []
+    b=1 a=4 removed [2, 3]
     ");
 }
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -4,8 +4,8 @@
 
 use std::collections::BTreeSet;
 
-use mallowgauge_testkit::trial::relay::Fault;
-use mallowgauge_testkit::trial::strangers::Act;
+use mallowgauge_testkit::fault_injection::misbehaving_peers::Misbehavior;
+use mallowgauge_testkit::fault_injection::relay::Fault;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -128,13 +128,13 @@
 }
 
 impl Held {
-    /// As logs say it.
+    /// The word for this state in the log of a process.
     #[must_use]
     pub fn word(self) -> &'static str {
         match self {
             Self::Alive => "alive",
-            Self::Doubted => "doubted",
-            Self::Gone => "gone",
+            Self::Doubted => "suspect",
+            Self::Gone => "dead",
             Self::Left => "left",
         }
     }
@@ -186,7 +186,7 @@
     /// In whose name, where the act needs one.
     pub name: String,
     /// What it does.
-    pub act: Act,
+    pub act: Misbehavior,
     /// For so long at most.
     pub ms: u64,
     /// Whether the process has to close the connection by itself.
