--- a/crates/edge/src/server/accept.rs
+++ b/crates/edge/src/server/accept.rs
@@ -115,7 +115,7 @@
     pub(super) fn accept_http(&mut self) {
         loop {
             let now = self.clock.now();
-            if !self.http.has_room(now, &mut self.core) {
+            if !self.http.ensure_capacity(now, &mut self.core) {
                 return self.listeners.pause(now, &"HTTP connection limit reached");
             }
             let Some(socket) = self.listeners.accept(now, Frontend::Http) else { return };
@@ -131,7 +131,7 @@
         }
         loop {
             let now = self.clock.now();
-            if !self.flight.has_room() {
+            if !self.flight.ensure_capacity() {
                 return self.listeners.pause(now, &"Flight connection limit reached");
             }
             let Some(socket) = self.listeners.accept(now, Frontend::Flight) else { return };
