--- a/crates/mallowgauge/tests/upstream_crossings.rs
+++ b/crates/mallowgauge/tests/upstream_crossings.rs
@@ -113,20 +113,20 @@
 #[test]
 fn nothing_that_waited_for_a_dial_goes_to_a_host_that_drains() {
     let news = |rig: &TestBed| (false, vec![rig.endpoint(0, "leaving"), rig.endpoint(1, "active")]);
-    a_hold_moves(news, "host s-0 is Draining", first_alone);
+    a_hold_moves(news, "backend s-0 is Draining", first_alone);
 }
 
 #[test]
 fn nothing_that_waited_for_a_dial_goes_to_a_host_that_has_left() {
     let news = |rig: &TestBed| (false, vec![rig.endpoint(0, "left"), started(rig.endpoint(1, "active"), 1)]);
-    a_hold_moves(news, "host s-1 is Ready", first_alone);
+    a_hold_moves(news, "backend s-1 is Ready", first_alone);
 }
 
 // What a whole list does not name is gone.
 #[test]
 fn nothing_that_waited_for_a_dial_goes_to_a_host_that_the_list_lacks() {
     let news = |rig: &TestBed| (true, vec![started(rig.endpoint(1, "active"), 1)]);
-    a_hold_moves(news, "host s-1 is Ready", first_alone);
+    a_hold_moves(news, "backend s-1 is Ready", first_alone);
 }
 
 // Guards the shards of another host that has got the address: parts go where their host is now.
@@ -137,7 +137,7 @@
         moved["hostPort"] = json!(addr(&rig.backends[1]).to_string());
         (false, vec![moved])
     };
-    a_hold_moves(news, "host s-0 is Ready", |file| {
+    a_hold_moves(news, "backend s-0 is Ready", |file| {
         first_alone(file);
         file["known"]["instances"].as_array_mut().expect("hosts").truncate(1);
     });
@@ -189,7 +189,7 @@
     let mut first = accept(&rig.backends[0]);
     only(first.next_parts());
     discovery.send_endpoint_list(2, false, &[started(rig.endpoint(1, "active"), 1)]);
-    rig.wait_for_log("host s-1 is Ready");
+    rig.wait_for_log("backend s-1 is Ready");
     first.reset();
     held.wait_for_attempts(1);
     std::thread::sleep(Duration::from_millis(600));
@@ -213,7 +213,7 @@
     let _client = ask(&rig, "1", "place-hold", 3_500, &[0]);
     held.wait_for_attempts(1);
     discovery.send_endpoint_list(2, false, &[started(rig.endpoint(1, "active"), 1)]);
-    rig.wait_for_log("host s-1 is Ready");
+    rig.wait_for_log("backend s-1 is Ready");
     // Beside answers that came since it was sent, it is overdue.
     let mut other = ask(&rig, "2", "search", 3_000, &[0]);
     let mut second = accept(&rig.backends[1]);
@@ -380,7 +380,7 @@
     assert_eq!(status(&mut client), 200);
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_millis() as u64;
     discovery.send_endpoint_list(2, false, &[started(rig.endpoint(0, "active"), now + 1)]);
-    rig.wait_for_log("host s-0 is Ready");
+    rig.wait_for_log("backend s-0 is Ready");
     client.send(query("2", "place-hold", 3_000, &[0]));
     serve(&mut accept(&rig.backends[0]));
     assert_eq!(status(&mut client), 200);
--- a/crates/router/src/slow_start.rs
+++ b/crates/router/src/slow_start.rs
@@ -25,7 +25,7 @@
 /// Lower bound of a backend's assumed capacity, as a fraction of its full capacity.
 const MIN_CAPACITY_FRACTION: f64 = 0.01;
 /// Used in place of a shard to hash a query as a whole.
-const PLACEHOLDER_SHARD: ShardId = ShardId(u32::MAX);
+const DUMMY_SHARD: ShardId = ShardId(u32::MAX);
 
 /// Work that was sent to one backend within the overload window.
 #[derive(Clone, Debug, Default)]
@@ -189,8 +189,8 @@
         let expected_parts = parts * replica_count / demand.ready_backends * capacity / replica_capacity;
         let known_windows = demand.traffic.age(now) as f64 / window.max(1) as f64;
         let quota = quota * known_windows.clamp(NEW_ROUTER_FRACTION, 1.0);
-        let draw = unit_interval(hash_query_shard(demand.query, PLACEHOLDER_SHARD)) * demand_factor
-            / DRAWN_CAPACITY_USE;
+        let draw =
+            unit_interval(hash_query_shard(demand.query, DUMMY_SHARD)) * demand_factor / DRAWN_CAPACITY_USE;
         // Queries pass in proportion to the mean warm-up fraction of the replicas, whatever the quota.
         let within_mean_capacity = draw < replica_capacity / replica_count;
         let within_quota = draw * work * expected_parts < quota;
