--- a/crates/edge/src/front/flight/auth.rs
+++ b/crates/edge/src/front/flight/auth.rs
@@ -61,7 +61,7 @@
 }
 
 fn unauthenticated() -> Status {
-    Status::new(Code::Unauthenticated, "who asks is not known").because("UNAUTHENTICATED")
+    Status::new(Code::Unauthenticated, "who asks is not known").with_reason("UNAUTHENTICATED")
 }
 
 fn session_cookie(headers: &HeaderMap) -> Option<SessionId> {
@@ -119,10 +119,9 @@
             }
             Credentials::Token(sealed) => {
                 let token = self.key.read_token(now, &sealed).map_err(|error| match error {
-                    seal::Bad::Expired => {
-                        Status::new(Code::Unauthenticated, "the token has expired").because("TOKEN_EXPIRED")
-                    }
-                    seal::Bad::Forged => unauthenticated(),
+                    seal::SealError::Expired => Status::new(Code::Unauthenticated, "the token has expired")
+                        .with_reason("TOKEN_EXPIRED"),
+                    seal::SealError::Forged => unauthenticated(),
                 })?;
                 if !users.contains_key(&token.user) {
                     return Err(unauthenticated());
@@ -147,12 +146,14 @@
     ) -> Result<Rc<str>, Status> {
         let Some(users) = &self.users else { return Ok("".into()) };
         admission.admit_handshake(now).map_err(|full| {
-            Status::new(Code::ResourceExhausted, full.message).because("HANDSHAKES").retry(full.retry_after)
+            Status::new(Code::ResourceExhausted, full.message)
+                .with_reason("HANDSHAKES")
+                .with_retry_after(full.retry_after)
         })?;
         // An unknown user takes as long as a wrong password.
         let nobody = || users.values().next().map_or("", String::as_str);
         let line = users.get(name).map_or_else(nobody, String::as_str);
-        let fits = seal::password_fits(line, password);
+        let fits = seal::verify_password(line, password);
         if fits && users.contains_key(name) {
             Ok(name.into())
         } else {
@@ -168,6 +169,6 @@
             session_high: (session >> 64) as u64,
             session_low: session as u64,
         };
-        STANDARD.encode(self.key.token(&token))
+        STANDARD.encode(self.key.sign_token(&token))
     }
 }
--- a/crates/edge/src/front/flight/batch_driver.rs
+++ b/crates/edge/src/front/flight/batch_driver.rs
@@ -110,7 +110,7 @@
             Ok(()) => {}
             Err(BatchError::TagInUse) => {
                 let status = Status::new(Code::AlreadyExists, "the tag stands for an open query");
-                return Err(status.because("TAG_IN_USE"));
+                return Err(status.with_reason("TAG_IN_USE"));
             }
             Err(BatchError::Closed) => {
                 self.deliver(now, &tag, "", Err(draining()), service, core);
--- a/crates/edge/src/front/flight/batch_stream.rs
+++ b/crates/edge/src/front/flight/batch_stream.rs
@@ -165,7 +165,7 @@
         let schema = self.columns.is_empty();
         let header = data.data_header.clone();
         self.columns
-            .take(data)
+            .push(data)
             .map_err(|reason| invalid_argument(format!("the table makes no sense: {reason}")))?;
         if schema {
             self.received_schema = header;
@@ -193,6 +193,6 @@
 }
 
 fn rows_of(schema: &Bytes, messages: &[Message]) -> Result<Vec<Map<String, Value>>, String> {
-    let text = rows::json(schema, messages)?;
+    let text = rows::to_json(schema, messages)?;
     serde_json::from_str(&text).map_err(|e| e.to_string())
 }
--- a/crates/edge/src/front/flight/call.rs
+++ b/crates/edge/src/front/flight/call.rs
@@ -131,7 +131,7 @@
             state: work,
             arrived_at: now,
             body: Some(request.into_body()),
-            deframer: Deframer::new(message).encoded(head.encoding),
+            deframer: Deframer::new(message).with_encoding(head.encoding),
             head,
             unreleased: 0,
             partial_since: None,
@@ -209,7 +209,7 @@
     /// The message is malformed or too large, or the stream broke off.
     pub fn read(&mut self, now: Micros, context: &mut Context<'_>) -> Result<Read, Status> {
         loop {
-            if let Some(message) = self.deframer.take().map_err(grpc::Bad::status)? {
+            if let Some(message) = self.deframer.next_message().map_err(grpc::FrameError::status)? {
                 let used = self.unreleased - self.deframer.len();
                 self.release(used);
                 self.partial_since = (!self.deframer.is_empty()).then_some(now);
@@ -314,7 +314,7 @@
         let mut response = Response::new(());
         let headers = response.headers_mut();
         headers.insert("content-type", HeaderValue::from_static(grpc::CONTENT_TYPE));
-        headers.insert("grpc-accept-encoding", HeaderValue::from_static(grpc::ACCEPTED));
+        headers.insert("grpc-accept-encoding", HeaderValue::from_static(grpc::ACCEPTED_ENCODINGS));
         if self.head.encoding == Encoding::Gzip {
             headers.insert("grpc-encoding", HeaderValue::from_static("gzip"));
         }
@@ -412,7 +412,7 @@
                     Some(_) => drop(pieces.pop_front()),
                     None => drop(self.outbound.pop_front()),
                 },
-                OutboundItem::Table(answer) => match answer.message() {
+                OutboundItem::Table(answer) => match answer.next_message() {
                     Ok(Some(pieces)) => self.outbound.push_front(OutboundItem::Pieces(pieces.into())),
                     Ok(None) => drop(self.outbound.pop_front()),
                     Err(reason) => {
--- a/crates/edge/src/front/flight/command.rs
+++ b/crates/edge/src/front/flight/command.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use mallowgauge_core::{Core, QueryRequest};
 use mallowgauge_flight::grpc::Status;
-use mallowgauge_flight::proto::{FlightDescriptor, COMMAND};
+use mallowgauge_flight::proto::{FlightDescriptor, DESCRIPTOR_COMMAND};
 use mallowgauge_flight::seal::fingerprint;
 use mallowgauge_router::{ClassId, Micros};
 use serde_json::{json, Map, Value};
@@ -37,7 +37,7 @@
         core: &Core,
         default_id: &str,
     ) -> Result<Self, Status> {
-        if descriptor.r#type != COMMAND {
+        if descriptor.r#type != DESCRIPTOR_COMMAND {
             return Err(invalid_argument("the descriptor holds no command"));
         }
         Self::from_json(&descriptor.cmd, core, default_id)
--- a/crates/edge/src/front/flight/method.rs
+++ b/crates/edge/src/front/flight/method.rs
@@ -22,14 +22,14 @@
 impl Method {
     /// The method of a path.
     pub fn from_path(path: &str) -> Option<Self> {
-        if let Some(name) = path.strip_prefix(grpc::HEALTH) {
+        if let Some(name) = path.strip_prefix(grpc::HEALTH_SERVICE_PATH) {
             return match name {
                 "Check" => Some(Self::HealthCheck),
                 "Watch" => Some(Self::HealthWatch),
                 _ => None,
             };
         }
-        Some(match path.strip_prefix(grpc::SERVICE)? {
+        Some(match path.strip_prefix(grpc::FLIGHT_SERVICE_PATH)? {
             "Handshake" => Self::Handshake,
             "ListFlights" => Self::ListFlights,
             "GetFlightInfo" => Self::GetFlightInfo,
--- a/crates/edge/src/front/flight/methods/actions.rs
+++ b/crates/edge/src/front/flight/methods/actions.rs
@@ -98,7 +98,7 @@
             "Advice" => Some(retry_advice(service, core).into_bytes()),
             _ => {
                 let status = Status::new(Code::Unimplemented, "there is no such action here");
-                return Err(status.because("NO_SUCH_ACTION"));
+                return Err(status.with_reason("NO_SUCH_ACTION"));
             }
         };
         if let Some(body) = result {
--- a/crates/edge/src/front/flight/methods/get.rs
+++ b/crates/edge/src/front/flight/methods/get.rs
@@ -44,14 +44,14 @@
         }
         if !core.is_idempotent(command.class) && !ticket.polled && ticket.issuer != service.issuer {
             let reason = "a ticket with an effect counts only where it was made; ask for a new one";
-            return Err(Status::new(Code::FailedPrecondition, reason).because("OTHER_ISSUER"));
+            return Err(Status::new(Code::FailedPrecondition, reason).with_reason("OTHER_ISSUER"));
         }
         let request = command.request(self.remaining_time(now), self.head.options.timeout, core)?;
         let spec = PolledQuerySpec {
             request_hash: command.fingerprint(),
             non_idempotent: !core.is_idempotent(command.class),
             polled: ticket.polled,
-            ticket_created_at: Some(ticket.made),
+            ticket_created_at: Some(ticket.issued_at),
         };
         match service.submit(now, core, id, "", key, spec, request) {
             SubmitResult::Pending(waiter) => {
@@ -82,7 +82,7 @@
         Some(PolledState::Cancelled) => Err(rejection_status(RejectReason::Cancelled)),
         None => {
             let status = Status::new(Code::NotFound, "its outcome is no longer kept");
-            Err(status.because("OUTCOME_FORGOTTEN"))
+            Err(status.with_reason("OUTCOME_FORGOTTEN"))
         }
     }
 }
--- a/crates/edge/src/front/flight/methods/info.rs
+++ b/crates/edge/src/front/flight/methods/info.rs
@@ -4,7 +4,9 @@
 use mallowgauge_core::{Core, QueryResponse, Value as QueryValue};
 use mallowgauge_flight::answer::{self, Stream};
 use mallowgauge_flight::grpc::{Code, Status};
-use mallowgauge_flight::proto::{Criteria, FlightDescriptor, FlightEndpoint, FlightInfo, SchemaResult, PATH};
+use mallowgauge_flight::proto::{
+    Criteria, FlightDescriptor, FlightEndpoint, FlightInfo, SchemaResult, DESCRIPTOR_PATH,
+};
 use mallowgauge_router::{ClassId, Micros, ShardId};
 use serde_json::{json, Map, Value};
 
@@ -23,7 +25,7 @@
 
 /// The schema of a response's values, as `FlightInfo` carries it.
 pub fn schema_of_values(values: &[(ShardId, QueryValue)]) -> Option<Bytes> {
-    Stream::columns(values).ok().and_then(|schema| answer::schema_message(&schema).ok())
+    Stream::schema(values).ok().and_then(|schema| answer::schema_message(&schema).ok())
 }
 
 impl Call {
@@ -58,12 +60,12 @@
     ) -> Result<(), Status> {
         let descriptor = decode_descriptor(message)?;
         let class = match descriptor.r#type {
-            PATH => descriptor.path.first().and_then(|name| core.class_id(name)),
+            DESCRIPTOR_PATH => descriptor.path.first().and_then(|name| core.class_id(name)),
             _ => Some(Command::from_descriptor(&descriptor, core, UNUSED_ID)?.class),
         };
         let class = class.ok_or_else(|| invalid_argument("the class is unknown"))?;
         let schema = service.schema(class).ok_or_else(|| {
-            Status::new(Code::NotFound, "no host has shown its columns yet").because("SCHEMA_UNKNOWN")
+            Status::new(Code::NotFound, "no host has shown its columns yet").with_reason("SCHEMA_UNKNOWN")
         })?;
         self.reply(now, &SchemaResult { schema });
         Ok(())
@@ -182,7 +184,7 @@
 
 fn listed_info(path: Vec<String>, metadata: &Value) -> FlightInfo {
     FlightInfo {
-        flight_descriptor: Some(FlightDescriptor { r#type: PATH, cmd: Bytes::new(), path }),
+        flight_descriptor: Some(FlightDescriptor { r#type: DESCRIPTOR_PATH, cmd: Bytes::new(), path }),
         total_records: UNKNOWN_TOTAL,
         total_bytes: UNKNOWN_TOTAL,
         app_metadata: metadata.to_string().into(),
--- a/crates/edge/src/front/flight/methods/poll.rs
+++ b/crates/edge/src/front/flight/methods/poll.rs
@@ -150,7 +150,9 @@
                 })
             }
             Some(PolledState::Cancelled) => Err(rejection_status(RejectReason::Cancelled)),
-            None => Err(Status::new(Code::NotFound, "it is no longer known").because("OUTCOME_FORGOTTEN")),
+            None => {
+                Err(Status::new(Code::NotFound, "it is no longer known").with_reason("OUTCOME_FORGOTTEN"))
+            }
         }
     }
 }
--- a/crates/edge/src/front/flight/methods/sessions.rs
+++ b/crates/edge/src/front/flight/methods/sessions.rs
@@ -23,10 +23,10 @@
 pub fn option_from_wire(value: SessionOptionValue) -> Option<Setting> {
     Some(match value.option_value {
         None => Setting::Unset,
-        Some(OptionValue::Text(text)) => Setting::Text(text),
-        Some(OptionValue::Flag(flag)) => Setting::Flag(flag),
-        Some(OptionValue::Whole(number)) => Setting::Integer(number),
-        Some(OptionValue::Number(_) | OptionValue::Texts(_)) => return None,
+        Some(OptionValue::String(text)) => Setting::Text(text),
+        Some(OptionValue::Bool(flag)) => Setting::Flag(flag),
+        Some(OptionValue::Int64(number)) => Setting::Integer(number),
+        Some(OptionValue::Double(_) | OptionValue::StringList(_)) => return None,
     })
 }
 
@@ -34,9 +34,9 @@
 pub fn option_to_wire(value: Setting) -> SessionOptionValue {
     let option_value = match value {
         Setting::Unset => None,
-        Setting::Text(text) => Some(OptionValue::Text(text)),
-        Setting::Flag(flag) => Some(OptionValue::Flag(flag)),
-        Setting::Integer(number) => Some(OptionValue::Whole(number)),
+        Setting::Text(text) => Some(OptionValue::String(text)),
+        Setting::Flag(flag) => Some(OptionValue::Bool(flag)),
+        Setting::Integer(number) => Some(OptionValue::Int64(number)),
     };
     SessionOptionValue { option_value }
 }
--- a/crates/edge/src/front/flight/response.rs
+++ b/crates/edge/src/front/flight/response.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use mallowgauge_core::two_phase::Ranked;
 use mallowgauge_core::{Core, Failure, QueryResponse, Value as QueryValue};
-use mallowgauge_flight::answer::{self, Stream, Style};
+use mallowgauge_flight::answer::{self, Stream, StreamOptions};
 use mallowgauge_flight::grpc::{self, Code, Status};
 use mallowgauge_flight::proto::PutResult;
 use mallowgauge_router::{Micros, ShardId};
@@ -37,15 +37,15 @@
             _ => false,
         };
         if self.head.options.complete_only && partial {
-            return Err(Status::new(Code::Aborted, "only a part of it is in").because("PARTIAL"));
+            return Err(Status::new(Code::Aborted, "only a part of it is in").with_reason("PARTIAL"));
         }
         Ok(Rc::clone(response))
     }
 
     /// How tables to this client are encoded.
-    fn table_style(&self) -> Style {
+    fn table_style(&self) -> StreamOptions {
         let compression = self.head.options.compression;
-        Style { compression, encoding: self.encoding(), ..Style::default() }
+        StreamOptions { compression, encoding: self.encoding(), ..StreamOptions::default() }
     }
 
     /// Takes the outcome of one of this call's queries.
@@ -84,11 +84,11 @@
         let stream = match response {
             QueryResponse::Completed { complete, values } => {
                 let last = json!({ "total": complete }).to_string().into();
-                Stream::new(values, Style { last, ..style })
+                Stream::new(values, StreamOptions { final_metadata: last, ..style })
             }
             QueryResponse::Ranked(ranked) => {
                 let last = query::ranked_summary(ranked).to_string().into();
-                Stream::ranked(&ranked.rows, Style { last, ..style })
+                Stream::ranked(&ranked.rows, StreamOptions { final_metadata: last, ..style })
             }
             _ => return,
         };
@@ -139,7 +139,11 @@
 }
 
 /// The result of one row of a `DoPut`, and its size in bytes: all of the outcome stands in its metadata.
-fn put_result(mut metadata: Value, response: Option<&QueryResponse>, style: &Style) -> (OutboundItem, usize) {
+fn put_result(
+    mut metadata: Value,
+    response: Option<&QueryResponse>,
+    style: &StreamOptions,
+) -> (OutboundItem, usize) {
     if let Some(ranked) = ranked_of(response) {
         metadata["rows"] = query::write_ranked(ranked)["rows"].take();
     }
@@ -161,21 +165,21 @@
     tag: &str,
     mut metadata: Value,
     response: Option<&QueryResponse>,
-    style: Style,
+    style: StreamOptions,
 ) -> (OutboundItem, usize) {
     let (values, ranked) = (values_of(response), ranked_of(response));
     let header = match ranked {
-        Some(_) => Some(Stream::ranked_header()),
-        None => Stream::header(values).ok().filter(|_| !values.is_empty()),
+        Some(_) => Some(Stream::ranked_schema_header()),
+        None => Stream::schema_header(values).ok().filter(|_| !values.is_empty()),
     };
     let fits = match (&header, &stream.sent_schema) {
         (Some(header), Some(sent)) => header == sent,
         (header, _) => header.is_some(),
     };
-    let style = Style {
-        each: json!({ "tag": tag }).to_string().into(),
-        last: metadata.to_string().into(),
-        headless: stream.sent_schema.is_some(),
+    let style = StreamOptions {
+        batch_metadata: json!({ "tag": tag }).to_string().into(),
+        final_metadata: metadata.to_string().into(),
+        schema_sent: stream.sent_schema.is_some(),
         ..style
     };
     let encoding = style.encoding;
@@ -255,7 +259,7 @@
         Code::Cancelled => "cancelled",
         _ => "failed",
     };
-    let mut metadata = json!({"status": kind, "error": status.words});
+    let mut metadata = json!({"status": kind, "error": status.message});
     if let Some(reason) = status.reason {
         metadata["reason"] = json!(reason);
     }
--- a/crates/edge/src/front/flight/status.rs
+++ b/crates/edge/src/front/flight/status.rs
@@ -22,7 +22,7 @@
 
 /// The server shuts down and begins nothing new.
 pub fn draining() -> Status {
-    Status::new(Code::Unavailable, "this gatherer ends").because("DRAINING").retry(1)
+    Status::new(Code::Unavailable, "this gatherer ends").with_reason("DRAINING").with_retry_after(1)
 }
 
 /// The status of a query that was rejected or failed; `None` for one that was answered.
@@ -34,12 +34,12 @@
         QueryResponse::Completed { .. } | QueryResponse::Ranked(_) => return None,
         QueryResponse::Rejected { retry_after, not_executed } => {
             let code = if *not_executed { Code::Unavailable } else { Code::ResourceExhausted };
-            Status::new(code, "refused").because("REFUSED").retry(*retry_after)
+            Status::new(code, "refused").with_reason("REFUSED").with_retry_after(*retry_after)
         }
         QueryResponse::Failed(Failure::Invalid(error)) => Status::new(Code::InvalidArgument, error.message()),
         QueryResponse::Failed(Failure::PartsFailed) => Status::new(Code::Internal, "parts could not be had"),
         QueryResponse::Failed(Failure::MemoryExhausted) => {
-            Status::new(Code::Internal, "the tables found no room").because("NO_ROOM")
+            Status::new(Code::Internal, "the tables found no room").with_reason("NO_ROOM")
         }
         QueryResponse::Failed(Failure::DeadlineExceeded) => {
             Status::new(Code::DeadlineExceeded, "time ran out")
@@ -51,16 +51,16 @@
 pub fn rejection_status(reason: RejectReason) -> Status {
     match reason {
         RejectReason::DifferentBody => {
-            Status::new(Code::AlreadyExists, "the id stands for another query").because("ID_IN_USE")
+            Status::new(Code::AlreadyExists, "the id stands for another query").with_reason("ID_IN_USE")
         }
         RejectReason::Forgotten => {
             Status::new(Code::FailedPrecondition, "it may have run, and its outcome is forgotten")
-                .because("OUTCOME_FORGOTTEN")
+                .with_reason("OUTCOME_FORGOTTEN")
         }
-        RejectReason::Cancelled => Status::new(Code::Cancelled, "it was cancelled").because("CANCELLED"),
+        RejectReason::Cancelled => Status::new(Code::Cancelled, "it was cancelled").with_reason("CANCELLED"),
         RejectReason::Full => {
             let status = Status::new(Code::Unavailable, "too many flights run");
-            status.because("FULL").retry(FULL_RETRY_AFTER)
+            status.with_reason("FULL").with_retry_after(FULL_RETRY_AFTER)
         }
     }
 }
--- a/crates/edge/src/front/flight/stream_accept.rs
+++ b/crates/edge/src/front/flight/stream_accept.rs
@@ -79,12 +79,12 @@
     let method = Method::from_path(request.uri().path())
         .ok_or_else(|| Status::new(Code::Unimplemented, "there is no such method here"))?;
     if let Some(text) = header(headers, "grpc-timeout") {
-        let timeout = grpc::read_timeout(text);
+        let timeout = grpc::parse_timeout(text);
         head.timeout = Some(timeout.ok_or_else(|| invalid_argument("grpc-timeout makes no sense"))?);
     }
-    let encoding = header(headers, "grpc-encoding").map_or(Some(Encoding::Identity), Encoding::named);
+    let encoding = header(headers, "grpc-encoding").map_or(Some(Encoding::Identity), Encoding::from_name);
     head.encoding = encoding.ok_or_else(|| {
-        Status::new(Code::Unimplemented, "this grpc-encoding is not understood").because("ENCODING")
+        Status::new(Code::Unimplemented, "this grpc-encoding is not understood").with_reason("ENCODING")
     })?;
     if method.requires_identity() {
         head.identity = service.authenticator.identify(now, headers, &mut service.admission)?;
@@ -92,7 +92,7 @@
     let options = head.identity.session.and_then(|id| service.sessions.touch(now, id));
     head.options = options.unwrap_or_default();
     service.admission.admit_call().map_err(|full| {
-        Status::new(Code::Unavailable, full.message).because("FULL").retry(full.retry_after)
+        Status::new(Code::Unavailable, full.message).with_reason("FULL").with_retry_after(full.retry_after)
     })?;
     Ok((method, head))
 }
@@ -102,7 +102,7 @@
     let mut response = Response::new(());
     let headers = response.headers_mut();
     headers.insert("content-type", http::HeaderValue::from_static(grpc::CONTENT_TYPE));
-    headers.insert("grpc-accept-encoding", http::HeaderValue::from_static(grpc::ACCEPTED));
+    headers.insert("grpc-accept-encoding", http::HeaderValue::from_static(grpc::ACCEPTED_ENCODINGS));
     headers.extend(status.trailers());
     let _ = respond.send_response(response, true);
 }
--- a/crates/edge/src/front/flight/tickets.rs
+++ b/crates/edge/src/front/flight/tickets.rs
@@ -37,13 +37,13 @@
         let expires = now.saturating_add(self.ticket_lifetime);
         let ticket = seal::Ticket {
             command: command.text(),
-            made,
+            issued_at: made,
             expires,
             user: user.to_owned(),
             issuer: self.issuer,
             polled,
         };
-        let ticket = Some(Ticket { ticket: self.seal_key.ticket(&ticket) });
+        let ticket = Some(Ticket { ticket: self.seal_key.sign_ticket(&ticket) });
         FlightEndpoint { ticket, expiration_time: Some(timestamp(expires)), ..FlightEndpoint::default() }
     }
 
@@ -58,10 +58,12 @@
         identity: &Identity,
     ) -> Result<seal::Ticket, Status> {
         let ticket = self.seal_key.read_ticket(now, sealed).map_err(|error| match error {
-            seal::Bad::Expired => {
-                Status::new(Code::NotFound, "the ticket has expired").because("TICKET_EXPIRED")
+            seal::SealError::Expired => {
+                Status::new(Code::NotFound, "the ticket has expired").with_reason("TICKET_EXPIRED")
+            }
+            seal::SealError::Forged => {
+                Status::new(Code::InvalidArgument, "a bad ticket").with_reason("TICKET_FORGED")
             }
-            seal::Bad::Forged => Status::new(Code::InvalidArgument, "a bad ticket").because("TICKET_FORGED"),
         })?;
         if *ticket.user != *identity.user {
             return Err(Status::new(Code::PermissionDenied, "the ticket is another user's"));
@@ -84,7 +86,7 @@
         let mut commands = Vec::new();
         for ticket in tickets {
             let ticket = self.open_ticket(now, &ticket.ticket, identity)?;
-            commands.push((Command::from_json(&ticket.command, core, UNUSED_ID)?, ticket.made));
+            commands.push((Command::from_json(&ticket.command, core, UNUSED_ID)?, ticket.issued_at));
         }
         if commands.is_empty() {
             let descriptor = info
@@ -117,10 +119,10 @@
         }
         if !core.is_idempotent(command.class) && ticket.issuer != self.issuer {
             return Err(Status::new(Code::FailedPrecondition, "it counts only where it was made")
-                .because("OTHER_ISSUER"));
+                .with_reason("OTHER_ISSUER"));
         }
         self.polled_queries.renew(now, &key);
-        let renewed = self.issue_endpoint(now, &command, &identity.user, ticket.made, ticket.polled);
+        let renewed = self.issue_endpoint(now, &command, &identity.user, ticket.issued_at, ticket.polled);
         Ok(FlightEndpoint { app_metadata: endpoint.app_metadata, location: endpoint.location, ..renewed })
     }
 
@@ -144,7 +146,7 @@
             request_hash: command.fingerprint(),
             non_idempotent: effect,
             polled: false,
-            ticket_created_at: Some(ticket.made),
+            ticket_created_at: Some(ticket.issued_at),
         };
         self.polled_queries.revoke(now, &key, spec).map_err(rejection_status)
     }
--- a/crates/edge/src/front/query.rs
+++ b/crates/edge/src/front/query.rs
@@ -177,7 +177,7 @@
     let text = |(shard, value): &(ShardId, core::Value)| {
         let blob = match value {
             core::Value::Text(text) => Value::from(&**text),
-            core::Value::Table(table) => Value::from(rows::json(&table.schema, &table.messages)?),
+            core::Value::Table(table) => Value::from(rows::to_json(&table.schema, &table.messages)?),
         };
         Ok(json!({"range": shard.0, "blob": blob}))
     };
--- a/crates/edge/src/server/dispatch.rs
+++ b/crates/edge/src/server/dispatch.rs
@@ -156,14 +156,14 @@
     fn attempt_succeeded(&mut self, now: Micros, attempt: AttemptId, value: Value) {
         if let (true, Value::Table(table)) = (self.core.is_planned(attempt), &value) {
             // Queries in two phases rank rows as text, whatever form these came in.
-            return match rows::json(&table.schema, &table.messages) {
+            return match rows::to_json(&table.schema, &table.messages) {
                 Ok(text) => {
                     self.core.attempt_completed(now, attempt, Outcome::Succeeded, Some(text.into()));
                 }
                 Err(_) => self.core.attempt_completed(now, attempt, Outcome::ConnectionLost, None),
             };
         }
-        match schema::fits(self.core.received_value(attempt), &value) {
+        match schema::check_value_schema(self.core.received_value(attempt), &value) {
             Ok(()) => self.core.attempt_completed(now, attempt, Outcome::Succeeded, Some(value)),
             Err(clash) => {
                 tracing::warn!("a table does not fit its answer: {clash}");
--- a/crates/edge/src/upstream/flight_stream.rs
+++ b/crates/edge/src/upstream/flight_stream.rs
@@ -117,11 +117,11 @@
             return Err(error);
         }
         let scheme = if options.tls.is_some() { "https" } else { "http" };
-        let request = http::Request::post(format!("{scheme}://{addr}{}DoGet", grpc::SERVICE))
+        let request = http::Request::post(format!("{scheme}://{addr}{}DoGet", grpc::FLIGHT_SERVICE_PATH))
             .header("content-type", grpc::CONTENT_TYPE)
             .header("te", "trailers")
-            .header("grpc-timeout", grpc::write_timeout(attempt.remaining(now)))
-            .header("grpc-accept-encoding", grpc::ACCEPTED)
+            .header("grpc-timeout", grpc::format_timeout(attempt.remaining(now)))
+            .header("grpc-accept-encoding", grpc::ACCEPTED_ENCODINGS)
             .body(())
             .map_err(|_| Reason::INTERNAL_ERROR)?;
         let (response, mut request) = sender.send_request(request, false)?;
@@ -227,10 +227,10 @@
         }
         self.stage = StreamStage::Answering;
         let encoding = response.headers().get("grpc-encoding").and_then(|value| value.to_str().ok());
-        let encoding = encoding.map_or(Some(Encoding::Identity), Encoding::named);
+        let encoding = encoding.map_or(Some(Encoding::Identity), Encoding::from_name);
         let encoding = encoding.ok_or(StreamEnd::Malformed)?;
         let deframer = std::mem::replace(&mut self.deframer, Deframer::new(0));
-        self.deframer = deframer.encoded(encoding);
+        self.deframer = deframer.with_encoding(encoding);
         self.response = None;
         self.body = Some(response.into_body());
         Ok(())
@@ -249,9 +249,9 @@
 
     /// Decodes the complete messages that were received.
     fn decode_messages(&mut self) -> Result<(), String> {
-        while let Some(message) = self.deframer.take().map_err(|error| format!("{error:?}"))? {
+        while let Some(message) = self.deframer.next_message().map_err(|error| format!("{error:?}"))? {
             let data = FlightData::decode(message).map_err(|error| error.to_string())?;
-            self.collector.as_mut().ok_or("a message after the end of the table")?.take(data)?;
+            self.collector.as_mut().ok_or("a message after the end of the table")?.push(data)?;
             // The next bytes belong to another message, which has its own timeout.
             self.partial_since = None;
         }
@@ -327,10 +327,11 @@
     /// kept as received.
     fn value(&mut self, memory: &TableMemory) -> Result<(Outcome, Option<Value>), ResponseError> {
         let collector = self.collector.take().ok_or(ResponseError::Empty)?;
-        let is_simple = collector.schema().is_some_and(rows::is_simple);
+        let is_simple = collector.schema().is_some_and(rows::is_part_result_table);
         let table = collector.finish().ok_or(ResponseError::NoTable)?;
         if is_simple {
-            let rows = rows::read(&table.schema, &table.messages).map_err(ResponseError::Message)?;
+            let rows =
+                rows::read_part_results(&table.schema, &table.messages).map_err(ResponseError::Message)?;
             let [row] = rows.as_slice() else { return Err(ResponseError::NotOneRow) };
             if row.shard != self.shard {
                 return Err(ResponseError::WrongShard);
@@ -347,12 +348,12 @@
 /// Returns how a status ends the stream, if there is a status. A status does not show whether the part was executed,
 /// unless its details state that it was not.
 fn stream_end_from_status(headers: &http::HeaderMap) -> Option<StreamEnd> {
-    let code = grpc::status_of(headers)?;
+    let code = grpc::status_code(headers)?;
     Some(if code == Code::Ok as u32 {
         StreamEnd::Ok
     } else if code == Code::DeadlineExceeded as u32 {
         StreamEnd::DeadlineStatus
-    } else if grpc::details_of(headers).0.as_deref() == Some(grpc::LATER) {
+    } else if grpc::error_details(headers).0.as_deref() == Some(grpc::REASON_LATER) {
         StreamEnd::RetryLaterStatus
     } else {
         StreamEnd::Status
--- a/crates/edge/tests/bad_input.rs
+++ b/crates/edge/tests/bad_input.rs
@@ -542,11 +542,11 @@
     most: usize,
     encoding: Encoding,
 ) -> (Vec<Bytes>, bool, usize) {
-    let (mut deframer, mut all, mut held) = (Deframer::new(most).encoded(encoding), Vec::new(), 0);
+    let (mut deframer, mut all, mut held) = (Deframer::new(most).with_encoding(encoding), Vec::new(), 0);
     for piece in pieces {
         deframer.push(piece);
         loop {
-            match deframer.take() {
+            match deframer.next_message() {
                 Ok(Some(message)) => all.push(message),
                 Ok(None) => break,
                 Err(_) => return (all, true, held),
--- a/crates/edge/tests/parts.rs
+++ b/crates/edge/tests/parts.rs
@@ -6,7 +6,7 @@
 use mallowgauge_edge::front::http1;
 use mallowgauge_edge::lifecycle::Lifecycle;
 use mallowgauge_edge::upstream::frames;
-use mallowgauge_flight::answer::{Stream, Style};
+use mallowgauge_flight::answer::{Stream, StreamOptions};
 use mallowgauge_flight::grpc::Deframer;
 use mallowgauge_flight::proto::FlightData;
 use mallowgauge_flight::{ipc, rows};
@@ -223,8 +223,8 @@
 #[test]
 fn bent_input_is_taken_or_turned_down() {
     let values = [(ShardId(3), "5be2a07c19f04d63".into())];
-    let mut stream = Stream::new(&values, Style::default()).expect("a table");
-    let message = || stream.message().expect("a message").map(|pieces| pieces.concat());
+    let mut stream = Stream::new(&values, StreamOptions::default()).expect("a table");
+    let message = || stream.next_message().expect("a message").map(|pieces| pieces.concat());
     let table = std::iter::from_fn(message).collect::<Vec<_>>().concat();
     let samples: [&[u8]; 5] = [
         b"POST /api HTTP/1.1\r\nReq-Id: 1\r\nContent-Length: 4\r\n\r\n{}{}",
@@ -253,19 +253,19 @@
         taken[2] += u32::from(matches!(frames::read(&bytes), Ok(Some(_))));
         let (mut messages, mut reader) = (Deframer::new(1 << 16), ipc::Collector::new(1 << 20));
         messages.push(&bytes);
-        while let Ok(Some(message)) = messages.take() {
+        while let Ok(Some(message)) = messages.next_message() {
             let Ok(data) = FlightData::decode(Bytes::from(message.to_vec())) else { break };
             taken[3] += 1;
-            if reader.take(data).is_err() {
+            if reader.push(data).is_err() {
                 break;
             }
         }
         // What passes the checks is passed on, and decoded by whoever gets it.
         if let Some(table) = reader.finish() {
             for message in &table.messages {
-                ipc::with_range(message, ShardId(3)).expect("a batch that was checked");
+                ipc::with_shard_column(message, ShardId(3)).expect("a batch that was checked");
             }
-            drop(rows::decode(&table.schema, &table.messages));
+            drop(rows::decode_batches(&table.schema, &table.messages));
         }
     }
     // Enough of each kind stays sound for the parsers to get beyond their first lines.
--- a/crates/flight/src/answer.rs
+++ b/crates/flight/src/answer.rs
@@ -22,8 +22,8 @@
 use mallowgauge_router::ShardId;
 use prost::encoding::{encode_key, encode_varint, encoded_len_varint, key_len, WireType};
 
-use crate::grpc::{frame_headed, Encoding};
-use crate::ipc::{self, Outgoing};
+use crate::grpc::{frame_with_reserved_prefix, Encoding};
+use crate::ipc::{self, EncodedMessage};
 use crate::schema;
 
 /// Bytes of texts after which a new record batch is begun.
@@ -33,7 +33,7 @@
 #[must_use]
 pub fn text_schema() -> Schema {
     let column = |name: &str, kind| Field::new(name, kind, false);
-    Schema::new(vec![column(schema::RANGE, DataType::UInt32), column("blob", DataType::Utf8)])
+    Schema::new(vec![column(schema::SHARD_COLUMN, DataType::UInt32), column("blob", DataType::Utf8)])
 }
 
 /// The columns of the best rows of a query in two phases.
@@ -41,7 +41,12 @@
 pub fn ranked_schema() -> Schema {
     let column = |name: &str, kind| Field::new(name, kind, false);
     let (score, id) = (column("score", DataType::Float64), column("id", DataType::Utf8));
-    Schema::new(vec![column(schema::RANGE, DataType::UInt32), score, id, column("blob", DataType::Utf8)])
+    Schema::new(vec![
+        column(schema::SHARD_COLUMN, DataType::UInt32),
+        score,
+        id,
+        column("blob", DataType::Utf8),
+    ])
 }
 
 fn encoded(schema: &Schema) -> EncodedData {
@@ -88,22 +93,22 @@
         encode_key(BODY, WireType::LengthDelimited, &mut head);
         encode_varint(length as u64, &mut head);
     }
-    frame_headed(head, body, encoding)
+    frame_with_reserved_prefix(head, body, encoding)
 }
 
 /// How an answer's messages are written.
 #[derive(Clone, Debug, Default)]
-pub struct Style {
+pub struct StreamOptions {
     /// How the bodies are compressed that are made here.
     pub compression: Compression,
     /// How gRPC's messages are compressed.
     pub encoding: Encoding,
     /// Goes as metadata with each batch but the last.
-    pub each: Bytes,
+    pub batch_metadata: Bytes,
     /// Goes as metadata with the last batch.
-    pub last: Bytes,
+    pub final_metadata: Bytes,
     /// The stream has had its schema.
-    pub headless: bool,
+    pub schema_sent: bool,
 }
 
 enum Source {
@@ -115,7 +120,7 @@
 
 /// An answer on its way out.
 pub struct Stream {
-    style: Style,
+    options: StreamOptions,
     schema: Option<Bytes>,
     /// The ids of the answer's dictionaries, in the order of the columns.
     ids: Vec<i64>,
@@ -123,7 +128,7 @@
     /// The next message of the first table.
     next: usize,
     /// Messages that are ready, at most a dictionary under several ids.
-    ready: VecDeque<Outgoing>,
+    ready: VecDeque<EncodedMessage>,
     ended: bool,
 }
 
@@ -132,7 +137,7 @@
     ///
     /// # Errors
     /// They do not.
-    pub fn new(values: &[(ShardId, Value)], style: Style) -> Result<Self, String> {
+    pub fn new(values: &[(ShardId, Value)], options: StreamOptions) -> Result<Self, String> {
         let mut texts = VecDeque::new();
         let mut tables = VecDeque::new();
         for (shard, value) in values {
@@ -142,7 +147,7 @@
             }
         }
         if !texts.is_empty() && !tables.is_empty() {
-            return Err(schema::Clash::Kinds.to_string());
+            return Err(schema::SchemaMismatch::TextAndTable.to_string());
         }
         let (schema, source) = if tables.is_empty() {
             (text_schema(), Source::Texts(texts))
@@ -150,30 +155,30 @@
             (united(tables.iter().map(|(_, table)| table))?, Source::Tables(tables))
         };
         let header = schema_header(&schema);
-        let ids = ipc::dictionary_ids(&header)?;
-        let schema = (!style.headless).then_some(header);
-        Ok(Self { style, schema, ids, source, next: 0, ready: VecDeque::new(), ended: false })
+        let ids = ipc::schema_dictionary_ids(&header)?;
+        let schema = (!options.schema_sent).then_some(header);
+        Ok(Self { options, schema, ids, source, next: 0, ready: VecDeque::new(), ended: false })
     }
 
     /// The best rows of a query in two phases.
     ///
     /// # Errors
     /// As Arrow says.
-    pub fn ranked(rows: &[Row], style: Style) -> Result<Self, String> {
+    pub fn ranked(rows: &[Row], options: StreamOptions) -> Result<Self, String> {
         let ranges = UInt32Array::from_iter_values(rows.iter().map(|row| row.shard.0));
         let scores = Float64Array::from_iter_values(rows.iter().map(|row| row.score));
         let text = |of: fn(&Row) -> &str| Arc::new(StringArray::from_iter_values(rows.iter().map(of)));
         let columns: Vec<ArrayRef> =
             vec![Arc::new(ranges), Arc::new(scores), text(|row| &row.id), text(|row| &row.text)];
         let batch = RecordBatch::try_new(Arc::new(ranked_schema()), columns).map_err(|e| e.to_string())?;
-        let schema = (!style.headless).then(Self::ranked_header);
+        let schema = (!options.schema_sent).then(Self::ranked_schema_header);
         let (ids, ready) = (Vec::new(), VecDeque::new());
-        Ok(Self { style, schema, ids, source: Source::Batch(Some(batch)), next: 0, ready, ended: false })
+        Ok(Self { options, schema, ids, source: Source::Batch(Some(batch)), next: 0, ready, ended: false })
     }
 
     /// The schema of such an answer, as a message's header.
     #[must_use]
-    pub fn ranked_header() -> Bytes {
+    pub fn ranked_schema_header() -> Bytes {
         schema_header(&ranked_schema())
     }
 
@@ -181,7 +186,7 @@
     ///
     /// # Errors
     /// They do not agree.
-    pub fn columns(values: &[(ShardId, Value)]) -> Result<Schema, String> {
+    pub fn schema(values: &[(ShardId, Value)]) -> Result<Schema, String> {
         let table = |(_, value): &(ShardId, Value)| match value {
             Value::Table(table) => Some(Rc::clone(table)),
             Value::Text(_) => None,
@@ -198,16 +203,16 @@
     ///
     /// # Errors
     /// They do not agree.
-    pub fn header(values: &[(ShardId, Value)]) -> Result<Bytes, String> {
-        Self::columns(values).map(|schema| schema_header(&schema))
+    pub fn schema_header(values: &[(ShardId, Value)]) -> Result<Bytes, String> {
+        Self::schema(values).map(|schema| schema_header(&schema))
     }
 
     /// The next message, in pieces, in gRPC's frame; `None` at the end.
     ///
     /// # Errors
     /// It cannot be written.
-    pub fn message(&mut self) -> Result<Option<Vec<Bytes>>, String> {
-        let encoding = self.style.encoding;
+    pub fn next_message(&mut self) -> Result<Option<Vec<Bytes>>, String> {
+        let encoding = self.options.encoding;
         if let Some(header) = self.schema.take() {
             return Ok(Some(flight_data(&header, &Bytes::new(), Vec::new(), encoding)));
         }
@@ -216,13 +221,13 @@
         }
         let out = self.outgoing()?;
         self.ended = self.is_last()?;
-        let metadata = if self.ended { &self.style.last } else { &self.style.each };
+        let metadata = if self.ended { &self.options.final_metadata } else { &self.options.batch_metadata };
         Ok(Some(match out {
             Some(out) => flight_data(&out.header, metadata, out.body, encoding),
             // An answer without any rows still says whether it is whole.
             None => {
                 self.ended = true;
-                flight_data(&Bytes::new(), &self.style.last, Vec::new(), encoding)
+                flight_data(&Bytes::new(), &self.options.final_metadata, Vec::new(), encoding)
             }
         }))
     }
@@ -243,7 +248,7 @@
         })
     }
 
-    fn outgoing(&mut self) -> Result<Option<Outgoing>, String> {
+    fn outgoing(&mut self) -> Result<Option<EncodedMessage>, String> {
         loop {
             if let Some(out) = self.ready.pop_front() {
                 return Ok(Some(out));
@@ -252,22 +257,22 @@
                 return Ok(None);
             }
             match &mut self.source {
-                Source::Texts(texts) => return text_batch(texts, self.style.compression).map(Some),
+                Source::Texts(texts) => return text_batch(texts, self.options.compression).map(Some),
                 Source::Batch(batch) => {
                     let Some(batch) = batch.take() else { return Ok(None) };
-                    return write_batch(&batch, self.style.compression).map(Some);
+                    return write_batch(&batch, self.options.compression).map(Some);
                 }
                 Source::Tables(tables) => {
                     let Some((shard, table)) = tables.front() else { return Ok(None) };
                     let Some(message) = table.messages.get(self.next) else { return Ok(None) };
                     self.next += 1;
-                    match ipc::dictionary_of(message) {
-                        None => return ipc::with_range(message, *shard).map(Some),
+                    match ipc::dictionary_id(message) {
+                        None => return ipc::with_shard_column(message, *shard).map(Some),
                         Some(id) => {
                             // The columns of this host's dictionary, by their places.
-                            let theirs = ipc::dictionary_ids(&table.schema)?;
+                            let theirs = ipc::schema_dictionary_ids(&table.schema)?;
                             for (ours, _) in self.ids.iter().zip(theirs).filter(|(_, theirs)| *theirs == id) {
-                                self.ready.push_back(ipc::with_id(message, *ours)?);
+                                self.ready.push_back(ipc::with_dictionary_id(message, *ours)?);
                             }
                         }
                     }
@@ -281,17 +286,19 @@
     let mut headers: Vec<&Bytes> = tables.map(|table| &table.schema).collect();
     headers.dedup();
     let schemas: Vec<Schema> =
-        headers.into_iter().map(|header| schema::read(header)).collect::<Result<_, _>>()?;
+        headers.into_iter().map(|header| schema::read_schema(header)).collect::<Result<_, _>>()?;
     if let Some((first, rest)) = schemas.split_first() {
-        rest.iter().try_for_each(|other| schema::agree(first, other)).map_err(|clash| clash.to_string())?;
+        rest.iter()
+            .try_for_each(|other| schema::check_compatible(first, other))
+            .map_err(|clash| clash.to_string())?;
     }
-    Ok(schema::unite(&schemas))
+    Ok(schema::merge_schemas(&schemas))
 }
 
 fn text_batch(
     texts: &mut VecDeque<(ShardId, Rc<str>)>,
     compression: Compression,
-) -> Result<Outgoing, String> {
+) -> Result<EncodedMessage, String> {
     let (mut ranges, mut blobs, mut bytes) = (Vec::new(), Vec::new(), 0);
     while let Some((shard, text)) = texts.front().filter(|_| bytes < BATCH) {
         bytes += text.len();
@@ -305,7 +312,7 @@
     write_batch(&batch, compression)
 }
 
-fn write_batch(batch: &RecordBatch, compression: Compression) -> Result<Outgoing, String> {
+fn write_batch(batch: &RecordBatch, compression: Compression) -> Result<EncodedMessage, String> {
     let codec = match compression {
         Compression::None => None,
         Compression::Lz4 => Some(CompressionType::LZ4_FRAME),
@@ -316,5 +323,5 @@
     let mut context = IpcWriteContext::default();
     let written = IpcDataGenerator::default().encode(batch, &mut tracker, &options, &mut context);
     let (_, data) = written.map_err(|e| e.to_string())?;
-    Ok(Outgoing { header: data.ipc_message.into(), body: vec![data.arrow_data.into()] })
+    Ok(EncodedMessage { header: data.ipc_message.into(), body: vec![data.arrow_data.into()] })
 }
--- a/crates/flight/src/grpc.rs
+++ b/crates/flight/src/grpc.rs
@@ -18,9 +18,9 @@
 use crate::proto::{ErrorInfo, RetryInfo, RpcStatus};
 
 /// Where the methods of Flight live.
-pub const SERVICE: &str = "/arrow.flight.protocol.FlightService/";
+pub const FLIGHT_SERVICE_PATH: &str = "/arrow.flight.protocol.FlightService/";
 /// Where health is asked for.
-pub const HEALTH: &str = "/grpc.health.v1.Health/";
+pub const HEALTH_SERVICE_PATH: &str = "/grpc.health.v1.Health/";
 /// The content type of gRPC.
 pub const CONTENT_TYPE: &str = "application/grpc";
 
@@ -59,9 +59,9 @@
 }
 
 /// Whose reasons the details of a status name.
-pub const DOMAIN: &str = "mallowgauge";
+pub const ERROR_DOMAIN: &str = "mallowgauge";
 /// The reason with which a host says that it turned a part away unseen.
-pub const LATER: &str = "LATER";
+pub const REASON_LATER: &str = "LATER";
 
 /// A final status.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -69,7 +69,7 @@
     /// Its number.
     pub code: Code,
     /// Words for people.
-    pub words: Cow<'static, str>,
+    pub message: Cow<'static, str>,
     /// A constant for programs.
     pub reason: Option<&'static str>,
     /// When to come back.
@@ -79,19 +79,19 @@
 impl Status {
     /// A status without advice.
     #[must_use]
-    pub fn new(code: Code, words: impl Into<Cow<'static, str>>) -> Self {
-        Self { code, words: words.into(), reason: None, retry_after: None }
+    pub fn new(code: Code, message: impl Into<Cow<'static, str>>) -> Self {
+        Self { code, message: message.into(), reason: None, retry_after: None }
     }
 
     /// The same with a reason for programs.
     #[must_use]
-    pub fn because(self, reason: &'static str) -> Self {
+    pub fn with_reason(self, reason: &'static str) -> Self {
         Self { reason: Some(reason), ..self }
     }
 
     /// The same with advice when to come back.
     #[must_use]
-    pub fn retry(self, after: Micros) -> Self {
+    pub fn with_retry_after(self, after: Micros) -> Self {
         Self { retry_after: Some(after), ..self }
     }
 
@@ -103,7 +103,7 @@
         if self.code == Code::Ok {
             return map;
         }
-        if let Ok(value) = HeaderValue::from_str(&percent(&self.words)) {
+        if let Ok(value) = HeaderValue::from_str(&percent(&self.message)) {
             map.insert("grpc-message", value);
         }
         let mut details = Vec::new();
@@ -113,12 +113,12 @@
             details.push(Any { type_url: RETRY_INFO.to_owned(), value: info.encode_to_vec() });
         }
         if let Some(reason) = self.reason {
-            let (reason, domain) = (reason.to_owned(), DOMAIN.to_owned());
+            let (reason, domain) = (reason.to_owned(), ERROR_DOMAIN.to_owned());
             let info = ErrorInfo { reason, domain, metadata: HashMap::new() };
             details.push(Any { type_url: ERROR_INFO.to_owned(), value: info.encode_to_vec() });
         }
         if !details.is_empty() {
-            let status = RpcStatus { code: self.code as i32, message: self.words.to_string(), details };
+            let status = RpcStatus { code: self.code as i32, message: self.message.to_string(), details };
             if let Ok(value) = HeaderValue::from_str(&STANDARD_NO_PAD.encode(status.encode_to_vec())) {
                 map.insert("grpc-status-details-bin", value);
             }
@@ -139,7 +139,7 @@
 
 /// The details of a status: the reason, if it is one of ours, and the advice when to come back.
 #[must_use]
-pub fn details_of(map: &HeaderMap) -> (Option<String>, Option<Micros>) {
+pub fn error_details(map: &HeaderMap) -> (Option<String>, Option<Micros>) {
     let text = map.get("grpc-status-details-bin").and_then(|value| value.to_str().ok());
     let bytes = text.and_then(|text| STANDARD_NO_PAD.decode(text.trim_end_matches('=')).ok());
     let status = bytes.and_then(|bytes| RpcStatus::decode(bytes.as_slice()).ok()).unwrap_or_default();
@@ -147,18 +147,18 @@
     let reason = find(ERROR_INFO).and_then(|any| ErrorInfo::decode(any.value.as_slice()).ok());
     let retry = find(RETRY_INFO).and_then(|any| RetryInfo::decode(any.value.as_slice()).ok()?.retry_delay);
     let wait = |d: prost_types::Duration| d.seconds.max(0) as u64 * 1_000_000 + d.nanos.max(0) as u64 / 1000;
-    (reason.filter(|info| info.domain == DOMAIN).map(|info| info.reason), retry.map(wait))
+    (reason.filter(|info| info.domain == ERROR_DOMAIN).map(|info| info.reason), retry.map(wait))
 }
 
 /// The number of a status in headers or trailers.
 #[must_use]
-pub fn status_of(map: &HeaderMap) -> Option<u32> {
+pub fn status_code(map: &HeaderMap) -> Option<u32> {
     map.get("grpc-status")?.to_str().ok()?.parse().ok()
 }
 
 /// Reads a `grpc-timeout`.
 #[must_use]
-pub fn read_timeout(text: &str) -> Option<Micros> {
+pub fn parse_timeout(text: &str) -> Option<Micros> {
     let (digits, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     if digits.is_empty() || digits.len() > 8 || !digits.bytes().all(|b| b.is_ascii_digit()) {
         return None;
@@ -177,7 +177,7 @@
 
 /// Writes a `grpc-timeout`; at most eight digits are allowed.
 #[must_use]
-pub fn write_timeout(wait: Micros) -> String {
+pub fn format_timeout(wait: Micros) -> String {
     if wait < 100_000_000 {
         format!("{wait}u")
     } else {
@@ -196,12 +196,12 @@
 }
 
 /// What is said to be understood.
-pub const ACCEPTED: &str = "identity,gzip";
+pub const ACCEPTED_ENCODINGS: &str = "identity,gzip";
 
 impl Encoding {
     /// The encoding of that name.
     #[must_use]
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         match name {
             "identity" => Some(Self::Identity),
             "gzip" => Some(Self::Gzip),
@@ -211,7 +211,7 @@
 }
 
 /// Messages shorter than this are not worth compressing.
-const WORTH: usize = 512;
+const MIN_COMPRESSED_BYTES: usize = 512;
 
 /// The five bytes in front of a message.
 fn head(compressed: bool, length: usize) -> [u8; 5] {
@@ -235,7 +235,7 @@
 /// compressed.
 #[must_use]
 pub fn frame_pieces(pieces: Vec<Bytes>, encoding: Encoding) -> Vec<Bytes> {
-    frame_headed(vec![0; 5], pieces, encoding)
+    frame_with_reserved_prefix(vec![0; 5], pieces, encoding)
 }
 
 /// Pieces shorter than this are put together with the one before.
@@ -243,9 +243,9 @@
 
 /// The same for a message whose first piece has room for the frame's five bytes in front.
 #[must_use]
-pub fn frame_headed(mut first: Vec<u8>, rest: Vec<Bytes>, encoding: Encoding) -> Vec<Bytes> {
+pub fn frame_with_reserved_prefix(mut first: Vec<u8>, rest: Vec<Bytes>, encoding: Encoding) -> Vec<Bytes> {
     let length = first.len() - 5 + rest.iter().map(Bytes::len).sum::<usize>();
-    if encoding == Encoding::Gzip && length >= WORTH {
+    if encoding == Encoding::Gzip && length >= MIN_COMPRESSED_BYTES {
         // The frame's length is known only afterwards.
         let mut gzip = GzEncoder::new(vec![0; 5], Compression::fast());
         let written = gzip.write_all(&first[5..]);
@@ -271,25 +271,28 @@
 
 /// Why what has come is no message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum FrameError {
     /// Longer than is taken, as it stands or inflated.
     TooLong,
     /// Compressed, though that was not said, or with a flag that means nothing.
-    Flag,
+    CompressionFlag,
     /// It cannot be inflated.
-    Garbled,
+    Corrupt,
 }
 
-impl Bad {
+impl FrameError {
     /// The status that a client is given for it.
     #[must_use]
     pub fn status(self) -> Status {
         match self {
-            Bad::TooLong => {
-                Status::new(Code::ResourceExhausted, "the message is too long").because("MESSAGE_TOO_LONG")
+            FrameError::TooLong => Status::new(Code::ResourceExhausted, "the message is too long")
+                .with_reason("MESSAGE_TOO_LONG"),
+            FrameError::CompressionFlag => {
+                Status::new(Code::Internal, "a compressed message without grpc-encoding")
+            }
+            FrameError::Corrupt => {
+                Status::new(Code::Internal, "a compressed message that cannot be inflated")
             }
-            Bad::Flag => Status::new(Code::Internal, "a compressed message without grpc-encoding"),
-            Bad::Garbled => Status::new(Code::Internal, "a compressed message that cannot be inflated"),
         }
     }
 }
@@ -311,7 +314,7 @@
 
     /// For messages that may be compressed in this way.
     #[must_use]
-    pub fn encoded(self, encoding: Encoding) -> Self {
+    pub fn with_encoding(self, encoding: Encoding) -> Self {
         Self { encoding, ..self }
     }
 
@@ -345,15 +348,15 @@
     ///
     /// # Errors
     /// What has come is none, which shows as soon as its first bytes are there.
-    pub fn take(&mut self) -> Result<Option<Bytes>, Bad> {
+    pub fn next_message(&mut self) -> Result<Option<Bytes>, FrameError> {
         let Some(length) = self.length() else { return Ok(None) };
         let compressed = match self.held[0] {
             0 => false,
             1 if self.encoding == Encoding::Gzip => true,
-            _ => return Err(Bad::Flag),
+            _ => return Err(FrameError::CompressionFlag),
         };
         if length > self.most {
-            return Err(Bad::TooLong);
+            return Err(FrameError::TooLong);
         }
         if self.held.len() < 5 + length {
             return Ok(None);
@@ -371,12 +374,12 @@
 }
 
 /// Inflates a message up to a bound: what claims to be small and is not ends there.
-fn inflate(message: &[u8], most: usize) -> Result<Bytes, Bad> {
+fn inflate(message: &[u8], most: usize) -> Result<Bytes, FrameError> {
     let mut out = Vec::new();
     let mut gzip = GzDecoder::new(message).take(most as u64 + 1);
-    gzip.read_to_end(&mut out).map_err(|_| Bad::Garbled)?;
+    gzip.read_to_end(&mut out).map_err(|_| FrameError::Corrupt)?;
     if out.len() > most {
-        return Err(Bad::TooLong);
+        return Err(FrameError::TooLong);
     }
     Ok(out.into())
 }
--- a/crates/flight/src/ipc.rs
+++ b/crates/flight/src/ipc.rs
@@ -46,7 +46,7 @@
 
 /// A table that was checked.
 #[derive(Debug)]
-pub struct Checked {
+pub struct CheckedTable {
     /// The header of its schema.
     pub schema: Bytes,
     /// Its other messages.
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     /// It is none that belongs here.
-    pub fn take(&mut self, data: FlightData) -> Result<(), String> {
+    pub fn push(&mut self, data: FlightData) -> Result<(), String> {
         if data.data_header.is_empty() {
             return if data.data_body.is_empty() {
                 Ok(())
@@ -98,7 +98,7 @@
         let kind = message.header_type();
         match (&mut self.schema, kind) {
             (None, MessageHeader::Schema) => {
-                let schema = schema::read(&data.data_header)?;
+                let schema = schema::read_schema(&data.data_header)?;
                 let dictionaries = dictionaries(&data.data_header, &schema)?;
                 self.schema = Some(Known { schema, dictionaries, seen: BTreeSet::new() });
                 self.bytes += data.data_header.len();
@@ -141,15 +141,15 @@
 
     /// The table, once its stream has ended; `None` if there was no schema.
     #[must_use]
-    pub fn finish(self) -> Option<Checked> {
+    pub fn finish(self) -> Option<CheckedTable> {
         let Self { schema, header, messages, rows, bytes, .. } = self;
-        schema.map(|_| Checked { schema: header, messages, rows, bytes })
+        schema.map(|_| CheckedTable { schema: header, messages, rows, bytes })
     }
 
     /// The batch that came last with the dictionaries that it needs, which stay here; `None` in the place of
     /// its rows if a dictionary came last.
     pub fn take_batch(&mut self) -> (Vec<Message>, Option<u64>) {
-        let is_dictionary = |message: &Message| dictionary_of(message).is_some();
+        let is_dictionary = |message: &Message| dictionary_id(message).is_some();
         if self.messages.last().is_none_or(is_dictionary) {
             self.prune();
             return (Vec::new(), None);
@@ -169,7 +169,7 @@
         };
         if let Some(id) = self.messages.last().and_then(whole) {
             let last = self.messages.pop();
-            self.messages.retain(|message| dictionary_of(message) != Some(id));
+            self.messages.retain(|message| dictionary_id(message) != Some(id));
             self.messages.extend(last);
         }
         self.count();
@@ -192,7 +192,7 @@
 fn dictionaries(header: &[u8], schema: &Schema) -> Result<Vec<(i64, DataType)>, String> {
     let mut kinds = Vec::new();
     schema.fields().iter().for_each(|field| values(field, &mut kinds));
-    let ids = dictionary_ids(header)?;
+    let ids = schema_dictionary_ids(header)?;
     if ids.len() != kinds.len() {
         return Err("dictionaries that do not belong to their columns".to_owned());
     }
@@ -208,14 +208,14 @@
         }
         kind => kind,
     };
-    schema::children(kind).into_iter().for_each(|child| values(child, kinds));
+    schema::child_fields(kind).into_iter().for_each(|child| values(child, kinds));
 }
 
 /// The ids of dictionaries in the order of the columns, each before those within it.
 ///
 /// # Errors
 /// The message is no schema.
-pub fn dictionary_ids(header: &[u8]) -> Result<Vec<i64>, String> {
+pub fn schema_dictionary_ids(header: &[u8]) -> Result<Vec<i64>, String> {
     fn walk(field: arrow_ipc::Field<'_>, ids: &mut Vec<i64>) {
         ids.extend(field.dictionary().map(|dictionary| dictionary.id()));
         field.children().into_iter().flatten().for_each(|child| walk(child, ids));
@@ -410,7 +410,7 @@
 
 /// A message on its way to a client: a header, and a body in pieces that are not copied.
 #[derive(Clone, Debug)]
-pub struct Outgoing {
+pub struct EncodedMessage {
     /// The header.
     pub header: Bytes,
     /// The body's pieces.
@@ -479,7 +479,7 @@
 ///
 /// # Errors
 /// It is no record batch.
-pub fn with_range(message: &Message, shard: ShardId) -> Result<Outgoing, String> {
+pub fn with_shard_column(message: &Message, shard: ShardId) -> Result<EncodedMessage, String> {
     let head = arrow_ipc::root_as_message(&message.header).map_err(|e| e.to_string())?;
     let batch = head.header_as_record_batch().ok_or("no record batch")?;
     let rows = usize::try_from(batch.length()).map_err(|e| e.to_string())?;
@@ -509,19 +509,19 @@
     let mut fbb = FlatBufferBuilder::new();
     let root = lists.write(&mut fbb, batch);
     let header = finish(&mut fbb, MessageHeader::RecordBatch, root.as_union_value(), total);
-    Ok(Outgoing { header, body })
+    Ok(EncodedMessage { header, body })
 }
 
 /// A dictionary under another id; as it is where the id stays.
 ///
 /// # Errors
 /// It is no dictionary.
-pub fn with_id(message: &Message, id: i64) -> Result<Outgoing, String> {
+pub fn with_dictionary_id(message: &Message, id: i64) -> Result<EncodedMessage, String> {
     let head = arrow_ipc::root_as_message(&message.header).map_err(|e| e.to_string())?;
     let dictionary = head.header_as_dictionary_batch().ok_or("no dictionary")?;
     let body = vec![message.body.clone()];
     if dictionary.id() == id {
-        return Ok(Outgoing { header: message.header.clone(), body });
+        return Ok(EncodedMessage { header: message.header.clone(), body });
     }
     let batch = dictionary.data().ok_or("a dictionary without values")?;
     let mut fbb = FlatBufferBuilder::new();
@@ -532,12 +532,12 @@
     builder.add_isDelta(dictionary.isDelta());
     let root = builder.finish();
     let header = finish(&mut fbb, MessageHeader::DictionaryBatch, root.as_union_value(), message.body.len());
-    Ok(Outgoing { header, body })
+    Ok(EncodedMessage { header, body })
 }
 
 /// The id of a dictionary's message; `None` for any other message.
 #[must_use]
-pub fn dictionary_of(message: &Message) -> Option<i64> {
+pub fn dictionary_id(message: &Message) -> Option<i64> {
     let head = arrow_ipc::root_as_message(&message.header).ok()?;
     head.header_as_dictionary_batch().map(|dictionary| dictionary.id())
 }
--- a/crates/flight/src/proto.rs
+++ b/crates/flight/src/proto.rs
@@ -52,15 +52,15 @@
 }
 
 /// The type of a descriptor that holds a path.
-pub const PATH: i32 = 1;
+pub const DESCRIPTOR_PATH: i32 = 1;
 /// The type of a descriptor that holds a command.
-pub const COMMAND: i32 = 2;
+pub const DESCRIPTOR_COMMAND: i32 = 2;
 
 impl FlightDescriptor {
     /// A descriptor with a command.
     #[must_use]
     pub fn command(cmd: Bytes) -> Self {
-        Self { r#type: COMMAND, cmd, path: Vec::new() }
+        Self { r#type: DESCRIPTOR_COMMAND, cmd, path: Vec::new() }
     }
 }
 
@@ -254,19 +254,19 @@
 pub enum OptionValue {
     /// A text.
     #[prost(string, tag = "1")]
-    Text(String),
+    String(String),
     /// True or false.
     #[prost(bool, tag = "2")]
-    Flag(bool),
+    Bool(bool),
     /// A whole number.
     #[prost(sfixed64, tag = "3")]
-    Whole(i64),
+    Int64(i64),
     /// A number.
     #[prost(double, tag = "4")]
-    Number(f64),
+    Double(f64),
     /// Texts.
     #[prost(message, tag = "5")]
-    Texts(StringListValue),
+    StringList(StringListValue),
 }
 
 /// `arrow.flight.protocol.SessionOptionValue.StringListValue`
--- a/crates/flight/src/rows.rs
+++ b/crates/flight/src/rows.rs
@@ -16,7 +16,7 @@
 
 /// How a host says that one part went.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Row {
+pub struct PartResult {
     /// The part's shard.
     pub shard: ShardId,
     /// How it went.
@@ -27,7 +27,7 @@
 
 /// Whether a table with this schema is of the simple form.
 #[must_use]
-pub fn is_simple(schema: &Schema) -> bool {
+pub fn is_part_result_table(schema: &Schema) -> bool {
     let columns = schema.fields().iter().map(|field| (field.name().as_str(), field.data_type()));
     columns.eq([("range", &DataType::UInt32), ("end", &DataType::Utf8), ("blob", &DataType::Utf8)])
 }
@@ -36,7 +36,10 @@
 ///
 /// # Errors
 /// As Arrow says.
-pub fn decode(schema: &Bytes, messages: &[Message]) -> Result<(Arc<Schema>, Vec<RecordBatch>), String> {
+pub fn decode_batches(
+    schema: &Bytes,
+    messages: &[Message],
+) -> Result<(Arc<Schema>, Vec<RecordBatch>), String> {
     let mut decoder = StreamDecoder::new();
     let mut batches = Vec::new();
     let head = Message { header: schema.clone(), body: Bytes::new() };
@@ -70,13 +73,13 @@
 ///
 /// # Errors
 /// It is no such table.
-pub fn read(schema: &Bytes, messages: &[Message]) -> Result<Vec<Row>, String> {
-    let (_, batches) = decode(schema, messages)?;
-    let rows: Vec<Vec<Row>> = batches.iter().map(rows).collect::<Result<_, _>>()?;
+pub fn read_part_results(schema: &Bytes, messages: &[Message]) -> Result<Vec<PartResult>, String> {
+    let (_, batches) = decode_batches(schema, messages)?;
+    let rows: Vec<Vec<PartResult>> = batches.iter().map(rows).collect::<Result<_, _>>()?;
     Ok(rows.concat())
 }
 
-fn rows(batch: &RecordBatch) -> Result<Vec<Row>, String> {
+fn rows(batch: &RecordBatch) -> Result<Vec<PartResult>, String> {
     let column = |name: &str| batch.column_by_name(name).ok_or_else(|| format!("no column {name}"));
     let ranges = column("range")?.as_primitive_opt::<UInt32Type>().ok_or("range is not uint32")?;
     let ends = column("end")?.as_string_opt::<i32>().ok_or("end is not utf8")?;
@@ -89,7 +92,7 @@
             _ => return Err("end is none of good, bad, later".to_owned()),
         };
         let shard = ShardId(range.ok_or("range is null")?);
-        Ok(Row { shard, outcome, value: blob.unwrap_or_default().into() })
+        Ok(PartResult { shard, outcome, value: blob.unwrap_or_default().into() })
     };
     ranges.iter().zip(ends).zip(blobs).map(row).collect()
 }
@@ -98,8 +101,8 @@
 ///
 /// # Errors
 /// It cannot be written so.
-pub fn json(schema: &Bytes, messages: &[Message]) -> Result<String, String> {
-    let (_, batches) = decode(schema, messages)?;
+pub fn to_json(schema: &Bytes, messages: &[Message]) -> Result<String, String> {
+    let (_, batches) = decode_batches(schema, messages)?;
     let mut writer = arrow_json::ArrayWriter::new(Vec::new());
     let all: Vec<&RecordBatch> = batches.iter().collect();
     writer.write_batches(&all).map_err(|e| e.to_string())?;
--- a/crates/flight/src/schema.rs
+++ b/crates/flight/src/schema.rs
@@ -14,18 +14,18 @@
 use mallowgauge_core::Value;
 
 /// The column that says which part a row comes from.
-pub const RANGE: &str = "range";
+pub const SHARD_COLUMN: &str = "range";
 
 /// Deeper nesting than this is not taken.
 const DEEPEST: usize = 16;
 /// More columns than this, nested ones counted, are not taken.
-pub const MOST_COLUMNS: usize = 4096;
+pub const MAX_COLUMNS: usize = 4096;
 
 /// Reads the schema from its message.
 ///
 /// # Errors
 /// Says what is wrong with it.
-pub fn read(header: &[u8]) -> Result<Schema, String> {
+pub fn read_schema(header: &[u8]) -> Result<Schema, String> {
     let message = arrow_ipc::root_as_message(header).map_err(|e| e.to_string())?;
     let schema = message.header_as_schema().ok_or("the first message is no schema")?;
     // Decimals and intervals of odd widths are turned down by the library, some of them by a panic.
@@ -38,15 +38,15 @@
 
 fn measure(field: &Field, depth: usize, columns: &mut usize) -> Result<(), String> {
     *columns += 1;
-    if depth > DEEPEST || *columns > MOST_COLUMNS {
+    if depth > DEEPEST || *columns > MAX_COLUMNS {
         return Err("a schema that is too deep or too wide".to_owned());
     }
-    children(field.data_type()).iter().try_for_each(|child| measure(child, depth + 1, columns))
+    child_fields(field.data_type()).iter().try_for_each(|child| measure(child, depth + 1, columns))
 }
 
 /// The columns within a column.
 #[must_use]
-pub fn children(kind: &DataType) -> Vec<&Field> {
+pub fn child_fields(kind: &DataType) -> Vec<&Field> {
     match kind {
         DataType::List(field)
         | DataType::LargeList(field)
@@ -63,27 +63,29 @@
 
 /// Why two parts make no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Clash {
+pub enum SchemaMismatch {
     /// One is a text and the other a table.
-    Kinds,
+    TextAndTable,
     /// The columns are not as many.
-    Columns(usize, usize),
+    ColumnCount(usize, usize),
     /// This column differs.
     Column(String),
     /// The table has a column of a name that the answer needs.
-    Taken(&'static str),
+    ReservedColumn(&'static str),
     /// The table's schema cannot be read.
     Unreadable(String),
 }
 
-impl std::fmt::Display for Clash {
+impl std::fmt::Display for SchemaMismatch {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Clash::Kinds => write!(f, "a text among tables, or a table among texts"),
-            Clash::Columns(one, other) => write!(f, "{other} columns where the others have {one}"),
-            Clash::Column(name) => write!(f, "the column {name} differs from the others'"),
-            Clash::Taken(name) => write!(f, "it has a column {name} of its own"),
-            Clash::Unreadable(why) => write!(f, "{why}"),
+            SchemaMismatch::TextAndTable => write!(f, "a text among tables, or a table among texts"),
+            SchemaMismatch::ColumnCount(one, other) => {
+                write!(f, "{other} columns where the others have {one}")
+            }
+            SchemaMismatch::Column(name) => write!(f, "the column {name} differs from the others'"),
+            SchemaMismatch::ReservedColumn(name) => write!(f, "it has a column {name} of its own"),
+            SchemaMismatch::Unreadable(why) => write!(f, "{why}"),
         }
     }
 }
@@ -107,7 +109,7 @@
                 && fields.iter().zip(others.iter()).all(|((_, a), (_, b))| alike(a, b))
         }
         _ => {
-            let (inner, others) = (children(one), children(other));
+            let (inner, others) = (child_fields(one), child_fields(other));
             if inner.is_empty() && others.is_empty() {
                 return one == other;
             }
@@ -122,31 +124,31 @@
 ///
 /// # Errors
 /// Says why not.
-pub fn agree(first: &Schema, other: &Schema) -> Result<(), Clash> {
+pub fn check_compatible(first: &Schema, other: &Schema) -> Result<(), SchemaMismatch> {
     let (ours, theirs) = (first.fields(), other.fields());
     if ours.len() != theirs.len() {
-        return Err(Clash::Columns(ours.len(), theirs.len()));
+        return Err(SchemaMismatch::ColumnCount(ours.len(), theirs.len()));
     }
     let differs = ours.iter().zip(theirs.iter()).find(|(a, b)| !alike(a, b));
-    differs.map_or(Ok(()), |(field, _)| Err(Clash::Column(field.name().clone())))
+    differs.map_or(Ok(()), |(field, _)| Err(SchemaMismatch::Column(field.name().clone())))
 }
 
 /// Whether a value can stand beside those that are in, of which the first is given.
 ///
 /// # Errors
 /// Says why not.
-pub fn fits(first: Option<&Value>, value: &Value) -> Result<(), Clash> {
-    let unreadable = |header: &[u8]| read(header).map_err(Clash::Unreadable);
+pub fn check_value_schema(first: Option<&Value>, value: &Value) -> Result<(), SchemaMismatch> {
+    let unreadable = |header: &[u8]| read_schema(header).map_err(SchemaMismatch::Unreadable);
     match (first, value) {
         (None | Some(Value::Text(_)), Value::Text(_)) => Ok(()),
         (Some(Value::Text(_)), Value::Table(_)) | (Some(Value::Table(_)), Value::Text(_)) => {
-            Err(Clash::Kinds)
+            Err(SchemaMismatch::TextAndTable)
         }
         (None, Value::Table(table)) => {
             let schema = unreadable(&table.schema)?;
-            let taken = schema.fields().iter().any(|field| field.name() == RANGE);
+            let taken = schema.fields().iter().any(|field| field.name() == SHARD_COLUMN);
             if taken {
-                Err(Clash::Taken(RANGE))
+                Err(SchemaMismatch::ReservedColumn(SHARD_COLUMN))
             } else {
                 Ok(())
             }
@@ -154,7 +156,7 @@
         // The usual case: hosts of one release write the very same bytes.
         (Some(Value::Table(ours)), Value::Table(table)) if ours.schema == table.schema => Ok(()),
         (Some(Value::Table(ours)), Value::Table(table)) => {
-            agree(&unreadable(&ours.schema)?, &unreadable(&table.schema)?)
+            check_compatible(&unreadable(&ours.schema)?, &unreadable(&table.schema)?)
         }
     }
 }
@@ -186,11 +188,11 @@
 
 /// The columns of an answer from tables that agree, and behind them the one that names the part.
 #[must_use]
-pub fn unite(schemas: &[Schema]) -> Schema {
+pub fn merge_schemas(schemas: &[Schema]) -> Schema {
     let mut all = schemas.iter();
     let first = all.next().cloned().unwrap_or_else(Schema::empty);
     let fields = all.fold(first.fields().clone(), |fields, schema| widen_all(&fields, schema.fields()));
-    let range: FieldRef = Arc::new(Field::new(RANGE, DataType::UInt32, false));
+    let range: FieldRef = Arc::new(Field::new(SHARD_COLUMN, DataType::UInt32, false));
     Schema::new_with_metadata(
         fields.iter().cloned().chain([range]).collect::<Fields>(),
         first.metadata().clone(),
--- a/crates/flight/src/seal.rs
+++ b/crates/flight/src/seal.rs
@@ -21,11 +21,11 @@
 /// Bytes of the hash in front.
 const HASH: usize = 32;
 /// Fewer bytes than this are no key.
-pub const SHORTEST_KEY: usize = 16;
+pub const MIN_KEY_BYTES: usize = 16;
 
 /// Why a ticket or token is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum SealError {
     /// It was not signed with this key, or was changed.
     Forged,
     /// It counts no longer.
@@ -56,17 +56,17 @@
         out.into()
     }
 
-    fn open<M: Message + Default>(&self, purpose: &str, sealed: &[u8]) -> Result<M, Bad> {
-        let (hash, body) = sealed.split_at_checked(HASH).ok_or(Bad::Forged)?;
-        let mac = self.hash(purpose, body).ok_or(Bad::Forged)?;
+    fn open<M: Message + Default>(&self, purpose: &str, sealed: &[u8]) -> Result<M, SealError> {
+        let (hash, body) = sealed.split_at_checked(HASH).ok_or(SealError::Forged)?;
+        let mac = self.hash(purpose, body).ok_or(SealError::Forged)?;
         // This comparison takes the same time wherever the two differ.
-        mac.verify_slice(hash).map_err(|_| Bad::Forged)?;
-        M::decode(body).map_err(|_| Bad::Forged)
+        mac.verify_slice(hash).map_err(|_| SealError::Forged)?;
+        M::decode(body).map_err(|_| SealError::Forged)
     }
 
     /// Writes a ticket.
     #[must_use]
-    pub fn ticket(&self, ticket: &Ticket) -> Bytes {
+    pub fn sign_ticket(&self, ticket: &Ticket) -> Bytes {
         self.seal("ticket", ticket)
     }
 
@@ -74,10 +74,10 @@
     ///
     /// # Errors
     /// It is not to be trusted, or no longer.
-    pub fn read_ticket(&self, now: Micros, sealed: &[u8]) -> Result<Ticket, Bad> {
+    pub fn read_ticket(&self, now: Micros, sealed: &[u8]) -> Result<Ticket, SealError> {
         let ticket: Ticket = self.open("ticket", sealed)?;
         if ticket.expires <= now {
-            Err(Bad::Expired)
+            Err(SealError::Expired)
         } else {
             Ok(ticket)
         }
@@ -85,7 +85,7 @@
 
     /// Writes a token.
     #[must_use]
-    pub fn token(&self, token: &Token) -> Bytes {
+    pub fn sign_token(&self, token: &Token) -> Bytes {
         self.seal("token", token)
     }
 
@@ -93,10 +93,10 @@
     ///
     /// # Errors
     /// It is not to be trusted, or no longer.
-    pub fn read_token(&self, now: Micros, sealed: &[u8]) -> Result<Token, Bad> {
+    pub fn read_token(&self, now: Micros, sealed: &[u8]) -> Result<Token, SealError> {
         let token: Token = self.open("token", sealed)?;
         if token.expires <= now {
-            Err(Bad::Expired)
+            Err(SealError::Expired)
         } else {
             Ok(token)
         }
@@ -111,7 +111,7 @@
     pub command: Bytes,
     /// When it was made.
     #[prost(uint64, tag = "2")]
-    pub made: Micros,
+    pub issued_at: Micros,
     /// Until when it counts.
     #[prost(uint64, tag = "3")]
     pub expires: Micros,
@@ -154,7 +154,7 @@
 /// Checks a password against a line of the users' file, `pbkdf2-sha256$ROUNDS$SALT$HASH` with salt and hash
 /// in hex digits.
 #[must_use]
-pub fn password_fits(line: &str, password: &str) -> bool {
+pub fn verify_password(line: &str, password: &str) -> bool {
     let Some(secret) = Secret::read(line) else { return false };
     let mut found = [0; 32];
     pbkdf2::pbkdf2_hmac::<Sha256>(password.as_bytes(), &secret.salt, secret.rounds, &mut found);
@@ -186,7 +186,7 @@
 
 /// Whether a line of the users' file can be used.
 #[must_use]
-pub fn is_secret(line: &str) -> bool {
+pub fn is_valid_password_entry(line: &str) -> bool {
     Secret::read(line).is_some()
 }
 
@@ -198,7 +198,7 @@
 
 /// Writes a line of the users' file.
 #[must_use]
-pub fn secret(password: &str, salt: &[u8], rounds: u32) -> String {
+pub fn password_entry(password: &str, salt: &[u8], rounds: u32) -> String {
     let mut hash = [0; 32];
     pbkdf2::pbkdf2_hmac::<Sha256>(password.as_bytes(), salt, rounds, &mut hash);
     let hex = |bytes: &[u8]| bytes.iter().map(|b| format!("{b:02x}")).collect::<String>();
--- a/crates/flight/tests/ticket_format.rs
+++ b/crates/flight/tests/ticket_format.rs
@@ -6,7 +6,14 @@
 /// Made at 5 and valid to 100, both in µs.
 fn ticket() -> Ticket {
     let command = Bytes::from_static(br#"{"id":"q"}"#);
-    Ticket { command, made: 5, expires: 100, user: "ann".into(), issuer: 0x0102_0304_0506_0708, polled: true }
+    Ticket {
+        command,
+        issued_at: 5,
+        expires: 100,
+        user: "ann".into(),
+        issuer: 0x0102_0304_0506_0708,
+        polled: true,
+    }
 }
 
 fn token() -> Token {
@@ -29,17 +36,17 @@
 #[test]
 fn a_ticket_has_these_bytes() {
     let key = Key::new(b"a secret of sixteen bytes or more");
-    assert_eq!(hex(&key.ticket(&ticket())), TICKET);
+    assert_eq!(hex(&key.sign_ticket(&ticket())), TICKET);
     assert_eq!(key.read_ticket(99, &unhex(TICKET)), Ok(ticket()));
     let shortest = Ticket { expires: 100, ..Ticket::default() };
-    assert_eq!(hex(&key.ticket(&shortest)), SHORTEST_TICKET);
+    assert_eq!(hex(&key.sign_ticket(&shortest)), SHORTEST_TICKET);
     assert_eq!(key.read_ticket(99, &unhex(SHORTEST_TICKET)), Ok(shortest));
 }
 
 #[test]
 fn a_token_has_these_bytes() {
     let key = Key::new(b"a secret of sixteen bytes or more");
-    assert_eq!(hex(&key.token(&token())), TOKEN);
+    assert_eq!(hex(&key.sign_token(&token())), TOKEN);
     assert_eq!(key.read_token(299, &unhex(TOKEN)), Ok(token()));
 }
 
--- a/crates/mallowgauge/tests/flight.rs
+++ b/crates/mallowgauge/tests/flight.rs
@@ -68,7 +68,7 @@
                 let text = base64(status.details());
                 map.insert("grpc-status-details-bin", text.parse().expect("a value"));
             }
-            let (reason, wait) = mallowgauge_flight::grpc::details_of(&map);
+            let (reason, wait) = mallowgauge_flight::grpc::error_details(&map);
             (status.code(), reason, wait.map(|wait| wait / 1000))
         }
         other => panic!("no status: {other}"),
@@ -290,7 +290,7 @@
     .await;
     assert_eq!((&put[0]["status"], &put[0]["total"]), (&json!("partial"), &json!(false)));
     // A session that takes only whole answers is told that this is none.
-    set_options(&mut client, &[("whole_only", OptionValue::Flag(true))]).await;
+    set_options(&mut client, &[("whole_only", OptionValue::Bool(true))]).await;
     let failed =
         ask(&mut client, &command("sales-report", "w", &[0, 1, 2, 3, 4])).await.expect_err("a failure");
     assert_eq!((failed.0, failed.1.as_deref()), (Code::Aborted, Some("PARTIAL")));
@@ -636,9 +636,9 @@
     let errors = set_options(
         &mut client,
         &[
-            ("compression", OptionValue::Text("zstd".to_owned())),
-            ("timeout_ms", OptionValue::Whole(-4)),
-            ("colour", OptionValue::Text("red".to_owned())),
+            ("compression", OptionValue::String("zstd".to_owned())),
+            ("timeout_ms", OptionValue::Int64(-4)),
+            ("colour", OptionValue::String("red".to_owned())),
         ],
     )
     .await;
@@ -656,7 +656,7 @@
         }
     };
     let said = options(&mut client).await;
-    assert_eq!(said["compression"].option_value, Some(OptionValue::Text("zstd".to_owned())));
+    assert_eq!(said["compression"].option_value, Some(OptionValue::String("zstd".to_owned())));
     assert_eq!(said["timeout_ms"].option_value, None);
     let closed: Vec<Bytes> = client
         .do_action(Action::new("CloseSession", ""))
@@ -668,7 +668,7 @@
     assert_eq!(proto::CloseSessionResult::decode(closed[0].clone()).expect("a result").status, 1);
     assert_eq!(
         options(&mut client).await["compression"].option_value,
-        Some(OptionValue::Text("none".to_owned()))
+        Some(OptionValue::String("none".to_owned()))
     );
 }
 
@@ -741,7 +741,7 @@
 #[tokio::test]
 async fn users_have_tokens_and_tickets_of_their_own() {
     let folder = std::env::temp_dir().join(format!("mallowgauge-users-{}", std::process::id()));
-    let secret = |password: &str| seal::secret(password, b"salt", 1000);
+    let secret = |password: &str| seal::password_entry(password, b"salt", 1000);
     let text = format!("# who may call\nann:{}\nbob:{}\n", secret("wheat"), secret("oats"));
     let users = tls::file(&folder, "users.txt", &text);
     let key = tls::file(&folder, "flight.key", "a key that two copies share");
@@ -854,7 +854,7 @@
     let mut client = client(&cluster).await;
     let mut sizes = Vec::new();
     for codec in ["none", "lz4", "zstd"] {
-        set_options(&mut client, &[("compression", OptionValue::Text(codec.to_owned()))]).await;
+        set_options(&mut client, &[("compression", OptionValue::String(codec.to_owned()))]).await;
         let wish = command("search", &format!("q-{codec}"), &[0, 1]);
         let (batches, said) = ask(&mut client, &wish).await.expect("an answer");
         assert_eq!(said, json!({"total": true}));
--- a/crates/settings/src/flight.rs
+++ b/crates/settings/src/flight.rs
@@ -86,7 +86,7 @@
         let listen = section.address("listen")?;
         let (backends, every_backend) = read_backends(&section)?;
         let key = section.file("key")?;
-        if key.as_ref().is_some_and(|key| key.len() < mallowgauge_flight::seal::SHORTEST_KEY) {
+        if key.as_ref().is_some_and(|key| key.len() < mallowgauge_flight::seal::MIN_KEY_BYTES) {
             return Err(section.error("key", Problem::Unexpected("is a file of fewer than 16 bytes")));
         }
         let users = section.file("users")?.map(|text| read_users(&text, &section)).transpose()?;
@@ -155,7 +155,7 @@
         }
         let error = |problem| section.error("users", Problem::UserLine { line: index + 1, problem });
         let (name, secret) = line.split_once(':').ok_or_else(|| error("no colon behind a name"))?;
-        if !mallowgauge_flight::seal::is_secret(secret) {
+        if !mallowgauge_flight::seal::is_valid_password_entry(secret) {
             return Err(error("not pbkdf2-sha256$ROUNDS$SALT$HASH with up to 200000 rounds"));
         }
         if users.insert(name.to_owned(), secret.to_owned()).is_some() {
--- a/crates/testkit/src/bench_flight.rs
+++ b/crates/testkit/src/bench_flight.rs
@@ -11,7 +11,7 @@
 
 use bytes::Bytes;
 use http::Request;
-use mallowgauge_flight::grpc::{frame, status_of, Deframer, SERVICE};
+use mallowgauge_flight::grpc::{frame, status_code, Deframer, FLIGHT_SERVICE_PATH};
 use mallowgauge_flight::proto::{FlightDescriptor, FlightInfo, Ticket};
 use mallowgauge_testkit::columns::{host, listings, numbers, Act, Dress, Runs, Script};
 use mallowgauge_testkit::{config, plain, Program};
@@ -77,7 +77,7 @@
     method: &str,
     message: Vec<u8>,
 ) -> (u64, Bytes, u32) {
-    let request = Request::post(format!("http://bench{SERVICE}{method}"))
+    let request = Request::post(format!("http://bench{FLIGHT_SERVICE_PATH}{method}"))
         .header("content-type", "application/grpc")
         .header("grpc-timeout", "30S")
         .body(())
@@ -92,7 +92,7 @@
         let Ok(piece) = piece else { return (bytes, first, 99) };
         let _ = body.flow_control().release_capacity(piece.len());
         frames.push(&piece);
-        while let Ok(Some(message)) = frames.take() {
+        while let Ok(Some(message)) = frames.next_message() {
             bytes += message.len() as u64;
             if first.is_empty() {
                 first = message;
@@ -100,7 +100,7 @@
         }
     }
     let trailers = body.trailers().await.ok().flatten().unwrap_or(head);
-    (bytes, first, status_of(&trailers).unwrap_or(99))
+    (bytes, first, status_code(&trailers).unwrap_or(99))
 }
 
 /// What a reader does; prints bytes, seconds and CPU seconds.
@@ -274,7 +274,7 @@
                         return Some(status);
                     }
                     let info = FlightInfo::decode(info).ok()?;
-                    let request = Request::post(format!("http://bench{SERVICE}DoGet"))
+                    let request = Request::post(format!("http://bench{FLIGHT_SERVICE_PATH}DoGet"))
                         .header("content-type", "application/grpc")
                         .header("grpc-timeout", "20S")
                         .body(())
@@ -282,7 +282,7 @@
                     let (response, mut stream) = sender.send_request(request, false).ok()?;
                     stream.send_data(frame(info.endpoint[0].ticket.as_ref()?).into(), true).ok()?;
                     let response = response.await.ok()?;
-                    if let Some(status) = status_of(response.headers()) {
+                    if let Some(status) = status_code(response.headers()) {
                         return Some(status);
                     }
                     let mut body = response.into_body();
@@ -290,7 +290,7 @@
                         tokio::time::sleep(Duration::from_millis(piece.len() as u64 / 16)).await;
                         let _ = body.flow_control().release_capacity(piece.len());
                     }
-                    body.trailers().await.ok().flatten().as_ref().and_then(status_of)
+                    body.trailers().await.ok().flatten().as_ref().and_then(status_code)
                 };
                 tokio::time::timeout(Duration::from_secs(25), work).await.ok().flatten()
             }));
--- a/crates/testkit/src/bench_phases.rs
+++ b/crates/testkit/src/bench_phases.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use hdrhistogram::Histogram;
 use http::Request;
-use mallowgauge_flight::grpc::{frame, status_of, Deframer, SERVICE};
+use mallowgauge_flight::grpc::{frame, status_code, Deframer, FLIGHT_SERVICE_PATH};
 use mallowgauge_flight::proto::{FlightDescriptor, FlightInfo};
 use mallowgauge_testkit::columns::{text, working, Work};
 use mallowgauge_testkit::{config, plain, Program};
@@ -99,7 +99,7 @@
     method: &str,
     message: Vec<u8>,
 ) -> Option<(Bytes, u32)> {
-    let request = Request::post(format!("http://bench{SERVICE}{method}"))
+    let request = Request::post(format!("http://bench{FLIGHT_SERVICE_PATH}{method}"))
         .header("content-type", "application/grpc")
         .header("grpc-timeout", "4S")
         .body(())
@@ -113,12 +113,12 @@
     while let Some(Ok(piece)) = body.data().await {
         let _ = body.flow_control().release_capacity(piece.len());
         frames.push(&piece);
-        while let Ok(Some(message)) = frames.take() {
+        while let Ok(Some(message)) = frames.next_message() {
             first = if first.is_empty() { message } else { first };
         }
     }
     let trailers = body.trailers().await.ok().flatten().unwrap_or(head);
-    Some((first, status_of(&trailers)?))
+    Some((first, status_code(&trailers)?))
 }
 
 /// One query; whether it was answered.
--- a/crates/testkit/src/columns.rs
+++ b/crates/testkit/src/columns.rs
@@ -120,7 +120,7 @@
         head = head.header("grpc-encoding", "gzip");
     }
     let (status, pieces) = match act {
-        Act::Later => (Status::new(Code::Unavailable, "later").because(grpc::LATER), Vec::new()),
+        Act::Later => (Status::new(Code::Unavailable, "later").with_reason(grpc::REASON_LATER), Vec::new()),
         Act::Fail(code) => (Status::new(code, "as the script says"), Vec::new()),
         Act::After(..) => return None,
         Act::Hang => {
--- a/crates/testkit/src/flight.rs
+++ b/crates/testkit/src/flight.rs
@@ -12,7 +12,7 @@
 use h2::server::SendResponse;
 use h2::{Reason, RecvStream};
 use http::{HeaderMap, Request, Response};
-use mallowgauge_flight::grpc::{frame, status_of, write_timeout, Deframer, SERVICE};
+use mallowgauge_flight::grpc::{format_timeout, frame, status_code, Deframer, FLIGHT_SERVICE_PATH};
 use mallowgauge_flight::proto::{FlightData, FlightDescriptor, FlightInfo, Ticket};
 use prost::Message;
 use serde_json::{json, Value};
@@ -36,7 +36,7 @@
         let piece = piece.ok()?;
         let _ = body.flow_control().release_capacity(piece.len());
         frames.push(&piece);
-        messages.extend(std::iter::from_fn(|| frames.take().expect("a message")));
+        messages.extend(std::iter::from_fn(|| frames.next_message().expect("a message")));
     }
     frames.is_empty().then_some((messages, body.trailers().await.ok()?))
 }
@@ -86,7 +86,7 @@
         socket.read_exact(&mut body).await.ok()?;
         if head[3] == 0 {
             frames.push(&body);
-            if let Some(message) = frames.take().expect("a message") {
+            if let Some(message) = frames.next_message().expect("a message") {
                 break Ticket::decode(message).expect("a ticket");
             }
         }
@@ -105,7 +105,7 @@
     mut respond: SendResponse<Bytes>,
     events: Sender<Event>,
 ) {
-    assert_eq!(request.uri().path(), format!("{SERVICE}DoGet"));
+    assert_eq!(request.uri().path(), format!("{FLIGHT_SERVICE_PATH}DoGet"));
     assert!(request.headers().contains_key("grpc-timeout"), "the deadline goes on to hosts");
     let (messages, _) = read(request.into_body()).await.expect("a request");
     let ticket = Ticket::decode(messages[0].clone()).expect("a ticket");
@@ -196,9 +196,9 @@
     tokio::task::spawn_local(connection);
     let sender = Arc::new(Mutex::new(sender));
     let call = |method: &str, message: Vec<u8>| {
-        let request = Request::post(format!("http://{addr}{SERVICE}{method}"))
+        let request = Request::post(format!("http://{addr}{FLIGHT_SERVICE_PATH}{method}"))
             .header("content-type", "application/grpc")
-            .header("grpc-timeout", write_timeout(query.ms * 1000))
+            .header("grpc-timeout", format_timeout(query.ms * 1000))
             .body(())
             .expect("a request");
         let sent = sender.lock().expect("a sound lock").send_request(request, false);
@@ -211,7 +211,7 @@
             let map = trailers.unwrap_or(head);
             let advice = if map.contains_key("grpc-status-details-bin") { ", with advice" } else { "" };
             let words = || map["grpc-message"].to_str().expect("text").to_owned();
-            match status_of(&map) {
+            match status_code(&map) {
                 Some(0) => Ok(messages),
                 Some(3) => Err(format!("invalid: {}", words())),
                 Some(4) => Err("time up".to_owned()),
--- a/crates/testkit/src/raw.rs
+++ b/crates/testkit/src/raw.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use httlib_hpack::Decoder;
-use mallowgauge_flight::grpc::{Deframer, SERVICE};
+use mallowgauge_flight::grpc::{Deframer, FLIGHT_SERVICE_PATH};
 
 /// Longer than any answer may take on a slow machine.
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -90,7 +90,8 @@
 
 /// The head of a call of a method.
 pub fn head(method: &str, extra: &[(&str, &str)]) -> Vec<u8> {
-    let path = if method.starts_with('/') { method.to_owned() } else { format!("{SERVICE}{method}") };
+    let path =
+        if method.starts_with('/') { method.to_owned() } else { format!("{FLIGHT_SERVICE_PATH}{method}") };
     let mut out = Vec::new();
     let fixed = [
         (":method", "POST"),
@@ -212,7 +213,7 @@
                 DATA => {
                     if frame.stream == stream {
                         frames.push(&frame.payload);
-                        let whole = std::iter::from_fn(|| frames.take().expect("a message"));
+                        let whole = std::iter::from_fn(|| frames.next_message().expect("a message"));
                         reply.messages.extend(whole.map(|m| m.to_vec()));
                     }
                     if takes && !frame.payload.is_empty() {
