--- a/crates/flight/src/answer.rs
+++ b/crates/flight/src/answer.rs
@@ -1,9 +1,9 @@
-//! A final answer as a stream of Flight's messages, made one at a time as the client takes them, so that
-//! nothing is written ahead and each part's table is let go once its last message is out.
+//! Encodes a response as a stream of Flight messages. Messages are encoded one at a time as the client reads
+//! them, so that nothing is buffered ahead and each part's table is freed once its last message was encoded.
 //!
-//! Texts become a table with the columns `range` (uint32) and `blob` (utf8). Tables keep their columns and
-//! get `range` behind them. The last message, and only that, says in its metadata whether the answer is
-//! whole, so that a stream cut short never looks it.
+//! Text values become a table with the columns `range` (uint32) and `blob` (utf8). Tables keep their columns
+//! and get `range` appended. Only the last message states in its metadata whether the response is complete,
+//! so that a truncated stream cannot be mistaken for a complete one.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -22,21 +22,21 @@
 use mallowgauge_router::ShardId;
 use prost::encoding::{encode_key, encode_varint, encoded_len_varint, key_len, WireType};
 
-use crate::grpc::{frame_with_reserved_prefix, Encoding};
+use crate::grpc::{frame_with_reserved_prefix, Encoding, PREFIX_BYTES};
 use crate::ipc::{self, EncodedMessage};
 use crate::schema;
 
-/// Bytes of texts after which a new record batch is begun.
-const BATCH: usize = 256 * 1024;
+/// The size of text values in bytes after which a new record batch is started.
+const TEXT_BATCH_BYTES: usize = 256 * 1024;
 
-/// The columns of texts.
+/// Returns the schema of a response with text values.
 #[must_use]
 pub fn text_schema() -> Schema {
     let column = |name: &str, kind| Field::new(name, kind, false);
     Schema::new(vec![column(schema::SHARD_COLUMN, DataType::UInt32), column("blob", DataType::Utf8)])
 }
 
-/// The columns of the best rows of a query in two phases.
+/// Returns the schema of a response to a two-phase query, which contains its best rows.
 #[must_use]
 pub fn ranked_schema() -> Schema {
     let column = |name: &str, kind| Field::new(name, kind, false);
@@ -49,39 +49,43 @@
     ])
 }
 
-fn encoded(schema: &Schema) -> EncodedData {
+/// Encodes a schema as an IPC message.
+fn encode_schema(schema: &Schema) -> EncodedData {
     let options = IpcWriteOptions::default();
     let mut tracker = DictionaryTracker::new(true);
     IpcDataGenerator::default().schema_to_bytes_with_dictionary_tracker(schema, &mut tracker, &options)
 }
 
-/// A schema's message, as it goes before its batches.
+/// Returns the header of the schema message, which precedes the record batches.
 #[must_use]
 pub fn schema_header(schema: &Schema) -> Bytes {
-    encoded(schema).ipc_message.into()
+    encode_schema(schema).ipc_message.into()
 }
 
-/// A schema as `FlightInfo` and `SchemaResult` carry it.
+/// Encodes a schema for `FlightInfo` and `SchemaResult`, as an encapsulated IPC message.
 ///
 /// # Errors
-/// As Arrow says.
+/// Returns Arrow's error if the schema cannot be encoded.
 pub fn schema_message(schema: &Schema) -> Result<Bytes, ArrowError> {
     let mut out = Vec::new();
-    write_message(&mut out, encoded(schema), &IpcWriteOptions::default())?;
+    write_message(&mut out, encode_schema(schema), &IpcWriteOptions::default())?;
     Ok(out.into())
 }
 
-/// A `FlightData` in pieces, the body as it lies.
+/// Encodes a `FlightData` message with its gRPC prefix in several pieces. The body is copied only where
+/// [`frame_with_reserved_prefix`] copies pieces.
 #[must_use]
 pub fn flight_data(header: &Bytes, metadata: &Bytes, body: Vec<Bytes>, encoding: Encoding) -> Vec<Bytes> {
     const HEADER: u32 = 2;
     const METADATA: u32 = 3;
     const BODY: u32 = 1000;
     let length: usize = body.iter().map(Bytes::len).sum();
-    let room = |tag: u32, bytes: usize| key_len(tag) + encoded_len_varint(bytes as u64) + bytes;
-    let mut head = Vec::with_capacity(5 + room(HEADER, header.len()) + room(METADATA, metadata.len()) + 16);
-    // The frame's own five bytes go in front of the same piece.
-    head.extend_from_slice(&[0; 5]);
+    let field_bytes = |tag: u32, bytes: usize| key_len(tag) + encoded_len_varint(bytes as u64) + bytes;
+    let mut head = Vec::with_capacity(
+        PREFIX_BYTES + field_bytes(HEADER, header.len()) + field_bytes(METADATA, metadata.len()) + 16,
+    );
+    // Reserves the gRPC prefix in front of the same piece.
+    head.extend_from_slice(&[0; PREFIX_BYTES]);
     for (tag, bytes) in [(HEADER, header), (METADATA, metadata)] {
         if !bytes.is_empty() {
             encode_key(tag, WireType::LengthDelimited, &mut head);
@@ -96,47 +100,48 @@
     frame_with_reserved_prefix(head, body, encoding)
 }
 
-/// How an answer's messages are written.
+/// The options of a stream.
 #[derive(Clone, Debug, Default)]
 pub struct StreamOptions {
-    /// How the bodies are compressed that are made here.
+    /// The compression of record batches that are encoded here; those from backends stay as they are.
     pub compression: Compression,
-    /// How gRPC's messages are compressed.
+    /// The compression of gRPC messages.
     pub encoding: Encoding,
-    /// Goes as metadata with each batch but the last.
+    /// The metadata of each message except the schema and the last one.
     pub batch_metadata: Bytes,
-    /// Goes as metadata with the last batch.
+    /// The metadata of the last message.
     pub final_metadata: Bytes,
-    /// The stream has had its schema.
+    /// Whether the schema was already sent on this stream.
     pub schema_sent: bool,
 }
 
+/// The values that remain to be encoded.
 enum Source {
     Texts(VecDeque<(ShardId, Rc<str>)>),
     Tables(VecDeque<(ShardId, Rc<Table>)>),
-    /// A batch that is made.
+    /// A record batch that is already built; `None` once it was encoded.
     Batch(Option<RecordBatch>),
 }
 
-/// An answer on its way out.
+/// A response that is encoded message by message.
 pub struct Stream {
     options: StreamOptions,
     schema: Option<Bytes>,
-    /// The ids of the answer's dictionaries, in the order of the columns.
-    ids: Vec<i64>,
+    /// The ids of the response's dictionaries in column order.
+    dictionary_ids: Vec<i64>,
     source: Source,
-    /// The next message of the first table.
-    next: usize,
-    /// Messages that are ready, at most a dictionary under several ids.
+    /// The index of the next message of the first remaining table.
+    next_message: usize,
+    /// Encoded messages to be sent next: a dictionary, once for each id that it has in the response.
     ready: VecDeque<EncodedMessage>,
     ended: bool,
 }
 
 impl Stream {
-    /// An answer with these values, which agree with each other.
+    /// Creates a stream of the parts' values.
     ///
     /// # Errors
-    /// They do not.
+    /// The values are not compatible with each other.
     pub fn new(values: &[(ShardId, Value)], options: StreamOptions) -> Result<Self, String> {
         let mut texts = VecDeque::new();
         let mut tables = VecDeque::new();
@@ -152,40 +157,57 @@
         let (schema, source) = if tables.is_empty() {
             (text_schema(), Source::Texts(texts))
         } else {
-            (united(tables.iter().map(|(_, table)| table))?, Source::Tables(tables))
+            (merged_schema(tables.iter().map(|(_, table)| table))?, Source::Tables(tables))
         };
         let header = schema_header(&schema);
-        let ids = ipc::schema_dictionary_ids(&header)?;
+        let dictionary_ids = ipc::schema_dictionary_ids(&header)?;
         let schema = (!options.schema_sent).then_some(header);
-        Ok(Self { options, schema, ids, source, next: 0, ready: VecDeque::new(), ended: false })
+        Ok(Self {
+            options,
+            schema,
+            dictionary_ids,
+            source,
+            next_message: 0,
+            ready: VecDeque::new(),
+            ended: false,
+        })
     }
 
-    /// The best rows of a query in two phases.
+    /// Creates a stream of the best rows of a two-phase query.
     ///
     /// # Errors
-    /// As Arrow says.
+    /// Returns Arrow's error if the record batch cannot be built.
     pub fn ranked(rows: &[Row], options: StreamOptions) -> Result<Self, String> {
-        let ranges = UInt32Array::from_iter_values(rows.iter().map(|row| row.shard.0));
+        let shards = UInt32Array::from_iter_values(rows.iter().map(|row| row.shard.0));
         let scores = Float64Array::from_iter_values(rows.iter().map(|row| row.score));
-        let text = |of: fn(&Row) -> &str| Arc::new(StringArray::from_iter_values(rows.iter().map(of)));
+        let text = |value: fn(&Row) -> &str| Arc::new(StringArray::from_iter_values(rows.iter().map(value)));
         let columns: Vec<ArrayRef> =
-            vec![Arc::new(ranges), Arc::new(scores), text(|row| &row.id), text(|row| &row.text)];
-        let batch = RecordBatch::try_new(Arc::new(ranked_schema()), columns).map_err(|e| e.to_string())?;
+            vec![Arc::new(shards), Arc::new(scores), text(|row| &row.id), text(|row| &row.text)];
+        let batch =
+            RecordBatch::try_new(Arc::new(ranked_schema()), columns).map_err(|error| error.to_string())?;
         let schema = (!options.schema_sent).then(Self::ranked_schema_header);
-        let (ids, ready) = (Vec::new(), VecDeque::new());
-        Ok(Self { options, schema, ids, source: Source::Batch(Some(batch)), next: 0, ready, ended: false })
+        let (dictionary_ids, ready) = (Vec::new(), VecDeque::new());
+        Ok(Self {
+            options,
+            schema,
+            dictionary_ids,
+            source: Source::Batch(Some(batch)),
+            next_message: 0,
+            ready,
+            ended: false,
+        })
     }
 
-    /// The schema of such an answer, as a message's header.
+    /// Returns the header of the schema message of a two-phase query.
     #[must_use]
     pub fn ranked_schema_header() -> Bytes {
         schema_header(&ranked_schema())
     }
 
-    /// The columns of the answer with these values.
+    /// Returns the schema of the response with the given values.
     ///
     /// # Errors
-    /// They do not agree.
+    /// The values are not compatible with each other.
     pub fn schema(values: &[(ShardId, Value)]) -> Result<Schema, String> {
         let table = |(_, value): &(ShardId, Value)| match value {
             Value::Table(table) => Some(Rc::clone(table)),
@@ -195,22 +217,22 @@
         if tables.is_empty() {
             Ok(text_schema())
         } else {
-            united(tables.iter())
+            merged_schema(tables.iter())
         }
     }
 
-    /// The same as a message's header.
+    /// Returns the header of the schema message of the response with the given values.
     ///
     /// # Errors
-    /// They do not agree.
+    /// The values are not compatible with each other.
     pub fn schema_header(values: &[(ShardId, Value)]) -> Result<Bytes, String> {
         Self::schema(values).map(|schema| schema_header(&schema))
     }
 
-    /// The next message, in pieces, in gRPC's frame; `None` at the end.
+    /// Encodes the next message with its gRPC prefix, in several pieces; `None` at the end.
     ///
     /// # Errors
-    /// It cannot be written.
+    /// The message cannot be encoded.
     pub fn next_message(&mut self) -> Result<Option<Vec<Bytes>>, String> {
         let encoding = self.options.encoding;
         if let Some(header) = self.schema.take() {
@@ -219,12 +241,12 @@
         if self.ended {
             return Ok(None);
         }
-        let out = self.outgoing()?;
+        let message = self.next_ipc_message()?;
         self.ended = self.is_last()?;
         let metadata = if self.ended { &self.options.final_metadata } else { &self.options.batch_metadata };
-        Ok(Some(match out {
-            Some(out) => flight_data(&out.header, metadata, out.body, encoding),
-            // An answer without any rows still says whether it is whole.
+        Ok(Some(match message {
+            Some(message) => flight_data(&message.header, metadata, message.body, encoding),
+            // A response without rows still states whether it is complete.
             None => {
                 self.ended = true;
                 flight_data(&Bytes::new(), &self.options.final_metadata, Vec::new(), encoding)
@@ -232,26 +254,27 @@
         }))
     }
 
-    /// Whether nothing follows what went out last.
+    /// Returns whether all messages were encoded.
     fn is_last(&mut self) -> Result<bool, String> {
         Ok(match &mut self.source {
             Source::Texts(texts) => texts.is_empty(),
             Source::Batch(batch) => batch.is_none(),
             Source::Tables(tables) => {
-                // A table whose last message is out is let go, and one without any is passed over.
-                while tables.front().is_some_and(|(_, table)| table.messages.len() <= self.next) {
+                // Frees finished tables, and skips tables without messages.
+                while tables.front().is_some_and(|(_, table)| table.messages.len() <= self.next_message) {
                     tables.pop_front();
-                    self.next = 0;
+                    self.next_message = 0;
                 }
                 tables.is_empty() && self.ready.is_empty()
             }
         })
     }
 
-    fn outgoing(&mut self) -> Result<Option<EncodedMessage>, String> {
+    /// Encodes the next dictionary or record batch; `None` at the end.
+    fn next_ipc_message(&mut self) -> Result<Option<EncodedMessage>, String> {
         loop {
-            if let Some(out) = self.ready.pop_front() {
-                return Ok(Some(out));
+            if let Some(message) = self.ready.pop_front() {
+                return Ok(Some(message));
             }
             if self.is_last()? {
                 return Ok(None);
@@ -260,19 +283,21 @@
                 Source::Texts(texts) => return text_batch(texts, self.options.compression).map(Some),
                 Source::Batch(batch) => {
                     let Some(batch) = batch.take() else { return Ok(None) };
-                    return write_batch(&batch, self.options.compression).map(Some);
+                    return encode_batch(&batch, self.options.compression).map(Some);
                 }
                 Source::Tables(tables) => {
                     let Some((shard, table)) = tables.front() else { return Ok(None) };
-                    let Some(message) = table.messages.get(self.next) else { return Ok(None) };
-                    self.next += 1;
+                    let Some(message) = table.messages.get(self.next_message) else { return Ok(None) };
+                    self.next_message += 1;
                     match ipc::dictionary_id(message) {
                         None => return ipc::with_shard_column(message, *shard).map(Some),
                         Some(id) => {
-                            // The columns of this host's dictionary, by their places.
-                            let theirs = ipc::schema_dictionary_ids(&table.schema)?;
-                            for (ours, _) in self.ids.iter().zip(theirs).filter(|(_, theirs)| *theirs == id) {
-                                self.ready.push_back(ipc::with_dictionary_id(message, *ours)?);
+                            // The backend's dictionary ids, in the same column order as those of the
+                            // response.
+                            let backend_ids = ipc::schema_dictionary_ids(&table.schema)?;
+                            let ids = self.dictionary_ids.iter().zip(backend_ids);
+                            for (response_id, _) in ids.filter(|(_, backend_id)| *backend_id == id) {
+                                self.ready.push_back(ipc::with_dictionary_id(message, *response_id)?);
                             }
                         }
                     }
@@ -282,7 +307,8 @@
     }
 }
 
-fn united<'a>(tables: impl Iterator<Item = &'a Rc<Table>>) -> Result<Schema, String> {
+/// Returns the schema of the response with the given tables.
+fn merged_schema<'a>(tables: impl Iterator<Item = &'a Rc<Table>>) -> Result<Schema, String> {
     let mut headers: Vec<&Bytes> = tables.map(|table| &table.schema).collect();
     headers.dedup();
     let schemas: Vec<Schema> =
@@ -290,38 +316,41 @@
     if let Some((first, rest)) = schemas.split_first() {
         rest.iter()
             .try_for_each(|other| schema::check_compatible(first, other))
-            .map_err(|clash| clash.to_string())?;
+            .map_err(|mismatch| mismatch.to_string())?;
     }
     Ok(schema::merge_schemas(&schemas))
 }
 
+/// Encodes the next text values as one record batch and removes them from the queue.
 fn text_batch(
     texts: &mut VecDeque<(ShardId, Rc<str>)>,
     compression: Compression,
 ) -> Result<EncodedMessage, String> {
-    let (mut ranges, mut blobs, mut bytes) = (Vec::new(), Vec::new(), 0);
-    while let Some((shard, text)) = texts.front().filter(|_| bytes < BATCH) {
+    let (mut shards, mut blobs, mut bytes) = (Vec::new(), Vec::new(), 0);
+    while let Some((shard, text)) = texts.front().filter(|_| bytes < TEXT_BATCH_BYTES) {
         bytes += text.len();
-        ranges.push(shard.0);
+        shards.push(shard.0);
         blobs.push(Rc::clone(text));
         texts.pop_front();
     }
     let blobs = StringArray::from_iter_values(blobs.iter().map(|text| &**text));
-    let columns: Vec<ArrayRef> = vec![Arc::new(UInt32Array::from(ranges)), Arc::new(blobs)];
-    let batch = RecordBatch::try_new(Arc::new(text_schema()), columns).map_err(|e| e.to_string())?;
-    write_batch(&batch, compression)
+    let columns: Vec<ArrayRef> = vec![Arc::new(UInt32Array::from(shards)), Arc::new(blobs)];
+    let batch = RecordBatch::try_new(Arc::new(text_schema()), columns).map_err(|error| error.to_string())?;
+    encode_batch(&batch, compression)
 }
 
-fn write_batch(batch: &RecordBatch, compression: Compression) -> Result<EncodedMessage, String> {
+/// Encodes a record batch as an IPC message.
+fn encode_batch(batch: &RecordBatch, compression: Compression) -> Result<EncodedMessage, String> {
     let codec = match compression {
         Compression::None => None,
         Compression::Lz4 => Some(CompressionType::LZ4_FRAME),
         Compression::Zstd => Some(CompressionType::ZSTD),
     };
-    let options = IpcWriteOptions::default().try_with_compression(codec).map_err(|e| e.to_string())?;
+    let options =
+        IpcWriteOptions::default().try_with_compression(codec).map_err(|error| error.to_string())?;
     let mut tracker = DictionaryTracker::new(true);
     let mut context = IpcWriteContext::default();
-    let written = IpcDataGenerator::default().encode(batch, &mut tracker, &options, &mut context);
-    let (_, data) = written.map_err(|e| e.to_string())?;
+    let encoded = IpcDataGenerator::default().encode(batch, &mut tracker, &options, &mut context);
+    let (_, data) = encoded.map_err(|error| error.to_string())?;
     Ok(EncodedMessage { header: data.ipc_message.into(), body: vec![data.arrow_data.into()] })
 }
--- a/crates/flight/src/grpc.rs
+++ b/crates/flight/src/grpc.rs
@@ -1,4 +1,4 @@
-//! gRPC over HTTP/2 as far as Flight needs it: message framing and compression, time-outs, statuses.
+//! The parts of gRPC over HTTP/2 that Flight needs: message framing and compression, timeouts and statuses.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -17,85 +17,85 @@
 
 use crate::proto::{ErrorInfo, RetryInfo, RpcStatus};
 
-/// Where the methods of Flight live.
+/// The path prefix of the Flight service's methods.
 pub const FLIGHT_SERVICE_PATH: &str = "/arrow.flight.protocol.FlightService/";
-/// Where health is asked for.
+/// The path prefix of the health service's methods.
 pub const HEALTH_SERVICE_PATH: &str = "/grpc.health.v1.Health/";
-/// The content type of gRPC.
+/// The content type of gRPC requests and responses.
 pub const CONTENT_TYPE: &str = "application/grpc";
 
-/// The statuses of gRPC, by their numbers.
+/// The gRPC status codes that this program uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u32)]
 pub enum Code {
-    /// Done.
+    /// Success.
     Ok = 0,
     /// The call was cancelled.
     Cancelled = 1,
-    /// The request makes no sense.
+    /// The request is invalid.
     InvalidArgument = 3,
-    /// The time ran out.
+    /// The deadline expired.
     DeadlineExceeded = 4,
-    /// What is asked for is not, or no longer, known.
+    /// The requested item does not exist or is no longer kept.
     NotFound = 5,
-    /// It is known under this name, as something else.
+    /// The id or tag is already in use for another query.
     AlreadyExists = 6,
-    /// The user may not.
+    /// The user is not allowed to do this.
     PermissionDenied = 7,
-    /// Refused, though other work for it may have run.
+    /// Rejected, but possibly executed in part.
     ResourceExhausted = 8,
-    /// It may have been done before, and is not done again.
+    /// Possibly executed before, and therefore not executed again.
     FailedPrecondition = 9,
-    /// It was given up.
+    /// The call was aborted.
     Aborted = 10,
-    /// There is no such method here, or no such encoding.
+    /// The method or the message encoding is not supported.
     Unimplemented = 12,
-    /// It failed, and may have had an effect.
+    /// Failed, possibly executed.
     Internal = 13,
-    /// Refused before anything was done.
+    /// Rejected, not executed.
     Unavailable = 14,
-    /// Who asks is not known.
+    /// The client is not authenticated.
     Unauthenticated = 16,
 }
 
-/// Whose reasons the details of a status name.
+/// The domain of the reasons in error details.
 pub const ERROR_DOMAIN: &str = "mallowgauge";
-/// The reason with which a host says that it turned a part away unseen.
+/// The reason with which a backend reports that it rejected a part without executing it.
 pub const REASON_LATER: &str = "LATER";
 
-/// A final status.
+/// The final status of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// Its number.
+    /// The status code.
     pub code: Code,
-    /// Words for people.
+    /// The message for people.
     pub message: Cow<'static, str>,
-    /// A constant for programs.
+    /// The machine-readable reason.
     pub reason: Option<&'static str>,
-    /// When to come back.
+    /// The delay after which the client should retry.
     pub retry_after: Option<Micros>,
 }
 
 impl Status {
-    /// A status without advice.
+    /// Creates a status without a reason or a retry delay.
     #[must_use]
     pub fn new(code: Code, message: impl Into<Cow<'static, str>>) -> Self {
         Self { code, message: message.into(), reason: None, retry_after: None }
     }
 
-    /// The same with a reason for programs.
+    /// Sets the machine-readable reason.
     #[must_use]
     pub fn with_reason(self, reason: &'static str) -> Self {
         Self { reason: Some(reason), ..self }
     }
 
-    /// The same with advice when to come back.
+    /// Sets the delay after which the client should retry.
     #[must_use]
-    pub fn with_retry_after(self, after: Micros) -> Self {
-        Self { retry_after: Some(after), ..self }
+    pub fn with_retry_after(self, delay: Micros) -> Self {
+        Self { retry_after: Some(delay), ..self }
     }
 
-    /// Writes it as trailers.
+    /// Encodes the status as HTTP/2 trailers.
     #[must_use]
     pub fn trailers(&self) -> HeaderMap {
         let mut map = HeaderMap::new();
@@ -103,7 +103,7 @@
         if self.code == Code::Ok {
             return map;
         }
-        if let Ok(value) = HeaderValue::from_str(&percent(&self.message)) {
+        if let Ok(value) = HeaderValue::from_str(&percent_encode(&self.message)) {
             map.insert("grpc-message", value);
         }
         let mut details = Vec::new();
@@ -130,14 +130,14 @@
 const RETRY_INFO: &str = "type.googleapis.com/google.rpc.RetryInfo";
 const ERROR_INFO: &str = "type.googleapis.com/google.rpc.ErrorInfo";
 
-/// The words of a status as a header line: what is not printable is escaped.
-fn percent(words: &str) -> String {
-    let plain = |b: &u8| (0x20..=0x7e).contains(b) && *b != b'%';
-    let escape = |b: &u8| if plain(b) { char::from(*b).to_string() } else { format!("%{b:02X}") };
-    words.as_bytes().iter().map(escape).collect()
+/// Percent-encodes a status message for the `grpc-message` header.
+fn percent_encode(message: &str) -> String {
+    let is_unescaped = |b: &u8| (0x20..=0x7e).contains(b) && *b != b'%';
+    let escape = |b: &u8| if is_unescaped(b) { char::from(*b).to_string() } else { format!("%{b:02X}") };
+    message.as_bytes().iter().map(escape).collect()
 }
 
-/// The details of a status: the reason, if it is one of ours, and the advice when to come back.
+/// Decodes the error details of a status: the reason, if its domain is [`ERROR_DOMAIN`], and the retry delay.
 #[must_use]
 pub fn error_details(map: &HeaderMap) -> (Option<String>, Option<Micros>) {
     let text = map.get("grpc-status-details-bin").and_then(|value| value.to_str().ok());
@@ -150,13 +150,13 @@
     (reason.filter(|info| info.domain == ERROR_DOMAIN).map(|info| info.reason), retry.map(wait))
 }
 
-/// The number of a status in headers or trailers.
+/// Returns the status code in headers or trailers.
 #[must_use]
 pub fn status_code(map: &HeaderMap) -> Option<u32> {
     map.get("grpc-status")?.to_str().ok()?.parse().ok()
 }
 
-/// Reads a `grpc-timeout`.
+/// Parses a `grpc-timeout` header. Returns `None` if it is invalid.
 #[must_use]
 pub fn parse_timeout(text: &str) -> Option<Micros> {
     let (digits, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
@@ -175,31 +175,31 @@
     })
 }
 
-/// Writes a `grpc-timeout`; at most eight digits are allowed.
+/// Formats a `grpc-timeout` header, which may have at most eight digits.
 #[must_use]
-pub fn format_timeout(wait: Micros) -> String {
-    if wait < 100_000_000 {
-        format!("{wait}u")
+pub fn format_timeout(timeout: Micros) -> String {
+    if timeout < 100_000_000 {
+        format!("{timeout}u")
     } else {
-        format!("{}S", (wait / 1_000_000).min(99_999_999))
+        format!("{}S", (timeout / 1_000_000).min(99_999_999))
     }
 }
 
-/// How messages are compressed.
+/// The compression of gRPC messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Encoding {
-    /// Not at all.
+    /// No compression.
     #[default]
     Identity,
-    /// By gzip.
+    /// gzip.
     Gzip,
 }
 
-/// What is said to be understood.
+/// The value of `grpc-accept-encoding`.
 pub const ACCEPTED_ENCODINGS: &str = "identity,gzip";
 
 impl Encoding {
-    /// The encoding of that name.
+    /// Returns the encoding with this name in `grpc-encoding`.
     #[must_use]
     pub fn from_name(name: &str) -> Option<Self> {
         match name {
@@ -210,56 +210,59 @@
     }
 }
 
-/// Messages shorter than this are not worth compressing.
+/// The minimum size of a message to compress, in bytes; for shorter ones compression is not worth its cost.
 const MIN_COMPRESSED_BYTES: usize = 512;
 
-/// The five bytes in front of a message.
-fn head(compressed: bool, length: usize) -> [u8; 5] {
+/// The length of the prefix before each message: a compression flag and the message's length.
+pub(crate) const PREFIX_BYTES: usize = 5;
+
+/// Encodes the prefix of a message.
+fn prefix(compressed: bool, length: usize) -> [u8; PREFIX_BYTES] {
     let length = u32::try_from(length).unwrap_or(u32::MAX).to_be_bytes();
     [u8::from(compressed), length[0], length[1], length[2], length[3]]
 }
 
-/// Puts a message into gRPC's frame.
+/// Encodes a message with its gRPC prefix.
 #[must_use]
 pub fn frame(message: &impl Message) -> Vec<u8> {
     let length = message.encoded_len();
-    let mut out = Vec::with_capacity(5 + length);
-    out.extend_from_slice(&head(false, length));
-    // A vector takes all that is put into it.
-    let done = message.encode(&mut out);
-    debug_assert!(done.is_ok());
+    let mut out = Vec::with_capacity(PREFIX_BYTES + length);
+    out.extend_from_slice(&prefix(false, length));
+    // Encoding into a vector cannot fail, since its capacity grows.
+    let result = message.encode(&mut out);
+    debug_assert!(result.is_ok());
     out
 }
 
-/// Puts a message that lies in pieces into gRPC's frame; the pieces are not copied unless they are
-/// compressed.
+/// Adds the gRPC prefix to a message that consists of several pieces. The pieces are not copied, except for
+/// short leading ones and for compression.
 #[must_use]
 pub fn frame_pieces(pieces: Vec<Bytes>, encoding: Encoding) -> Vec<Bytes> {
-    frame_with_reserved_prefix(vec![0; 5], pieces, encoding)
+    frame_with_reserved_prefix(vec![0; PREFIX_BYTES], pieces, encoding)
 }
 
-/// Pieces shorter than this are put together with the one before.
-const SHORT: usize = 4096;
+/// Leading pieces shorter than this, in bytes, are copied into the piece that holds the prefix.
+const MAX_COPIED_BYTES: usize = 4096;
 
-/// The same for a message whose first piece has room for the frame's five bytes in front.
+/// Adds the gRPC prefix to a message whose first piece starts with five reserved bytes for it.
 #[must_use]
 pub fn frame_with_reserved_prefix(mut first: Vec<u8>, rest: Vec<Bytes>, encoding: Encoding) -> Vec<Bytes> {
-    let length = first.len() - 5 + rest.iter().map(Bytes::len).sum::<usize>();
+    let length = first.len() - PREFIX_BYTES + rest.iter().map(Bytes::len).sum::<usize>();
     if encoding == Encoding::Gzip && length >= MIN_COMPRESSED_BYTES {
-        // The frame's length is known only afterwards.
-        let mut gzip = GzEncoder::new(vec![0; 5], Compression::fast());
-        let written = gzip.write_all(&first[5..]);
+        // The prefix is filled in once the compressed length is known.
+        let mut gzip = GzEncoder::new(vec![0; PREFIX_BYTES], Compression::fast());
+        let written = gzip.write_all(&first[PREFIX_BYTES..]);
         let written = written.and_then(|()| rest.iter().try_for_each(|piece| gzip.write_all(piece)));
         if let (Ok(()), Ok(mut packed)) = (written, gzip.finish()) {
-            let size = packed.len() - 5;
-            packed[..5].copy_from_slice(&head(true, size));
+            let size = packed.len() - PREFIX_BYTES;
+            packed[..PREFIX_BYTES].copy_from_slice(&prefix(true, size));
             return vec![packed.into()];
         }
     }
-    first[..5].copy_from_slice(&head(false, length));
+    first[..PREFIX_BYTES].copy_from_slice(&prefix(false, length));
     let mut out = Vec::with_capacity(1 + rest.len());
     for piece in rest {
-        if piece.len() < SHORT && out.is_empty() {
+        if piece.len() < MAX_COPIED_BYTES && out.is_empty() {
             first.extend_from_slice(&piece);
         } else {
             out.push(piece);
@@ -269,19 +272,19 @@
     out
 }
 
-/// Why what has come is no message.
+/// The reason why received bytes are not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// Longer than is taken, as it stands or inflated.
+    /// The message exceeds the size limit, as received or decompressed.
     TooLong,
-    /// Compressed, though that was not said, or with a flag that means nothing.
+    /// The compression flag is set without `grpc-encoding`, or is not a valid flag.
     CompressionFlag,
-    /// It cannot be inflated.
+    /// The message cannot be decompressed.
     Corrupt,
 }
 
 impl FrameError {
-    /// The status that a client is given for it.
+    /// Returns the status that is sent to the client.
     #[must_use]
     pub fn status(self) -> Status {
         match self {
@@ -297,88 +300,89 @@
     }
 }
 
-/// Takes messages out of gRPC's frames.
+/// Extracts messages from a stream of gRPC frames.
 #[derive(Debug)]
 pub struct Deframer {
-    held: BytesMut,
-    most: usize,
+    buffer: BytesMut,
+    max_message_bytes: usize,
     encoding: Encoding,
 }
 
 impl Deframer {
-    /// For messages of at most `most` bytes, once they are inflated.
+    /// Creates a deframer for messages of at most `max_message_bytes` bytes, as received and decompressed.
     #[must_use]
-    pub fn new(most: usize) -> Self {
-        Self { held: BytesMut::new(), most, encoding: Encoding::Identity }
+    pub fn new(max_message_bytes: usize) -> Self {
+        Self { buffer: BytesMut::new(), max_message_bytes, encoding: Encoding::Identity }
     }
 
-    /// For messages that may be compressed in this way.
+    /// Sets the encoding that compressed messages use.
     #[must_use]
     pub fn with_encoding(self, encoding: Encoding) -> Self {
         Self { encoding, ..self }
     }
 
-    /// Adds what has come.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        if let Some(length) = self.length().filter(|&length| length <= self.most) {
-            // The whole message in one piece, so that it need not be moved again.
-            self.held.reserve((5 + length).saturating_sub(self.held.len()).max(bytes.len()));
+        if let Some(length) = self.length().filter(|&length| length <= self.max_message_bytes) {
+            // Reserves space for the whole message, so that the buffer is not reallocated for each chunk.
+            self.buffer.reserve((PREFIX_BYTES + length).saturating_sub(self.buffer.len()).max(bytes.len()));
         }
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// How much is held that is no whole message yet, or has not been taken.
+    /// Returns the number of buffered bytes that were not returned as messages.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.buffer.len()
     }
 
-    /// Whether nothing is left over.
+    /// Returns whether no bytes are buffered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.buffer.is_empty()
     }
 
+    /// Returns the length of the next message, as its prefix states it.
     fn length(&self) -> Option<usize> {
-        let head = self.held.first_chunk::<5>()?;
-        Some(u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize)
+        let prefix = self.buffer.first_chunk::<PREFIX_BYTES>()?;
+        Some(u32::from_be_bytes([prefix[1], prefix[2], prefix[3], prefix[4]]) as usize)
     }
 
-    /// The next whole message.
+    /// Removes and returns the next complete message, decompressed; `None` if more bytes are needed.
     ///
     /// # Errors
-    /// What has come is none, which shows as soon as its first bytes are there.
+    /// The message is invalid or too long. An invalid prefix is reported as soon as it is received.
     pub fn next_message(&mut self) -> Result<Option<Bytes>, FrameError> {
         let Some(length) = self.length() else { return Ok(None) };
-        let compressed = match self.held[0] {
+        let compressed = match self.buffer[0] {
             0 => false,
             1 if self.encoding == Encoding::Gzip => true,
             _ => return Err(FrameError::CompressionFlag),
         };
-        if length > self.most {
+        if length > self.max_message_bytes {
             return Err(FrameError::TooLong);
         }
-        if self.held.len() < 5 + length {
+        if self.buffer.len() < PREFIX_BYTES + length {
             return Ok(None);
         }
-        let message = self.held.split_to(5 + length).freeze().slice(5..);
-        if self.held.is_empty() {
-            // What was taken keeps the memory; a rest of it is not kept as well.
-            self.held = BytesMut::new();
+        let message = self.buffer.split_to(PREFIX_BYTES + length).freeze().slice(PREFIX_BYTES..);
+        if self.buffer.is_empty() {
+            // The returned message owns the allocation; the empty buffer does not keep a reference to it.
+            self.buffer = BytesMut::new();
         }
         if compressed {
-            return inflate(&message, self.most).map(Some);
+            return inflate(&message, self.max_message_bytes).map(Some);
         }
         Ok(Some(message))
     }
 }
 
-/// Inflates a message up to a bound: what claims to be small and is not ends there.
-fn inflate(message: &[u8], most: usize) -> Result<Bytes, FrameError> {
+/// Decompresses a message. Stops at the size limit, which guards against decompression bombs.
+fn inflate(message: &[u8], max_bytes: usize) -> Result<Bytes, FrameError> {
     let mut out = Vec::new();
-    let mut gzip = GzDecoder::new(message).take(most as u64 + 1);
+    let mut gzip = GzDecoder::new(message).take(max_bytes as u64 + 1);
     gzip.read_to_end(&mut out).map_err(|_| FrameError::Corrupt)?;
-    if out.len() > most {
+    if out.len() > max_bytes {
         return Err(FrameError::TooLong);
     }
     Ok(out.into())
--- a/crates/flight/src/lib.rs
+++ b/crates/flight/src/lib.rs
@@ -1,4 +1,5 @@
-//! What both sides of Arrow Flight share: gRPC's framing, Flight's messages, tables as they lie.
+//! Arrow Flight code that the server's frontend and its backend connections share: gRPC framing, Flight
+//! messages, undecoded record batches, and signed tickets and tokens.
 
 pub mod answer;
 pub mod grpc;
--- a/crates/flight/src/proto.rs
+++ b/crates/flight/src/proto.rs
@@ -1,5 +1,5 @@
-//! The messages of Arrow Flight, of gRPC's health checks and of its error details, from the public
-//! definitions. They are written by hand so that no build step needs `protoc`.
+//! The protobuf messages of Arrow Flight, of gRPC health checks and of gRPC error details, after their public
+//! definitions. They are written by hand so that the build does not need `protoc`.
 
 use std::collections::HashMap;
 
@@ -7,13 +7,13 @@
 use prost::{Enumeration, Message, Oneof};
 use prost_types::{Any, Duration, Timestamp};
 
-/// `arrow.flight.protocol.HandshakeRequest` and `HandshakeResponse`, which are alike.
+/// `arrow.flight.protocol.HandshakeRequest` and `HandshakeResponse`, which have the same fields.
 #[derive(Clone, PartialEq, Message)]
 pub struct Handshake {
-    /// 0 today.
+    /// The protocol version; currently 0.
     #[prost(uint64, tag = "1")]
     pub protocol_version: u64,
-    /// What the two sides agree on.
+    /// Application-defined handshake data.
     #[prost(bytes = "bytes", tag = "2")]
     pub payload: Bytes,
 }
@@ -21,7 +21,7 @@
 /// `arrow.flight.protocol.BasicAuth`
 #[derive(Clone, PartialEq, Message)]
 pub struct BasicAuth {
-    /// The user.
+    /// The user name.
     #[prost(string, tag = "2")]
     pub username: String,
     /// The password.
@@ -32,7 +32,7 @@
 /// `arrow.flight.protocol.Criteria`
 #[derive(Clone, PartialEq, Message)]
 pub struct Criteria {
-    /// What is looked for; empty for all.
+    /// The filter expression; empty to list all flights.
     #[prost(bytes = "bytes", tag = "1")]
     pub expression: Bytes,
 }
@@ -40,13 +40,13 @@
 /// `arrow.flight.protocol.FlightDescriptor`
 #[derive(Clone, PartialEq, Message)]
 pub struct FlightDescriptor {
-    /// 1 for a path, 2 for a command.
+    /// The type: [`DESCRIPTOR_PATH`] or [`DESCRIPTOR_COMMAND`].
     #[prost(int32, tag = "1")]
     pub r#type: i32,
-    /// The command.
+    /// The command, if the type is [`DESCRIPTOR_COMMAND`].
     #[prost(bytes = "bytes", tag = "2")]
     pub cmd: Bytes,
-    /// A path.
+    /// The path, if the type is [`DESCRIPTOR_PATH`].
     #[prost(string, repeated, tag = "3")]
     pub path: Vec<String>,
 }
@@ -57,7 +57,7 @@
 pub const DESCRIPTOR_COMMAND: i32 = 2;
 
 impl FlightDescriptor {
-    /// A descriptor with a command.
+    /// Creates a descriptor with a command.
     #[must_use]
     pub fn command(cmd: Bytes) -> Self {
         Self { r#type: DESCRIPTOR_COMMAND, cmd, path: Vec::new() }
@@ -67,7 +67,7 @@
 /// `arrow.flight.protocol.Ticket`
 #[derive(Clone, PartialEq, Message)]
 pub struct Ticket {
-    /// What the server made of it.
+    /// Opaque data that the server issued.
     #[prost(bytes = "bytes", tag = "1")]
     pub ticket: Bytes,
 }
@@ -75,24 +75,24 @@
 /// `arrow.flight.protocol.Location`
 #[derive(Clone, PartialEq, Message)]
 pub struct Location {
-    /// Where.
+    /// The URI of the server.
     #[prost(string, tag = "1")]
     pub uri: String,
 }
 
-/// `arrow.flight.protocol.FlightEndpoint`; without a location it means the same service.
+/// `arrow.flight.protocol.FlightEndpoint`; without a location the ticket is for the same service.
 #[derive(Clone, PartialEq, Message)]
 pub struct FlightEndpoint {
-    /// What to ask for there.
+    /// The ticket to fetch the data with.
     #[prost(message, optional, tag = "1")]
     pub ticket: Option<Ticket>,
-    /// Where.
+    /// The servers that accept the ticket.
     #[prost(message, repeated, tag = "2")]
     pub location: Vec<Location>,
-    /// Until when.
+    /// The time at which the ticket expires.
     #[prost(message, optional, tag = "3")]
     pub expiration_time: Option<Timestamp>,
-    /// The application's own words.
+    /// Application-defined metadata.
     #[prost(bytes = "bytes", tag = "4")]
     pub app_metadata: Bytes,
 }
@@ -103,22 +103,22 @@
     /// The schema, as an encapsulated IPC message.
     #[prost(bytes = "bytes", tag = "1")]
     pub schema: Bytes,
-    /// What was asked.
+    /// The descriptor that was requested.
     #[prost(message, optional, tag = "2")]
     pub flight_descriptor: Option<FlightDescriptor>,
-    /// Where to get it.
+    /// The endpoints that hold the data.
     #[prost(message, repeated, tag = "3")]
     pub endpoint: Vec<FlightEndpoint>,
-    /// -1 for unknown.
+    /// The number of rows; -1 if unknown.
     #[prost(int64, tag = "4")]
     pub total_records: i64,
-    /// -1 for unknown.
+    /// The size of the data in bytes; -1 if unknown.
     #[prost(int64, tag = "5")]
     pub total_bytes: i64,
-    /// The endpoints' data is in order.
+    /// Whether the endpoints' data is in order.
     #[prost(bool, tag = "6")]
     pub ordered: bool,
-    /// The application's own words.
+    /// Application-defined metadata.
     #[prost(bytes = "bytes", tag = "7")]
     pub app_metadata: Bytes,
 }
@@ -126,16 +126,16 @@
 /// `arrow.flight.protocol.PollInfo`
 #[derive(Clone, PartialEq, Message)]
 pub struct PollInfo {
-    /// What is there so far.
+    /// The results available so far.
     #[prost(message, optional, tag = "1")]
     pub info: Option<FlightInfo>,
-    /// What to poll with next; none once it is over.
+    /// The descriptor for the next poll; none if the query has finished.
     #[prost(message, optional, tag = "2")]
     pub flight_descriptor: Option<FlightDescriptor>,
-    /// From 0 to 1.
+    /// The progress, from 0 to 1.
     #[prost(double, optional, tag = "3")]
     pub progress: Option<f64>,
-    /// Until when the descriptor counts.
+    /// The time at which the descriptor expires.
     #[prost(message, optional, tag = "4")]
     pub expiration_time: Option<Timestamp>,
 }
@@ -151,10 +151,10 @@
 /// `arrow.flight.protocol.ActionType`
 #[derive(Clone, PartialEq, Message)]
 pub struct ActionType {
-    /// Its name.
+    /// The name of the action.
     #[prost(string, tag = "1")]
     pub r#type: String,
-    /// What it does.
+    /// A description of the action.
     #[prost(string, tag = "2")]
     pub description: String,
 }
@@ -162,10 +162,10 @@
 /// `arrow.flight.protocol.Action`
 #[derive(Clone, PartialEq, Message)]
 pub struct Action {
-    /// Its name.
+    /// The name of the action.
     #[prost(string, tag = "1")]
     pub r#type: String,
-    /// What it is about.
+    /// The argument of the action.
     #[prost(bytes = "bytes", tag = "2")]
     pub body: Bytes,
 }
@@ -173,7 +173,7 @@
 /// `arrow.flight.protocol.Result`
 #[derive(Clone, PartialEq, Message)]
 pub struct ActionResult {
-    /// What came of it.
+    /// The result of the action.
     #[prost(bytes = "bytes", tag = "1")]
     pub body: Bytes,
 }
@@ -181,7 +181,7 @@
 /// `arrow.flight.protocol.PutResult`
 #[derive(Clone, PartialEq, Message)]
 pub struct PutResult {
-    /// What came of it.
+    /// Application-defined metadata.
     #[prost(bytes = "bytes", tag = "1")]
     pub app_metadata: Bytes,
 }
@@ -189,13 +189,13 @@
 /// `arrow.flight.protocol.FlightData`
 #[derive(Clone, PartialEq, Message)]
 pub struct FlightData {
-    /// On the first message of a stream that needs one.
+    /// The descriptor, on the first message of a `DoPut` or `DoExchange` stream.
     #[prost(message, optional, tag = "1")]
     pub flight_descriptor: Option<FlightDescriptor>,
-    /// An IPC message without its body.
+    /// The header of the IPC message.
     #[prost(bytes = "bytes", tag = "2")]
     pub data_header: Bytes,
-    /// The application's own words.
+    /// Application-defined metadata.
     #[prost(bytes = "bytes", tag = "3")]
     pub app_metadata: Bytes,
     /// The body of the IPC message.
@@ -206,7 +206,7 @@
 /// `arrow.flight.protocol.CancelFlightInfoRequest`
 #[derive(Clone, PartialEq, Message)]
 pub struct CancelFlightInfoRequest {
-    /// What is to be cancelled.
+    /// The flight to cancel.
     #[prost(message, optional, tag = "1")]
     pub info: Option<FlightInfo>,
 }
@@ -215,20 +215,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Enumeration)]
 #[repr(i32)]
 pub enum CancelStatus {
-    /// Not known.
+    /// The status is unknown.
     Unspecified = 0,
-    /// Done.
+    /// The flight was cancelled.
     Cancelled = 1,
-    /// Under way.
+    /// Cancellation is in progress.
     Cancelling = 2,
-    /// It cannot be.
+    /// The flight cannot be cancelled.
     NotCancellable = 3,
 }
 
 /// `arrow.flight.protocol.CancelFlightInfoResult`
 #[derive(Clone, PartialEq, Message)]
 pub struct CancelFlightInfoResult {
-    /// What came of it.
+    /// The outcome of the cancellation.
     #[prost(enumeration = "CancelStatus", tag = "1")]
     pub status: i32,
 }
@@ -236,7 +236,7 @@
 /// `arrow.flight.protocol.RenewFlightEndpointRequest`
 #[derive(Clone, PartialEq, Message)]
 pub struct RenewFlightEndpointRequest {
-    /// What is to be kept for longer.
+    /// The endpoint whose expiration time is to be extended.
     #[prost(message, optional, tag = "1")]
     pub endpoint: Option<FlightEndpoint>,
 }
@@ -244,27 +244,27 @@
 /// `arrow.flight.protocol.SessionOptionValue`
 #[derive(Clone, PartialEq, Message)]
 pub struct SessionOptionValue {
-    /// The value; none to unset it.
+    /// The value; none to unset the option.
     #[prost(oneof = "OptionValue", tags = "1, 2, 3, 4, 5")]
     pub option_value: Option<OptionValue>,
 }
 
-/// The kinds of values.
+/// The value of a session option.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum OptionValue {
-    /// A text.
+    /// A string.
     #[prost(string, tag = "1")]
     String(String),
-    /// True or false.
+    /// A boolean.
     #[prost(bool, tag = "2")]
     Bool(bool),
-    /// A whole number.
+    /// A signed 64-bit integer.
     #[prost(sfixed64, tag = "3")]
     Int64(i64),
-    /// A number.
+    /// A double-precision number.
     #[prost(double, tag = "4")]
     Double(f64),
-    /// Texts.
+    /// A list of strings.
     #[prost(message, tag = "5")]
     StringList(StringListValue),
 }
@@ -272,12 +272,13 @@
 /// `arrow.flight.protocol.SessionOptionValue.StringListValue`
 #[derive(Clone, PartialEq, Message)]
 pub struct StringListValue {
-    /// The texts.
+    /// The strings.
     #[prost(string, repeated, tag = "1")]
     pub values: Vec<String>,
 }
 
-/// `arrow.flight.protocol.SetSessionOptionsRequest` and `GetSessionOptionsResult`, which are alike.
+/// `arrow.flight.protocol.SetSessionOptionsRequest` and `GetSessionOptionsResult`, which have the same
+/// fields.
 #[derive(Clone, PartialEq, Message)]
 pub struct SessionOptions {
     /// The options by name.
@@ -288,7 +289,7 @@
 /// `arrow.flight.protocol.SetSessionOptionsResult.Error`
 #[derive(Clone, PartialEq, Message)]
 pub struct SessionError {
-    /// 1: no such option; 2: no such value; 3: it could not be set.
+    /// 1: invalid name; 2: invalid value; 3: the option could not be set.
     #[prost(int32, tag = "1")]
     pub value: i32,
 }
@@ -296,7 +297,7 @@
 /// `arrow.flight.protocol.SetSessionOptionsResult`
 #[derive(Clone, PartialEq, Message)]
 pub struct SetSessionOptionsResult {
-    /// What was not set, by name.
+    /// The errors of the options that were not set, by name.
     #[prost(map = "string, message", tag = "1")]
     pub errors: HashMap<String, SessionError>,
 }
@@ -312,7 +313,7 @@
 /// `grpc.health.v1.HealthCheckRequest`
 #[derive(Clone, PartialEq, Message)]
 pub struct HealthCheckRequest {
-    /// The service; empty for the whole server.
+    /// The service name; empty for the whole server.
     #[prost(string, tag = "1")]
     pub service: String,
 }
@@ -320,7 +321,7 @@
 /// `grpc.health.v1.HealthCheckResponse`
 #[derive(Clone, PartialEq, Message)]
 pub struct HealthCheckResponse {
-    /// 1: serving; 2: not serving; 3: no such service (of `Watch` alone).
+    /// 1: serving; 2: not serving; 3: unknown service (used only by `Watch`).
     #[prost(int32, tag = "1")]
     pub status: i32,
 }
@@ -328,7 +329,7 @@
 /// `google.rpc.RetryInfo`
 #[derive(Clone, PartialEq, Message)]
 pub struct RetryInfo {
-    /// How long to wait.
+    /// The delay after which the client should retry.
     #[prost(message, optional, tag = "1")]
     pub retry_delay: Option<Duration>,
 }
@@ -336,13 +337,13 @@
 /// `google.rpc.ErrorInfo`
 #[derive(Clone, PartialEq, Message)]
 pub struct ErrorInfo {
-    /// A constant that programs can compare.
+    /// The machine-readable reason.
     #[prost(string, tag = "1")]
     pub reason: String,
-    /// Whose constants these are.
+    /// The domain that defines the reason.
     #[prost(string, tag = "2")]
     pub domain: String,
-    /// More.
+    /// Additional details.
     #[prost(map = "string, string", tag = "3")]
     pub metadata: HashMap<String, String>,
 }
@@ -350,13 +351,13 @@
 /// `google.rpc.Status`
 #[derive(Clone, PartialEq, Message)]
 pub struct RpcStatus {
-    /// The number of the status.
+    /// The gRPC status code.
     #[prost(int32, tag = "1")]
     pub code: i32,
-    /// Words for people.
+    /// The message for people.
     #[prost(string, tag = "2")]
     pub message: String,
-    /// Details for programs.
+    /// The machine-readable details.
     #[prost(message, repeated, tag = "3")]
     pub details: Vec<Any>,
 }
--- a/crates/flight/src/seal.rs
+++ b/crates/flight/src/seal.rs
@@ -1,6 +1,7 @@
-//! Tickets and tokens: what the program hands out and trusts when it comes back. Each is a message with a
-//! keyed hash (HMAC-SHA256) in front, so that one made by nobody here is told at once, and one made by
-//! another copy of the program with the same key is as good as its own.
+//! Signed tickets and tokens, which clients send back, and password verification.
+//!
+//! A ticket or token is an encoded message preceded by its HMAC-SHA256. A forged one is rejected, and one
+//! that was signed by another instance with the same key is accepted.
 
 use bytes::Bytes;
 use hmac::{Hmac, KeyInit, Mac};
@@ -8,7 +9,7 @@
 use prost::Message;
 use sha2::{Digest, Sha256};
 
-/// The key that tickets and tokens are signed with.
+/// The key that signs tickets and tokens.
 #[derive(Clone)]
 pub struct Key([u8; 32]);
 
@@ -18,62 +19,65 @@
     }
 }
 
-/// Bytes of the hash in front.
-const HASH: usize = 32;
-/// Fewer bytes than this are no key.
+/// The length of the HMAC that precedes the message, in bytes.
+const MAC_BYTES: usize = 32;
+/// The minimum length of a configured signing secret, in bytes.
 pub const MIN_KEY_BYTES: usize = 16;
 
-/// Why a ticket or token is not taken.
+/// The reason why a ticket or token is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SealError {
-    /// It was not signed with this key, or was changed.
+    /// It was not signed with this key for this purpose, or was modified.
     Forged,
-    /// It counts no longer.
+    /// It has expired.
     Expired,
 }
 
 impl Key {
-    /// The key made from a secret.
+    /// Derives a key from a secret.
     #[must_use]
     pub fn new(secret: &[u8]) -> Self {
         Self(Sha256::digest(secret).into())
     }
 
-    fn hash(&self, purpose: &str, body: &[u8]) -> Option<Hmac<Sha256>> {
+    /// Returns the HMAC state after the purpose and the body.
+    fn mac(&self, purpose: &str, body: &[u8]) -> Option<Hmac<Sha256>> {
         let mut mac = Hmac::<Sha256>::new_from_slice(&self.0).ok()?;
-        // What is signed for one purpose is worth nothing for another.
+        // The purpose is part of the signed data, so that a token is not accepted as a ticket or vice versa.
         mac.update(purpose.as_bytes());
         mac.update(&[0]);
         mac.update(body);
         Some(mac)
     }
 
+    /// Encodes and signs a message.
     fn seal(&self, purpose: &str, message: &impl Message) -> Bytes {
         let body = message.encode_to_vec();
-        let hash = self.hash(purpose, &body).map(|mac| mac.finalize().into_bytes());
-        let mut out = hash.map_or_else(Vec::new, |hash| hash.to_vec());
+        let mac = self.mac(purpose, &body).map(|mac| mac.finalize().into_bytes());
+        let mut out = mac.map_or_else(Vec::new, |mac| mac.to_vec());
         out.extend_from_slice(&body);
         out.into()
     }
 
+    /// Verifies and decodes a signed message.
     fn open<M: Message + Default>(&self, purpose: &str, sealed: &[u8]) -> Result<M, SealError> {
-        let (hash, body) = sealed.split_at_checked(HASH).ok_or(SealError::Forged)?;
-        let mac = self.hash(purpose, body).ok_or(SealError::Forged)?;
-        // This comparison takes the same time wherever the two differ.
-        mac.verify_slice(hash).map_err(|_| SealError::Forged)?;
+        let (signature, body) = sealed.split_at_checked(MAC_BYTES).ok_or(SealError::Forged)?;
+        let mac = self.mac(purpose, body).ok_or(SealError::Forged)?;
+        // Compares in constant time.
+        mac.verify_slice(signature).map_err(|_| SealError::Forged)?;
         M::decode(body).map_err(|_| SealError::Forged)
     }
 
-    /// Writes a ticket.
+    /// Encodes and signs a ticket.
     #[must_use]
     pub fn sign_ticket(&self, ticket: &Ticket) -> Bytes {
         self.seal("ticket", ticket)
     }
 
-    /// Reads a ticket.
+    /// Verifies and decodes a ticket.
     ///
     /// # Errors
-    /// It is not to be trusted, or no longer.
+    /// The signature is invalid or the ticket has expired.
     pub fn read_ticket(&self, now: Micros, sealed: &[u8]) -> Result<Ticket, SealError> {
         let ticket: Ticket = self.open("ticket", sealed)?;
         if ticket.expires <= now {
@@ -83,16 +87,16 @@
         }
     }
 
-    /// Writes a token.
+    /// Encodes and signs a token.
     #[must_use]
     pub fn sign_token(&self, token: &Token) -> Bytes {
         self.seal("token", token)
     }
 
-    /// Reads a token.
+    /// Verifies and decodes a token.
     ///
     /// # Errors
-    /// It is not to be trusted, or no longer.
+    /// The signature is invalid or the token has expired.
     pub fn read_token(&self, now: Micros, sealed: &[u8]) -> Result<Token, SealError> {
         let token: Token = self.open("token", sealed)?;
         if token.expires <= now {
@@ -103,100 +107,101 @@
     }
 }
 
-/// What a ticket says.
+/// The content of a signed ticket.
 #[derive(Clone, PartialEq, Message)]
 pub struct Ticket {
     /// The query, as a command.
     #[prost(bytes = "bytes", tag = "1")]
     pub command: Bytes,
-    /// When it was made.
+    /// The time at which it was issued.
     #[prost(uint64, tag = "2")]
     pub issued_at: Micros,
-    /// Until when it counts.
+    /// The time from which it is rejected as expired.
     #[prost(uint64, tag = "3")]
     pub expires: Micros,
-    /// For whom it was made; empty where nobody is asked.
+    /// The user that it was issued to; empty if authentication is off.
     #[prost(string, tag = "4")]
     pub user: String,
-    /// Which run of the program made it. A query with an effect is run by no other: whether it was run there
-    /// cannot be known here.
+    /// The instance that issued it. A non-idempotent query is run only by that instance, because another one
+    /// cannot know whether it was already executed.
     #[prost(fixed64, tag = "5")]
     pub issuer: u64,
-    /// It stands for the outcome of a polled query, and runs nothing.
+    /// Whether it fetches the outcome of a polled query instead of running a query.
     #[prost(bool, tag = "6")]
     pub polled: bool,
 }
 
-/// What a token says.
+/// The content of a signed token.
 #[derive(Clone, PartialEq, Message)]
 pub struct Token {
     /// The user.
     #[prost(string, tag = "1")]
     pub user: String,
-    /// Until when it counts.
+    /// The time from which it is rejected as expired.
     #[prost(uint64, tag = "2")]
     pub expires: Micros,
-    /// The session, in two halves.
+    /// The upper 64 bits of the session id.
     #[prost(fixed64, tag = "3")]
     pub session_high: u64,
-    /// The session, in two halves.
+    /// The lower 64 bits of the session id.
     #[prost(fixed64, tag = "4")]
     pub session_low: u64,
 }
 
-/// A hash of what a query asks, for telling two questions under one id apart.
+/// Returns a hash of a query's text, which distinguishes two queries that use the same id.
 #[must_use]
 pub fn fingerprint(text: &[u8]) -> u64 {
     let hash = Sha256::digest(text);
     hash.first_chunk::<8>().map_or(0, |head| u64::from_be_bytes(*head))
 }
 
-/// Checks a password against a line of the users' file, `pbkdf2-sha256$ROUNDS$SALT$HASH` with salt and hash
-/// in hex digits.
+/// Verifies a password against an entry of the users file, `pbkdf2-sha256$ROUNDS$SALT$HASH` with salt and
+/// hash in hexadecimal. Returns `false` if the entry is invalid.
 #[must_use]
 pub fn verify_password(line: &str, password: &str) -> bool {
-    let Some(secret) = Secret::read(line) else { return false };
-    let mut found = [0; 32];
-    pbkdf2::pbkdf2_hmac::<Sha256>(password.as_bytes(), &secret.salt, secret.rounds, &mut found);
-    bool::from(subtle::ConstantTimeEq::ct_eq(&found[..], &secret.hash[..]))
+    let Some(entry) = PasswordEntry::parse(line) else { return false };
+    let mut hash = [0; 32];
+    pbkdf2::pbkdf2_hmac::<Sha256>(password.as_bytes(), &entry.salt, entry.rounds, &mut hash);
+    bool::from(subtle::ConstantTimeEq::ct_eq(&hash[..], &entry.hash[..]))
 }
 
-/// A line of the users' file, taken apart.
-struct Secret {
+/// A parsed entry of the users file.
+struct PasswordEntry {
     rounds: u32,
     salt: Vec<u8>,
     hash: [u8; 32],
 }
 
-/// More rounds than this would hold up everybody else.
-const MOST_ROUNDS: u32 = 200_000;
+/// The maximum number of PBKDF2 rounds; more would delay all other clients.
+const MAX_ROUNDS: u32 = 200_000;
 
-impl Secret {
-    fn read(line: &str) -> Option<Self> {
+impl PasswordEntry {
+    fn parse(line: &str) -> Option<Self> {
         let mut parts = line.split('$');
         if parts.next() != Some("pbkdf2-sha256") {
             return None;
         }
-        let rounds = parts.next()?.parse().ok().filter(|n| (1..=MOST_ROUNDS).contains(n))?;
-        let salt = unhex(parts.next()?)?;
-        let hash = unhex(parts.next()?)?.try_into().ok()?;
+        let rounds = parts.next()?.parse().ok().filter(|n| (1..=MAX_ROUNDS).contains(n))?;
+        let salt = decode_hex(parts.next()?)?;
+        let hash = decode_hex(parts.next()?)?.try_into().ok()?;
         parts.next().is_none().then_some(Self { rounds, salt, hash })
     }
 }
 
-/// Whether a line of the users' file can be used.
+/// Returns whether an entry of the users file is valid.
 #[must_use]
 pub fn is_valid_password_entry(line: &str) -> bool {
-    Secret::read(line).is_some()
+    PasswordEntry::parse(line).is_some()
 }
 
-fn unhex(text: &str) -> Option<Vec<u8>> {
+/// Decodes hexadecimal digits.
+fn decode_hex(text: &str) -> Option<Vec<u8>> {
     let digits = text.as_bytes().chunks(2);
     let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).ok()?, 16).ok();
     text.len().is_multiple_of(2).then(|| digits.map(byte).collect())?
 }
 
-/// Writes a line of the users' file.
+/// Returns the entry of the users file for a password.
 #[must_use]
 pub fn password_entry(password: &str, salt: &[u8], rounds: u32) -> String {
     let mut hash = [0; 32];
--- a/crates/flight/tests/ticket_format.rs
+++ b/crates/flight/tests/ticket_format.rs
@@ -1,9 +1,9 @@
-//! The bytes of tickets and tokens: what one build has signed, another with the same key has to accept.
+//! The encoded form of tickets and tokens: a ticket signed by one build must be accepted by another.
 
 use bytes::Bytes;
 use mallowgauge_flight::seal::{fingerprint, Key, Ticket, Token};
 
-/// Made at 5 and valid to 100, both in µs.
+/// Issued at 5 µs and expires at 100 µs.
 fn ticket() -> Ticket {
     let command = Bytes::from_static(br#"{"id":"q"}"#);
     Ticket {
@@ -24,7 +24,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn unhex(text: &str) -> Vec<u8> {
+fn decode_hex(text: &str) -> Vec<u8> {
     let byte = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits");
     (0..text.len()).step_by(2).map(byte).collect()
 }
@@ -37,17 +37,17 @@
 fn a_ticket_has_these_bytes() {
     let key = Key::new(b"a secret of sixteen bytes or more");
     assert_eq!(hex(&key.sign_ticket(&ticket())), TICKET);
-    assert_eq!(key.read_ticket(99, &unhex(TICKET)), Ok(ticket()));
+    assert_eq!(key.read_ticket(99, &decode_hex(TICKET)), Ok(ticket()));
     let shortest = Ticket { expires: 100, ..Ticket::default() };
     assert_eq!(hex(&key.sign_ticket(&shortest)), SHORTEST_TICKET);
-    assert_eq!(key.read_ticket(99, &unhex(SHORTEST_TICKET)), Ok(shortest));
+    assert_eq!(key.read_ticket(99, &decode_hex(SHORTEST_TICKET)), Ok(shortest));
 }
 
 #[test]
 fn a_token_has_these_bytes() {
     let key = Key::new(b"a secret of sixteen bytes or more");
     assert_eq!(hex(&key.sign_token(&token())), TOKEN);
-    assert_eq!(key.read_token(299, &unhex(TOKEN)), Ok(token()));
+    assert_eq!(key.read_token(299, &decode_hex(TOKEN)), Ok(token()));
 }
 
 #[test]
