--- a/crates/flight/src/schema.rs
+++ b/crates/flight/src/schema.rs
@@ -52,8 +52,8 @@
 
 /// Returns the fields nested directly in a data type.
 #[must_use]
-pub fn child_fields(kind: &DataType) -> Vec<&Field> {
-    match kind {
+pub fn child_fields(data_type: &DataType) -> Vec<&Field> {
+    match data_type {
         DataType::List(field)
         | DataType::LargeList(field)
         | DataType::ListView(field)
@@ -96,7 +96,7 @@
     }
 }
 
-/// Returns whether two columns have the same name and type, ignoring nullability.
+/// Returns whether two columns have the same name and type, ignoring nullability and metadata.
 fn fields_match(one: &Field, other: &Field) -> bool {
     one.name() == other.name() && types_match(one.data_type(), other.data_type())
 }
@@ -153,8 +153,8 @@
         }
         (None, Value::Table(table)) => {
             let schema = decode(&table.schema)?;
-            let is_reserved = schema.fields().iter().any(|field| field.name() == SHARD_COLUMN);
-            if is_reserved {
+            let has_reserved = schema.fields().iter().any(|field| field.name() == SHARD_COLUMN);
+            if has_reserved {
                 Err(SchemaMismatch::ReservedColumn(SHARD_COLUMN))
             } else {
                 Ok(())
@@ -168,7 +168,7 @@
     }
 }
 
-/// Returns the first field, nullable if either of the two is.
+/// Returns the first field with the merged data type, nullable if either of the two fields is.
 fn merge_fields(one: &FieldRef, other: &FieldRef) -> FieldRef {
     let field = Field::clone(one).with_data_type(merge_types(one.data_type(), other.data_type()));
     Arc::new(field.with_nullable(one.is_nullable() || other.is_nullable()))
--- a/crates/flight/src/seal.rs
+++ b/crates/flight/src/seal.rs
@@ -122,8 +122,9 @@
     /// The user that it was issued to; empty if authentication is off.
     #[prost(string, tag = "4")]
     pub user: String,
-    /// The instance that issued it. A non-idempotent query is run only by that instance, because another one
-    /// cannot know whether it was already executed.
+    /// The random number that the issuing instance chose at its start. A non-idempotent query is run only
+    /// with a ticket that has this instance's number: no other instance, nor this one after a restart, can
+    /// know whether the query was already executed.
     #[prost(fixed64, tag = "5")]
     pub issuer: u64,
     /// Whether it fetches the outcome of a polled query instead of running a query.
--- a/crates/flight/tests/schema.rs
+++ b/crates/flight/tests/schema.rs
@@ -5,8 +5,8 @@
 use arrow_schema::{DataType, Field, Schema};
 use mallowgauge_flight::schema::{check_compatible, merge_schemas, SHARD_COLUMN};
 
-fn field(name: &str, kind: DataType, nullable: bool) -> Field {
-    Field::new(name, kind, nullable)
+fn field(name: &str, data_type: DataType, nullable: bool) -> Field {
+    Field::new(name, data_type, nullable)
 }
 
 fn list(nullable: bool) -> DataType {
@@ -30,7 +30,9 @@
 #[test]
 fn schemas_must_match_in_column_names_types_order_and_count() {
     let schema = |columns: &[(&str, DataType)]| {
-        Schema::new(columns.iter().map(|(n, k)| field(n, k.clone(), false)).collect::<Vec<_>>())
+        Schema::new(
+            columns.iter().map(|(name, data_type)| field(name, data_type.clone(), false)).collect::<Vec<_>>(),
+        )
     };
     let first = schema(&[("a", DataType::Int32), ("b", DataType::Utf8)]);
     let mismatch =
