--- a/crates/edge/src/front/flight/batch_driver.rs
+++ b/crates/edge/src/front/flight/batch_driver.rs
@@ -111,7 +111,7 @@
             Ok(()) => {}
             Err(QueryStreamRejection::TagInUse) => {
                 let status = Status::new(Code::AlreadyExists, "the tag stands for an open query");
-                return Err(status.because("TAG_IN_USE"));
+                return Err(status.with_reason("TAG_IN_USE"));
             }
             Err(QueryStreamRejection::Closed) => {
                 self.deliver(now, &tag, "", Err(draining()), service, core);
--- a/crates/testkit/src/columns.rs
+++ b/crates/testkit/src/columns.rs
@@ -125,7 +125,9 @@
         head = head.header("grpc-encoding", "gzip");
     }
     let (status, pieces) = match act {
-        ScriptedReply::Reject => (Status::new(Code::Unavailable, "later").because(grpc::LATER), Vec::new()),
+        ScriptedReply::Reject => {
+            (Status::new(Code::Unavailable, "later").with_reason(grpc::REASON_LATER), Vec::new())
+        }
         ScriptedReply::Fail(code) => (Status::new(code, "as the script says"), Vec::new()),
         ScriptedReply::Delay(..) => return None,
         ScriptedReply::Hang => {
