--- a/crates/edge/tests/parts.rs
+++ b/crates/edge/tests/parts.rs
@@ -1,4 +1,5 @@
-//! The core alone, on a clock of its own.
+//! Scenarios for the core alone on a simulated clock, and tests of the parsers, the lifecycle and the backend
+//! registry.
 
 use bytes::Bytes;
 use insta::assert_snapshot;
@@ -16,9 +17,9 @@
 use prost::Message;
 use serde_json::{json, Value};
 
-// Guards the cost of calls: what a turn sends to one host is one call, for several queries too.
+// Guards the number of calls: all attempts that a batch sends to one backend share a call, also across queries.
 #[test]
-fn sends_of_a_turn_share_a_call() {
+fn attempts_of_a_batch_share_a_call() {
     assert_snapshot!(play_in_core("
         wait 10
         send a search 3000 0 1 2 3
@@ -33,9 +34,9 @@
     ");
 }
 
-// Guards against a turn for each event: the next comes a tick after the last.
+// Guards against a batch for each event: the next batch starts one tick after the last.
 #[test]
-fn events_gather_until_the_next_turn() {
+fn events_wait_for_the_next_batch() {
     assert_snapshot!(play_in_core("
         wait 10
         send a search 3000 0
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn an_answer_goes_out_in_the_turn_after_the_last_part() {
+fn answer_is_sent_in_the_batch_after_the_last_part() {
     assert_snapshot!(play_in_core("
         send a place-hold 3000 0 1
         wait 100
@@ -70,9 +71,10 @@
     ");
 }
 
-// Guards against holding an answer back: a hold that cannot be repeated fails in the same turn.
+// Guards against a delayed failure: a non-idempotent query that cannot be retried is answered in the batch in which
+// its part fails.
 #[test]
-fn a_lost_hold_fails_at_once_and_drops_the_rest() {
+fn non_idempotent_query_fails_at_once_and_cancels_its_other_parts() {
     assert_snapshot!(play_in_core("
         send a place-hold 3000 0 1
         wait 100
@@ -90,7 +92,7 @@
 }
 
 #[test]
-fn the_end_of_the_time_is_answered_before_it() {
+fn deadline_exceeded_is_answered_before_the_deadline() {
     assert_snapshot!(play_in_core("
         send a place-hold 400 0
         wait 1000
@@ -104,7 +106,7 @@
 }
 
 #[test]
-fn nothing_is_owed_to_a_client_that_left() {
+fn query_of_a_disconnected_client_gets_no_answer() {
     assert_snapshot!(play_in_core("
         send a search 3000 0
         wait 100
@@ -124,9 +126,9 @@
     ");
 }
 
-// Guards the bound: queries and parts are counted, and room comes back with the answer.
+// Guards the limit on open work: queries and parts are both counted, and a query that ends releases its share.
 #[test]
-fn the_bound_on_what_is_open_holds() {
+fn open_queries_and_parts_are_limited() {
     assert_snapshot!(play_in_core("
         send a search 3000 0 1 2 3 4 5 6 7 8
         send b search 3000 0 1 2 3 4 5 6 7 8
@@ -157,9 +159,9 @@
     ");
 }
 
-// An id names parts on their way to hosts, so two open queries must not share one.
+// A query's id is part of its attempts' names on the backend connections, so two open queries must not share one.
 #[test]
-fn an_id_that_is_open_is_not_taken_again() {
+fn id_of_an_open_query_is_rejected() {
     assert_snapshot!(play_in_core("
         send a search 3000 0
         send a search 3000 0
@@ -173,7 +175,7 @@
 }
 
 #[test]
-fn a_spent_deadline_is_said() {
+fn expired_deadline_is_answered_at_once() {
     assert_snapshot!(play_in_core("
         send a search 0 0
         expect
@@ -183,9 +185,10 @@
     ");
 }
 
-// Guards the room for queries: a client that states an endless time does not keep its place.
+// Guards the limit on open queries: a client that asks for a very long timeout occupies a slot no longer than its
+// class allows.
 #[test]
-fn no_query_outlasts_its_class() {
+fn query_ends_by_the_deadline_of_its_class() {
     assert_snapshot!(play_in_core("
         send a place-hold 3600000 0
         wait 10000
@@ -198,33 +201,34 @@
     ");
 }
 
-// Guards what discovery tells of cold hosts: Unix milliseconds become the core's microseconds, 0 is none.
+// Guards the start times that slow start depends on: discovery sends Unix milliseconds, the core uses microseconds, and
+// 0 means unknown.
 #[test]
-fn a_list_of_hosts_is_read() {
+fn endpoint_list_is_parsed() {
     let list = serde_json::json!({"generation": 41, "reset": true, "instances": [
         {"instanceId": "s-a", "hostPort": "127.0.0.1:7070", "zone": "a", "cell": 3, "lifecycle": "active",
          "startedAtMs": 1_700_000_000_123_u64},
         {"instanceId": "s-b", "hostPort": "127.0.0.1:7071", "cell": 4, "lifecycle": "leaving",
          "startedAtMs": 0},
         {"instanceId": "s-c", "lifecycle": "left"}]});
-    let list = mallowgauge_settings::endpoint_list::parse(&list).expect("a list");
-    let hosts = list
+    let list = mallowgauge_settings::endpoint_list::parse(&list).expect("a valid endpoint list");
+    let backends = list
         .backends
         .iter()
-        .map(|h| format!("{} {} {:?} {:?}", h.id, h.ring_position, h.state, h.started_at));
-    assert_snapshot!(hosts.collect::<Vec<_>>().join("\n"), @r"
+        .map(|b| format!("{} {} {:?} {:?}", b.id, b.ring_position, b.state, b.started_at));
+    assert_snapshot!(backends.collect::<Vec<_>>().join("\n"), @r"
     s-a 3 Ready Some(1700000000123000)
     s-b 4 Draining None
     s-c 0 Removed None
     ");
 }
 
-// Guards the process against its input: no bytes, however bent, make a parser panic or read for ever.
+// Guards the process against hostile input: no mutated bytes make a parser panic or loop forever.
 #[test]
-fn bent_input_is_taken_or_turned_down() {
+fn mutated_input_is_parsed_or_rejected() {
     let values = [(ShardId(3), "5be2a07c19f04d63".into())];
-    let mut stream = Stream::new(&values, Style::default()).expect("a table");
-    let message = || stream.message().expect("a message").map(|pieces| pieces.concat());
+    let mut stream = Stream::new(&values, Style::default()).expect("an encodable table");
+    let message = || stream.message().expect("an encodable message").map(|pieces| pieces.concat());
     let table = std::iter::from_fn(message).collect::<Vec<_>>().concat();
     let samples: [&[u8]; 5] = [
         b"POST /api HTTP/1.1\r\nReq-Id: 1\r\nContent-Length: 4\r\n\r\n{}{}",
@@ -234,7 +238,7 @@
         &table,
     ];
     let mut rng = fastrand::Rng::with_seed(11);
-    let mut taken = [0; 4];
+    let mut accepted = [0; 4];
     for _ in 0..20_000 {
         let mut bytes = samples[rng.usize(..samples.len())].to_vec();
         for _ in 0..rng.usize(..4) {
@@ -247,29 +251,29 @@
         }
         let mut input = bytes.clone();
         if let Ok(Some((_, mut body))) = http1::read_request(&mut input) {
-            taken[0] += u32::from(matches!(body.take(&mut input), Ok(Some(_))));
+            accepted[0] += u32::from(matches!(body.take(&mut input), Ok(Some(_))));
         }
-        taken[1] += u32::from(matches!(http1::read_response(&bytes, true), Ok(Some(_))));
-        taken[2] += u32::from(matches!(frames::read(&bytes), Ok(Some(_))));
+        accepted[1] += u32::from(matches!(http1::read_response(&bytes, true), Ok(Some(_))));
+        accepted[2] += u32::from(matches!(frames::read(&bytes), Ok(Some(_))));
         let (mut messages, mut reader) = (Deframer::new(1 << 16), ipc::Collector::new(1 << 20));
         messages.push(&bytes);
         while let Ok(Some(message)) = messages.take() {
             let Ok(data) = FlightData::decode(Bytes::from(message.to_vec())) else { break };
-            taken[3] += 1;
+            accepted[3] += 1;
             if reader.take(data).is_err() {
                 break;
             }
         }
-        // What passes the checks is passed on, and decoded by whoever gets it.
+        // A table that passes the checks is forwarded, and its receiver decodes it.
         if let Some(table) = reader.finish() {
             for message in &table.messages {
-                ipc::with_range(message, ShardId(3)).expect("a batch that was checked");
+                ipc::with_range(message, ShardId(3)).expect("a checked batch stays valid");
             }
             drop(rows::decode(&table.schema, &table.messages));
         }
     }
-    // Enough of each kind stays sound for the parsers to get beyond their first lines.
-    assert!(taken.iter().all(|&count| count > 1_000), "{taken:?}");
+    // Enough samples of each kind stay valid for the parsers to get past the first lines.
+    assert!(accepted.iter().all(|&count| count > 1_000), "{accepted:?}");
 }
 
 // Guards requests that are read just before the exit: the phases never pass from draining to stopped without checking
@@ -286,7 +290,7 @@
     lifecycle.request_shutdown(1_000_000);
     see(&lifecycle);
     lifecycle.connection_accepted(1_500_000);
-    assert!(!lifecycle.handle_timeout(1_700_000), "connections still come");
+    assert!(!lifecycle.handle_timeout(1_700_000), "connections are still being accepted");
     assert!(lifecycle.handle_timeout(1_800_000));
     see(&lifecycle);
     lifecycle.stop_unless_busy(true);
@@ -321,27 +325,27 @@
     assert_eq!(end(60_000_000), (Some(2_000_000), Some(3_600_000)));
 }
 
-// Guards the wire against what is no answer: it is said as soon as it shows, before the rest has come. A
-// report that cannot be read takes nothing from a good answer.
+// Guards against malformed frames from backends: each is rejected as soon as the fault is visible, before the rest of
+// the frame arrives. An unreadable load report does not invalidate a good value.
 #[test]
-fn spoilt_frames_are_told_from_good_ones() {
-    let answer = |length: u32, rest: &[u8]| [&length.to_be_bytes()[..], b"q", rest].concat();
-    let whole = |rest: &[u8]| answer(rest.len() as u32 + 1, rest);
+fn malformed_frames_are_rejected() {
+    let with_length = |length: u32, rest: &[u8]| [&length.to_be_bytes()[..], b"q", rest].concat();
+    let complete = |rest: &[u8]| with_length(rest.len() as u32 + 1, rest);
     let samples = [
-        whole(b"1.3 good 7 util=0.61\nvalue"),
-        whole(b"1.3 good 7 \xff = \nvalue"),
-        whole(b"1.3 good 7 -\nv\xfflue"),
-        whole(b"1.3 good -\nvalue"),
-        whole(b"1.3 good much -\nvalue"),
-        whole(b"1.3 fine 7 -\nvalue"),
-        answer(900, b"1.3 fine 7 -\nva"),
-        answer(900, b"1.3 good 7 -\nva"),
-        answer(9_000, &[b'x'; 2_000]),
-        answer(3_000_000_000, b"1.3 good 7 -\nva"),
+        complete(b"1.3 good 7 util=0.61\nvalue"),
+        complete(b"1.3 good 7 \xff = \nvalue"),
+        complete(b"1.3 good 7 -\nv\xfflue"),
+        complete(b"1.3 good -\nvalue"),
+        complete(b"1.3 good much -\nvalue"),
+        complete(b"1.3 fine 7 -\nvalue"),
+        with_length(900, b"1.3 fine 7 -\nva"),
+        with_length(900, b"1.3 good 7 -\nva"),
+        with_length(9_000, &[b'x'; 2_000]),
+        with_length(3_000_000_000, b"1.3 good 7 -\nva"),
         b"\0\0\0\x06ogood!".to_vec(),
     ];
     let read = |bytes: &Vec<u8>| match frames::read(bytes) {
-        Ok(found) => format!("{:?}", found.map(|(said, _)| said)),
+        Ok(found) => format!("{:?}", found.map(|(message, _)| message)),
         Err(error) => error.to_string(),
     };
     assert_snapshot!(samples.iter().map(read).collect::<Vec<_>>().join("\n"), @r#"
@@ -368,7 +372,8 @@
     let mut apply = |reset: bool, listed: &[(&str, &str)]| {
         let instance = |(name, state): &(&str, &str)| json!({"instanceId": name, "hostPort": "127.0.0.1:1", "cell": 0, "lifecycle": state});
         let instances: Vec<Value> = listed.iter().map(instance).collect();
-        let list = parse(&json!({"generation": 1, "reset": reset, "instances": instances})).expect("a list");
+        let list = parse(&json!({"generation": 1, "reset": reset, "instances": instances}))
+            .expect("a valid endpoint list");
         let update = registry.apply(&list);
         let listed: Vec<String> =
             update.listed.iter().map(|(id, backend)| format!("{}={}", backend.id, id.0)).collect();
