--- a/crates/mallowgauge/tests/phases.rs
+++ b/crates/mallowgauge/tests/phases.rs
@@ -1,5 +1,5 @@
-//! Queries in two phases, over HTTP with hosts on frames and over Flight with hosts on Flight: the same
-//! answers, and the hard cases.
+//! Two-phase queries, over HTTP with backends on the frame protocol and over Flight with backends on Flight. Both give
+//! the same answers, also in failure cases.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpStream};
@@ -15,7 +15,7 @@
 use prost::Message;
 use serde_json::{json, Value};
 
-/// Rows of a block: the higher its number, the better the rows, but for block 2, which has none.
+/// Returns the rows of a block. Rows of higher-numbered blocks have better scores; block 2 has no rows.
 fn rows(shard: u32) -> Vec<Value> {
     if shard == 2 {
         return Vec::new();
@@ -25,100 +25,107 @@
         .collect()
 }
 
+/// Returns the sketch that a scout reports for a block.
 fn sketch(shard: u32) -> String {
     json!({"bound": f64::from(shard * 10), "count": rows(shard).len()}).to_string()
 }
 
-/// What a host says of a part: how it went and with what; `None` for silence.
-type Says = Arc<dyn Fn(u32, bool, u32) -> Option<(String, String)> + Send + Sync>;
+/// Chooses a backend's outcome and value for a part from its shard, whether it is a scout, and the number of earlier
+/// attempts; `None` for no answer.
+type AnswerRule = Arc<dyn Fn(u32, bool, u32) -> Option<(String, String)> + Send + Sync>;
 
-fn honest() -> Says {
+/// Answers scouts with correct sketches and fetches with rows.
+fn correct_answers() -> AnswerRule {
     Arc::new(|shard, scout, _| {
         let rows = Value::from(rows(shard)).to_string();
         Some(("good".to_owned(), if scout { sketch(shard) } else { rows }))
     })
 }
 
-/// What was asked: scouts and blocks, by query and shard.
-type Seen = Arc<Mutex<BTreeMap<(String, u32, bool), u32>>>;
+/// Number of attempts by query, shard, and whether they are scouts.
+type AttemptCountsByKind = Arc<Mutex<BTreeMap<(String, u32, bool), u32>>>;
 
-/// A program with hosts on one of the wires.
-struct World {
+/// The program with backends on one of the two protocols.
+struct TestSystem {
     program: Program,
-    seen: Seen,
+    attempts: AttemptCountsByKind,
     flight: bool,
-    _roster: stand_ins::DiscoveryStandIn,
+    discovery: stand_ins::DiscoveryStandIn,
 }
 
-impl World {
-    fn start(flight: bool, says: &Says, phases: Value, change: impl Fn(&mut Value)) -> Self {
-        let seen = Seen::default();
-        let told = |seen: &Seen, query: &str, shard: u32, scout: bool| {
-            let mut seen = seen.lock().expect("a sound lock");
-            let count = seen.entry((query.to_owned(), shard, scout)).or_default();
+impl TestSystem {
+    fn start(flight: bool, answer_rule: &AnswerRule, phases: Value, change: impl Fn(&mut Value)) -> Self {
+        let attempts = AttemptCountsByKind::default();
+        let count_attempt = |attempts: &AttemptCountsByKind, query: &str, shard: u32, scout: bool| {
+            let mut attempts = attempts.lock().expect("an unpoisoned lock");
+            let count = attempts.entry((query.to_owned(), shard, scout)).or_default();
             *count += 1;
             *count - 1
         };
-        let hosts: Vec<SocketAddr> = (0..BACKENDS)
+        let backends: Vec<SocketAddr> = (0..BACKENDS)
             .map(|i| {
-                let (says, seen) = (Arc::clone(says), Arc::clone(&seen));
+                let (answer_rule, attempts) = (Arc::clone(answer_rule), Arc::clone(&attempts));
                 if flight {
                     let script: Script = Arc::new(move |_, ticket, _| {
                         let shard = ticket["range"].as_u64().expect("a shard") as u32;
                         let scout = ticket["predicate"].as_str().expect("text").starts_with("scout:");
-                        let before = told(&seen, ticket["query"].as_str().expect("text"), shard, scout);
-                        says(shard, scout, before)
-                            .map_or(ScriptedReply::Hang, |(end, value)| text_reply(shard, &end, &value))
+                        let earlier =
+                            count_attempt(&attempts, ticket["query"].as_str().expect("text"), shard, scout);
+                        answer_rule(shard, scout, earlier).map_or(ScriptedReply::Hang, |(outcome, value)| {
+                            text_reply(shard, &outcome, &value)
+                        })
                     });
                     mallowgauge_testkit::columns::scripted_backend(i, script, AttemptCounts::default(), None)
                 } else {
-                    let script: stand_ins::FrameScript = Arc::new(move |_, query, shard, carried| {
-                        let scout = carried.starts_with("scout:");
-                        let before = told(&seen, query, shard, scout);
-                        says(shard, scout, before)
+                    let script: stand_ins::FrameScript = Arc::new(move |_, query, shard, predicate| {
+                        let scout = predicate.starts_with("scout:");
+                        let earlier = count_attempt(&attempts, query, shard, scout);
+                        answer_rule(shard, scout, earlier)
                     });
                     stand_ins::scripted_frame_backend(i, script, AttemptCounts::default())
                 }
             })
             .collect();
-        let roster = stand_ins::DiscoveryStandIn::start();
-        let offers = if flight { json!("all") } else { json!([]) };
-        let operator = json!({"flight": {"listen": "127.0.0.1:0", "hosts": offers}, "phases": phases});
-        let mut file = config(&hosts, roster.addr);
+        let discovery = stand_ins::DiscoveryStandIn::start();
+        let flight_backends = if flight { json!("all") } else { json!([]) };
+        let operator =
+            json!({"flight": {"listen": "127.0.0.1:0", "hosts": flight_backends}, "phases": phases});
+        let mut file = config(&backends, discovery.addr);
         file["settings"]["Limits"]["MaxOpen"] = json!(100);
         change(&mut file);
-        Self { program: Program::start(&file, &operator, 1024), seen, flight, _roster: roster }
+        Self { program: Program::start(&file, &operator, 1024), attempts, flight, discovery }
     }
 
-    /// A client of this program.
+    /// Returns a client for the frontend under test.
     fn client(&self) -> Client {
-        Client { http: self.program.http, flight_at: self.program.flight, flight: self.flight }
+        Client { http: self.program.http, flight_addr: self.program.flight, flight: self.flight }
     }
 
-    fn ask(&self, kind: &str, id: &str, shards: &[u32], plan: &Value, ms: u64) -> Value {
-        self.client().ask(kind, id, shards, plan, ms)
+    fn run_query(&self, kind: &str, id: &str, shards: &[u32], plan: &Value, ms: u64) -> Value {
+        self.client().run_query(kind, id, shards, plan, ms)
     }
 
-    /// How often scouts and blocks were asked for a query.
-    fn asked(&self, id: &str) -> (u32, u32) {
-        let seen = self.seen.lock().expect("a sound lock");
-        let count =
-            |scout: bool| seen.iter().filter(|((q, _, s), _)| q == id && *s == scout).map(|(_, n)| n).sum();
+    /// Returns the number of scouts and of fetches sent for a query.
+    fn scouts_and_fetches(&self, id: &str) -> (u32, u32) {
+        let attempts = self.attempts.lock().expect("an unpoisoned lock");
+        let count = |scout: bool| {
+            attempts.iter().filter(|((q, _, s), _)| q == id && *s == scout).map(|(_, n)| n).sum()
+        };
         (count(true), count(false))
     }
 }
 
-/// A client on one of the wires.
+/// A client of the HTTP or of the Flight frontend.
 #[derive(Clone, Copy)]
 struct Client {
     http: SocketAddr,
-    flight_at: SocketAddr,
+    flight_addr: SocketAddr,
     flight: bool,
 }
 
 impl Client {
-    /// Asks, and tells the answer in the same words on both wires.
-    fn ask(&self, kind: &str, id: &str, shards: &[u32], plan: &Value, ms: u64) -> Value {
+    /// Sends a query and returns its answer, in the same form for both frontends.
+    fn run_query(&self, kind: &str, id: &str, shards: &[u32], plan: &Value, ms: u64) -> Value {
         let share = 1.0 / shards.len() as f64;
         let ranges: Vec<Value> = shards.iter().map(|s| json!({"range": s, "portion": share})).collect();
         let mut body = json!({"ranges": ranges, "predicate": "c41e77d0", "plan": plan});
@@ -143,77 +150,82 @@
         }
         body["id"] = json!(id);
         body["kind"] = json!(kind);
-        let mut raw = RawHttp2Client::connect(self.flight_at);
+        let mut raw = RawHttp2Client::connect(self.flight_addr);
         let descriptor = FlightDescriptor::command(body.to_string().into());
         let reply = raw.call("GetFlightInfo", &[], &frame(&descriptor));
-        let told = |status: Option<u32>| json!({"status": match status { Some(8 | 14) => "refused", Some(13) => "failed", Some(4) => "time up", Some(3) => "invalid", _ => "odd" }});
+        let failure = |status: Option<u32>| json!({"status": match status { Some(8 | 14) => "refused", Some(13) => "failed", Some(4) => "time up", Some(3) => "invalid", _ => "odd" }});
         if reply.status() != Some(0) {
-            return told(reply.status());
+            return failure(reply.status());
         }
         let info = FlightInfo::decode(reply.messages[0].as_slice()).expect("a FlightInfo");
         let ticket = frame(info.endpoint[0].ticket.as_ref().expect("a ticket"));
         let reply = raw.call("DoGet", &[("grpc-timeout", &format!("{ms}m"))], &ticket);
         if reply.status() != Some(0) {
-            return told(reply.status());
+            return failure(reply.status());
         }
         let messages: Vec<FlightData> =
             reply.messages.iter().map(|m| FlightData::decode(m.as_slice()).expect("FlightData")).collect();
         let last = &messages.last().expect("a message").app_metadata;
-        let mut marks: Value = serde_json::from_slice(last).expect("JSON");
+        let mut answer: Value = serde_json::from_slice(last).expect("JSON");
         let table: Vec<mallowgauge_core::Message> = messages[1..]
             .iter()
             .map(|m| mallowgauge_core::Message { header: m.data_header.clone(), body: m.data_body.clone() })
             .collect();
         let text = mallowgauge_flight::rows::json(&messages[0].data_header, &table).expect("rows");
         let rows: Vec<Value> = serde_json::from_str(&text).expect("JSON");
-        marks["rows"] = rows.into_iter().map(|mut row| row["id"].take()).collect();
-        marks
+        answer["rows"] = rows.into_iter().map(|mut row| row["id"].take()).collect();
+        answer
     }
 }
 
-/// Plays the same on both wires, which have to tell the same.
-fn both(says: &Says, phases: &Value, play: impl Fn(&World) -> Vec<Value>) -> Vec<Value> {
+/// Runs the same queries over HTTP and over Flight, checks that the answers are equal, and returns them.
+fn run_on_both(
+    answer_rule: &AnswerRule,
+    phases: &Value,
+    queries: impl Fn(&TestSystem) -> Vec<Value>,
+) -> Vec<Value> {
     let [http, flight] =
-        [false, true].map(|flight| play(&World::start(flight, says, phases.clone(), |_| {})));
-    assert_eq!(http, flight, "the wires differ");
+        [false, true].map(|flight| queries(&TestSystem::start(flight, answer_rule, phases.clone(), |_| {})));
+    assert_eq!(http, flight, "the answers over HTTP and over Flight differ");
     http
 }
 
 const SHARDS: [u32; 10] = [0, 1, 2, 3, 4, 5, 6, 7, 8, 9];
 
 #[test]
-fn only_promising_blocks_are_asked_and_the_answer_says_what_it_is() {
-    let told = both(&honest(), &json!({"sketches": 0}), |world| {
-        let best = world.ask("search", "best", &SHARDS, &json!({"choose": {"best": 3}, "top": 4}), 3000);
-        let exact = world.ask("search", "exact", &SHARDS, &json!({"top": 4, "wave": 2}), 3000);
-        let all = world.ask("search", "all", &SHARDS, &json!({"choose": "all", "top": 1}), 3000);
+fn only_promising_blocks_are_fetched_and_the_answer_lists_them() {
+    let answers = run_on_both(&correct_answers(), &json!({"sketches": 0}), |system| {
+        let best =
+            system.run_query("search", "best", &SHARDS, &json!({"choose": {"best": 3}, "top": 4}), 3000);
+        let exact = system.run_query("search", "exact", &SHARDS, &json!({"top": 4, "wave": 2}), 3000);
+        let all = system.run_query("search", "all", &SHARDS, &json!({"choose": "all", "top": 1}), 3000);
         let share =
-            world.ask("search", "share", &SHARDS, &json!({"choose": {"share": 0.8}, "top": 99}), 3000);
-        let asked = ["best", "exact", "all", "share"].map(|id| json!(world.asked(id)));
-        [vec![best, exact, all, share], asked.to_vec()].concat()
+            system.run_query("search", "share", &SHARDS, &json!({"choose": {"share": 0.8}, "top": 99}), 3000);
+        let counts = ["best", "exact", "all", "share"].map(|id| json!(system.scouts_and_fetches(id)));
+        [vec![best, exact, all, share], counts.to_vec()].concat()
     });
-    let marks = |total: bool, exact: bool, rows: &[&str], asked: &[u32]| {
+    let answer = |total: bool, exact: bool, rows: &[&str], asked: &[u32]| {
         let pruned: Vec<u32> = SHARDS.into_iter().filter(|s| !asked.contains(s)).collect();
         json!({"total": total, "exact": exact, "rows": rows, "asked": asked, "pruned": pruned, "skipped": [], "failed": []})
     };
     let top = ["r9-0", "r9-1", "r9-2", "r8-0"];
-    // The best three: the fourth row is 80, and the block behind is bounded by 60.
-    assert_eq!(told[0], marks(false, true, &top, &[7, 8, 9]));
-    // Waves of two: after the first the fourth row is 80, and all others are bounded by 70 or less.
-    assert_eq!(told[1], marks(false, true, &top, &[8, 9]));
-    // All: but the block that says it is empty is not asked, so it is not whole.
-    assert_eq!(told[2], marks(false, true, &["r9-0"], &[0, 1, 3, 4, 5, 6, 7, 8, 9]));
-    assert_eq!((&told[3]["exact"], &told[3]["asked"]), (&json!(false), &json!([8, 9])));
-    assert_eq!(told[4..], [json!([10, 3]), json!([10, 2]), json!([10, 9]), json!([10, 2])]);
+    // The best three blocks: the fourth row has score 80, and the next block's bound is 60.
+    assert_eq!(answers[0], answer(false, true, &top, &[7, 8, 9]));
+    // Waves of two: after the first one the fourth row has score 80, and all other bounds are 70 or less.
+    assert_eq!(answers[1], answer(false, true, &top, &[8, 9]));
+    // All blocks: the block whose sketch says that it is empty is not fetched, so the answer is not complete.
+    assert_eq!(answers[2], answer(false, true, &["r9-0"], &[0, 1, 3, 4, 5, 6, 7, 8, 9]));
+    assert_eq!((&answers[3]["exact"], &answers[3]["asked"]), (&json!(false), &json!([8, 9])));
+    assert_eq!(answers[4..], [json!([10, 3]), json!([10, 2]), json!([10, 9]), json!([10, 2])]);
 }
 
 #[test]
-fn a_whole_answer_says_whole_and_without_the_section_plans_are_refused() {
+fn complete_answer_is_marked_and_plans_are_rejected_without_their_section() {
     for flight in [false, true] {
-        let world = World::start(flight, &honest(), json!({}), |_| {});
-        let told = world.ask("search", "q", &[3, 4], &json!({"choose": "all"}), 3000);
-        assert_eq!((&told["total"], &told["exact"]), (&json!(true), &json!(true)));
-        for odd in [
+        let system = TestSystem::start(flight, &correct_answers(), json!({}), |_| {});
+        let answer = system.run_query("search", "q", &[3, 4], &json!({"choose": "all"}), 3000);
+        assert_eq!((&answer["total"], &answer["exact"]), (&json!(true), &json!(true)));
+        for invalid_plan in [
             json!({"choose": "some"}),
             json!({"top": 0}),
             json!({"wave": "x"}),
@@ -221,165 +233,169 @@
             json!({"choose": {"best": 0}}),
             json!(7),
         ] {
-            assert_eq!(world.ask("search", "odd", &[3, 4], &odd, 3000)["status"], "invalid", "{odd}");
+            assert_eq!(
+                system.run_query("search", "odd", &[3, 4], &invalid_plan, 3000)["status"],
+                "invalid",
+                "{invalid_plan}"
+            );
         }
-        let off = World::start(flight, &honest(), Value::Null, |_| {});
-        assert_eq!(off.ask("search", "q", &[3, 4], &json!({}), 3000)["status"], "invalid");
+        let disabled = TestSystem::start(flight, &correct_answers(), Value::Null, |_| {});
+        assert_eq!(disabled.run_query("search", "q", &[3, 4], &json!({}), 3000)["status"], "invalid");
     }
 }
 
 #[test]
-fn scouts_that_fail_lie_or_hang_leave_an_answer_that_says_so() {
-    // All scouts but that of block 7 fail; blocks that nothing bounds are asked first, or left out.
-    let failing: Says = Arc::new(|shard, scout, before| match (scout, shard) {
-        (true, 7) | (false, _) => honest()(shard, scout, before),
+fn failed_wrong_or_unanswered_scouts_are_reflected_in_the_answer() {
+    // All scouts but that of block 7 fail. Blocks without a bound are fetched first, or skipped.
+    let failing: AnswerRule = Arc::new(|shard, scout, earlier| match (scout, shard) {
+        (true, 7) | (false, _) => correct_answers()(shard, scout, earlier),
         _ => Some(("bad".to_owned(), String::new())),
     });
-    let told = both(&failing, &json!({"sketches": 0}), |world| {
-        let ask = world.ask("search", "ask", &[3, 5, 7], &json!({"top": 1, "wave": 9}), 3000);
-        let skip = world.ask("search", "skip", &[3, 5, 7], &json!({"top": 1, "silent": "skip"}), 3000);
-        vec![ask, skip]
+    let answers = run_on_both(&failing, &json!({"sketches": 0}), |system| {
+        let fetch = system.run_query("search", "ask", &[3, 5, 7], &json!({"top": 1, "wave": 9}), 3000);
+        let skip = system.run_query("search", "skip", &[3, 5, 7], &json!({"top": 1, "silent": "skip"}), 3000);
+        vec![fetch, skip]
     });
-    assert_eq!((&told[0]["exact"], &told[0]["asked"]), (&json!(true), &json!([3, 5, 7])));
+    assert_eq!((&answers[0]["exact"], &answers[0]["asked"]), (&json!(true), &json!([3, 5, 7])));
     assert_eq!(
-        (&told[1]["exact"], &told[1]["asked"], &told[1]["skipped"]),
+        (&answers[1]["exact"], &answers[1]["asked"], &answers[1]["skipped"]),
         (&json!(false), &json!([7]), &json!([3, 5]))
     );
-    // Bounds that are no numbers, or a million of them, are no sketches.
-    for odd in [r#"{"bound": "much"}"#.to_owned(), "x".repeat(60_000), "[]".to_owned()] {
-        let odd: Says = Arc::new(move |shard, scout, before| match scout {
-            true if shard == 9 => Some(("good".to_owned(), odd.clone())),
-            _ => honest()(shard, scout, before),
+    // A bound that is not a number, an oversized text and a list are not sketches.
+    for invalid_sketch in [r#"{"bound": "much"}"#.to_owned(), "x".repeat(60_000), "[]".to_owned()] {
+        let invalid_sketch: AnswerRule = Arc::new(move |shard, scout, earlier| match scout {
+            true if shard == 9 => Some(("good".to_owned(), invalid_sketch.clone())),
+            _ => correct_answers()(shard, scout, earlier),
         });
-        let told = both(&odd, &json!({"sketches": 0}), |world| {
-            vec![world.ask("search", "q", &[1, 9], &json!({"top": 1, "wave": 1}), 3000)]
+        let answers = run_on_both(&invalid_sketch, &json!({"sketches": 0}), |system| {
+            vec![system.run_query("search", "q", &[1, 9], &json!({"top": 1, "wave": 1}), 3000)]
         });
-        assert_eq!((&told[0]["rows"], &told[0]["exact"]), (&json!(["r9-0"]), &json!(true)));
+        assert_eq!((&answers[0]["rows"], &answers[0]["exact"]), (&json!(["r9-0"]), &json!(true)));
     }
-    // A block with a better row than its bound takes the proof away: everything is asked.
-    let liar: Says = Arc::new(|shard, scout, before| match (scout, shard) {
+    // A block with a row better than its bound shows that bounds prove nothing here: all blocks are fetched.
+    let wrong_bound: AnswerRule = Arc::new(|shard, scout, earlier| match (scout, shard) {
         (true, 9) => Some(("good".to_owned(), json!({"bound": 85.0}).to_string())),
-        _ => honest()(shard, scout, before),
+        _ => correct_answers()(shard, scout, earlier),
     });
-    let told = both(&liar, &json!({"sketches": 0}), |world| {
-        vec![world.ask("search", "q", &[1, 3, 9], &json!({"top": 1, "wave": 1}), 3000)]
+    let answers = run_on_both(&wrong_bound, &json!({"sketches": 0}), |system| {
+        vec![system.run_query("search", "q", &[1, 3, 9], &json!({"top": 1, "wave": 1}), 3000)]
     });
-    assert_eq!((&told[0]["asked"], &told[0]["total"]), (&json!([1, 3, 9]), &json!(true)));
-    // Scouts that hang are given up at their budget.
-    let hanging: Says = Arc::new(|shard, scout, before| match (scout, shard) {
+    assert_eq!((&answers[0]["asked"], &answers[0]["total"]), (&json!([1, 3, 9]), &json!(true)));
+    // Scouts without an answer are abandoned when their time budget ends.
+    let hanging: AnswerRule = Arc::new(|shard, scout, earlier| match (scout, shard) {
         (true, 3 | 5) => None,
-        _ => honest()(shard, scout, before),
+        _ => correct_answers()(shard, scout, earlier),
     });
-    let told = both(&hanging, &json!({"sketches": 0}), |world| {
-        vec![world.ask("search", "q", &[3, 5, 7], &json!({"top": 1, "wave": 9}), 3000)]
+    let answers = run_on_both(&hanging, &json!({"sketches": 0}), |system| {
+        vec![system.run_query("search", "q", &[3, 5, 7], &json!({"top": 1, "wave": 9}), 3000)]
     });
-    assert_eq!((&told[0]["total"], &told[0]["rows"]), (&json!(true), &json!(["r7-0"])));
+    assert_eq!((&answers[0]["total"], &answers[0]["rows"]), (&json!(true), &json!(["r7-0"])));
 }
 
 #[test]
-fn a_first_phase_without_time_is_left_out() {
-    // Nothing is left for scouts: the blocks are asked at once, and the answer comes in time.
-    let told = both(&honest(), &json!({"sketches": 0}), |world| {
-        let short = json!({"choose": {"best": 2}, "top": 1});
-        let told = world.ask("search", "q", &[7, 8, 9], &short, 420);
-        vec![told, json!(world.asked("q"))]
+fn first_phase_is_skipped_when_time_is_short() {
+    // No time remains for scouts: the blocks are fetched at once, and the answer meets the deadline.
+    let answers = run_on_both(&correct_answers(), &json!({"sketches": 0}), |system| {
+        let plan = json!({"choose": {"best": 2}, "top": 1});
+        let answer = system.run_query("search", "q", &[7, 8, 9], &plan, 420);
+        vec![answer, json!(system.scouts_and_fetches("q"))]
     });
-    assert_eq!((&told[0]["exact"], &told[1]), (&json!(false), &json!([0, 2])));
+    assert_eq!((&answers[0]["exact"], &answers[1]), (&json!(false), &json!([0, 2])));
 }
 
 #[test]
-fn a_hold_takes_the_best_block_and_the_next_only_if_it_never_ran() {
+fn non_idempotent_query_moves_to_the_next_block_only_if_not_executed() {
     let plan = json!({"choose": {"best": 2}, "top": 1});
-    // The best block turns holds away on every host; the next one takes it.
-    let full: Says = Arc::new(|shard, scout, before| match (scout, shard) {
+    // Every replica of the best block rejects the query, so the next block executes it.
+    let rejecting: AnswerRule = Arc::new(|shard, scout, earlier| match (scout, shard) {
         (false, 9) => Some(("later".to_owned(), String::new())),
         (false, _) => Some(("good".to_owned(), "held".to_owned())),
-        _ => honest()(shard, scout, before),
+        _ => correct_answers()(shard, scout, earlier),
     });
-    let told = both(&full, &json!({"sketches": 0}), |world| {
-        vec![world.ask("place-hold", "h", &[7, 8, 9], &plan, 3000)]
+    let answers = run_on_both(&rejecting, &json!({"sketches": 0}), |system| {
+        vec![system.run_query("place-hold", "h", &[7, 8, 9], &plan, 3000)]
     });
-    assert_eq!(told[0]["held"], json!({"range": 8, "blob": "held"}));
+    assert_eq!(answers[0]["held"], json!({"range": 8, "blob": "held"}));
     assert_eq!(
-        (&told[0]["total"], &told[0]["exact"], &told[0]["failed"]),
+        (&answers[0]["total"], &answers[0]["exact"], &answers[0]["failed"]),
         (&json!(false), &json!(false), &json!([9]))
     );
-    // It may have run at the best block: it is not tried at another.
-    let bad: Says = Arc::new(|shard, scout, before| match (scout, shard) {
+    // The best block fails and has possibly executed the query, so no other block is tried.
+    let failing: AnswerRule = Arc::new(|shard, scout, earlier| match (scout, shard) {
         (false, 9) => Some(("bad".to_owned(), String::new())),
-        _ => honest()(shard, scout, before),
+        _ => correct_answers()(shard, scout, earlier),
     });
-    let told = both(&bad, &json!({"sketches": 0}), |world| {
-        let told = world.ask("place-hold", "h", &[7, 8, 9], &plan, 3000);
-        vec![told, json!(world.asked("h"))]
+    let answers = run_on_both(&failing, &json!({"sketches": 0}), |system| {
+        let answer = system.run_query("place-hold", "h", &[7, 8, 9], &plan, 3000);
+        vec![answer, json!(system.scouts_and_fetches("h"))]
     });
-    assert_eq!(told, [json!({"status": "failed"}), json!([3, 1])]);
+    assert_eq!(answers, [json!({"status": "failed"}), json!([3, 1])]);
 }
 
 #[test]
-fn what_scouts_said_is_kept_and_thrown_away_with_their_hosts() {
+fn sketches_are_cached_and_discarded_when_their_backends_drain() {
     for flight in [false, true] {
-        let world = World::start(flight, &honest(), json!({"sketch_ms": 600_000}), |_| {});
+        let system = TestSystem::start(flight, &correct_answers(), json!({"sketch_ms": 600_000}), |_| {});
         let plan = json!({"top": 1, "wave": 1});
-        let first = world.ask("search", "one", &[7, 8, 9], &plan, 3000);
-        let second = world.ask("search", "two", &[7, 8, 9], &plan, 3000);
-        assert_eq!((world.asked("one"), world.asked("two")), ((3, 1), (0, 1)));
+        let first = system.run_query("search", "one", &[7, 8, 9], &plan, 3000);
+        let second = system.run_query("search", "two", &[7, 8, 9], &plan, 3000);
+        assert_eq!((system.scouts_and_fetches("one"), system.scouts_and_fetches("two")), ((3, 1), (0, 1)));
         assert_eq!(first["rows"], second["rows"]);
-        // A hint from before is no proof.
+        // A cached sketch only orders the fetches; it does not prove an answer exact.
         assert_eq!((&first["exact"], &second["exact"]), (&json!(true), &json!(false)));
-        // A host drains: every block has three holders, and all are in doubt.
+        // A backend drains. It is a replica of every block, so all cached sketches are discarded.
         let addr = "127.0.0.1:1".parse().expect("an address");
-        world._roster.publish(&stand_ins::endpoint(2, addr, "leaving"));
-        world.ask("search", "three", &[7, 8, 9], &plan, 3000);
-        assert_eq!(world.asked("three"), (3, 1));
+        system.discovery.publish(&stand_ins::endpoint(2, addr, "leaving"));
+        system.run_query("search", "three", &[7, 8, 9], &plan, 3000);
+        assert_eq!(system.scouts_and_fetches("three"), (3, 1));
     }
 }
 
 #[test]
-fn a_client_that_leaves_between_the_phases_ends_them() {
-    let fetched = Arc::new(AtomicU32::new(0));
-    let count = Arc::clone(&fetched);
-    let slow: Says = Arc::new(move |shard, scout, before| match scout {
-        true => honest()(shard, scout, before),
+fn client_disconnect_between_the_phases_stops_the_query() {
+    let fetches = Arc::new(AtomicU32::new(0));
+    let count = Arc::clone(&fetches);
+    let unanswered_fetches: AnswerRule = Arc::new(move |shard, scout, earlier| match scout {
+        true => correct_answers()(shard, scout, earlier),
         false => {
             count.fetch_add(1, Ordering::Relaxed);
             None
         }
     });
-    let world = World::start(true, &slow, json!({"sketches": 0}), |_| {});
-    let mut raw = RawHttp2Client::connect(world.program.flight);
+    let system = TestSystem::start(true, &unanswered_fetches, json!({"sketches": 0}), |_| {});
+    let mut raw = RawHttp2Client::connect(system.program.flight);
     let body =
         json!({"kind": "search", "id": "gone", "ranges": SHARDS, "predicate": "x", "plan": {"wave": 2}});
     let descriptor = FlightDescriptor::command(body.to_string().into());
     let reply = raw.call("GetFlightInfo", &[], &frame(&descriptor));
     let info = FlightInfo::decode(reply.messages[0].as_slice()).expect("a FlightInfo");
     raw.start_call("DoGet", &[], &frame(info.endpoint[0].ticket.as_ref().expect("a ticket")));
-    while fetched.load(Ordering::Relaxed) < 2 {
+    while fetches.load(Ordering::Relaxed) < 2 {
         std::thread::sleep(Duration::from_millis(5));
     }
     drop(raw);
     std::thread::sleep(Duration::from_millis(300));
-    // The first wave was asked, and nothing behind it.
-    assert!(world.asked("gone").1 <= 4, "{:?}", world.asked("gone"));
-    let told = world.ask("search", "after", &[1], &json!({"choose": "all", "wave": 1}), 300);
-    assert_eq!(told["status"], "refused", "hosts that hang give no rows, and the program goes on");
+    // The first wave was fetched, and no other.
+    assert!(system.scouts_and_fetches("gone").1 <= 4, "{:?}", system.scouts_and_fetches("gone"));
+    let answer = system.run_query("search", "after", &[1], &json!({"choose": "all", "wave": 1}), 300);
+    assert_eq!(answer["status"], "refused", "the program still answers, but backends that hang give no rows");
 }
 
 #[test]
-fn a_host_that_drains_between_the_phases_gets_nothing_of_the_second() {
-    let told = Arc::new(Mutex::new(Vec::new()));
-    let seen = Arc::clone(&told);
-    let script: Script = Arc::new(move |host, ticket, _| {
+fn backend_draining_between_the_phases_gets_no_fetches() {
+    let attempts = Arc::new(Mutex::new(Vec::new()));
+    let recorded = Arc::clone(&attempts);
+    let script: Script = Arc::new(move |backend, ticket, _| {
         let shard = ticket["range"].as_u64().expect("a shard") as u32;
         let scout = ticket["predicate"].as_str().expect("text").starts_with("scout:");
-        seen.lock().expect("a sound lock").push((host, scout));
+        recorded.lock().expect("an unpoisoned lock").push((backend, scout));
         let value = if scout { sketch(shard) } else { Value::from(rows(shard)).to_string() };
-        let wait = Duration::from_millis(if scout { 150 } else { 0 });
-        ScriptedReply::Delay(wait, Box::new(text_reply(shard, "good", &value)))
+        let delay = Duration::from_millis(if scout { 150 } else { 0 });
+        ScriptedReply::Delay(delay, Box::new(text_reply(shard, "good", &value)))
     });
-    let cluster = Deployment::start_two_phase(script, json!({"sketches": 0}));
-    let flight = cluster.program.flight;
-    let asks = std::thread::spawn(move || {
+    let deployment = Deployment::start_two_phase(script, json!({"sketches": 0}));
+    let flight = deployment.program.flight;
+    let client = std::thread::spawn(move || {
         let mut raw = RawHttp2Client::connect(flight);
         let body = json!({"kind": "search", "id": "q", "ranges": SHARDS, "predicate": "x", "plan": {"choose": "all", "wave": 10}});
         let reply =
@@ -392,66 +408,66 @@
         )
         .status()
     });
-    while told.lock().expect("a sound lock").len() < 10 {
+    while attempts.lock().expect("an unpoisoned lock").len() < 10 {
         std::thread::sleep(Duration::from_millis(5));
     }
-    cluster.discovery.publish(&stand_ins::endpoint(1, cluster.backends[1], "leaving"));
-    assert_eq!(asks.join().expect("a client"), Some(0));
-    let told = told.lock().expect("a sound lock");
-    assert!(told.iter().any(|(host, scout)| *host == 1 && *scout), "{told:?}");
-    assert!(!told.iter().any(|(host, scout)| *host == 1 && !*scout), "{told:?}");
+    deployment.discovery.publish(&stand_ins::endpoint(1, deployment.backends[1], "leaving"));
+    assert_eq!(client.join().expect("a client"), Some(0));
+    let attempts = attempts.lock().expect("an unpoisoned lock");
+    assert!(attempts.iter().any(|(backend, scout)| *backend == 1 && *scout), "{attempts:?}");
+    assert!(!attempts.iter().any(|(backend, scout)| *backend == 1 && !*scout), "{attempts:?}");
 }
 
 #[test]
-fn a_hold_asked_again_while_its_second_phase_runs_is_one_hold() {
-    let slow: Says = Arc::new(|shard, scout, before| match scout {
-        true => honest()(shard, scout, before),
+fn non_idempotent_query_repeated_during_its_second_phase_executes_once() {
+    let slow_fetches: AnswerRule = Arc::new(|shard, scout, earlier| match scout {
+        true => correct_answers()(shard, scout, earlier),
         false => {
             std::thread::sleep(Duration::from_millis(200));
             Some(("good".to_owned(), "held".to_owned()))
         }
     });
-    let world = World::start(true, &slow, json!({"sketches": 0}), |_| {});
+    let system = TestSystem::start(true, &slow_fetches, json!({"sketches": 0}), |_| {});
     let plan = json!({"choose": {"best": 2}, "top": 1});
-    let told: Vec<Value> = std::thread::scope(|scope| {
-        let (client, plan) = (world.client(), plan.clone());
-        let ask = move || client.ask("place-hold", "h", &[7, 8, 9], &plan, 3000);
-        let first = scope.spawn(ask.clone());
-        while world.asked("h").1 == 0 {
+    let answers: Vec<Value> = std::thread::scope(|scope| {
+        let (client, plan) = (system.client(), plan.clone());
+        let run = move || client.run_query("place-hold", "h", &[7, 8, 9], &plan, 3000);
+        let first = scope.spawn(run.clone());
+        while system.scouts_and_fetches("h").1 == 0 {
             std::thread::sleep(Duration::from_millis(5));
         }
-        // Two more ask under the same id, one while it runs and one behind it.
-        let second = scope.spawn(ask.clone());
-        let both = vec![first.join().expect("a client"), second.join().expect("a client")];
-        [both, vec![ask()]].concat()
+        // Two more clients send the same id, one while the query runs and one afterwards.
+        let second = scope.spawn(run.clone());
+        let concurrent = vec![first.join().expect("a client"), second.join().expect("a client")];
+        [concurrent, vec![run()]].concat()
     });
-    assert_eq!(told[0]["held"], json!({"range": 9, "blob": "held"}));
-    assert!(told.iter().all(|one| *one == told[0]), "{told:?}");
-    assert_eq!(world.asked("h"), (3, 1));
+    assert_eq!(answers[0]["held"], json!({"range": 9, "blob": "held"}));
+    assert!(answers.iter().all(|answer| *answer == answers[0]), "{answers:?}");
+    assert_eq!(system.scouts_and_fetches("h"), (3, 1));
 }
 
 #[test]
-fn a_cancelled_search_asks_no_further_wave() {
-    let slow: Says = Arc::new(|shard, scout, before| match scout {
-        true => honest()(shard, scout, before),
+fn cancelled_query_fetches_no_further_wave() {
+    let unanswered_fetches: AnswerRule = Arc::new(|shard, scout, earlier| match scout {
+        true => correct_answers()(shard, scout, earlier),
         false => None,
     });
-    let world = World::start(true, &slow, json!({"sketches": 0}), |_| {});
-    let mut raw = RawHttp2Client::connect(world.program.flight);
+    let system = TestSystem::start(true, &unanswered_fetches, json!({"sketches": 0}), |_| {});
+    let mut raw = RawHttp2Client::connect(system.program.flight);
     let body = json!({"tag": "t", "kind": "search", "id": "c", "ranges": SHARDS, "predicate": "x", "plan": {"wave": 1}});
-    let say = |value: &Value| {
+    let metadata_frame = |value: &Value| {
         frame(&FlightData { app_metadata: value.to_string().into(), ..FlightData::default() })
     };
     let stream = raw.open_stream("DoExchange", &[], false);
-    raw.send_data(stream, &say(&body), false);
-    while world.asked("c").1 == 0 {
+    raw.send_data(stream, &metadata_frame(&body), false);
+    while system.scouts_and_fetches("c").1 == 0 {
         std::thread::sleep(Duration::from_millis(5));
     }
-    raw.send_data(stream, &say(&json!({"cancel": "t"})), true);
+    raw.send_data(stream, &metadata_frame(&json!({"cancel": "t"})), true);
     let reply = raw.read_reply(stream, true);
-    let said = FlightData::decode(reply.messages[0].as_slice()).expect("FlightData").app_metadata;
-    let said: Value = serde_json::from_slice(&said).expect("JSON");
-    assert_eq!((&said["status"], reply.messages.len()), (&json!("cancelled"), 1));
-    // One block, and perhaps a second copy of it.
-    assert!(world.asked("c").1 <= 2, "{:?}", world.asked("c"));
+    let metadata = FlightData::decode(reply.messages[0].as_slice()).expect("FlightData").app_metadata;
+    let metadata: Value = serde_json::from_slice(&metadata).expect("JSON");
+    assert_eq!((&metadata["status"], reply.messages.len()), (&json!("cancelled"), 1));
+    // One block, and possibly a hedge for it.
+    assert!(system.scouts_and_fetches("c").1 <= 2, "{:?}", system.scouts_and_fetches("c"));
 }
