--- a/crates/mallowgauge/tests/promises.rs
+++ b/crates/mallowgauge/tests/promises.rs
@@ -1,4 +1,5 @@
-//! What the documents promise, held against what the program does.
+//! Checks the interface descriptions, the documented log lines and tests, and the example configuration against the
+//! program, and the program's behaviour when it runs out of file descriptors.
 
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader};
@@ -17,24 +18,27 @@
 use regex::Regex;
 use serde_json::{json, Value};
 
-fn text(path: &str) -> String {
+/// Reads a file of the repository.
+fn read_text(path: &str) -> String {
     std::fs::read_to_string(Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../..")).join(path))
         .expect("a file")
 }
 
-fn document(path: &str) -> Value {
-    serde_json::from_str(&text(path)).expect("JSON")
+/// Reads a JSON file of the repository.
+fn read_json(path: &str) -> Value {
+    serde_json::from_str(&read_text(path)).expect("JSON")
 }
 
 #[test]
-fn the_http_front_does_what_its_description_says() {
-    let api = document("api/openapi.json");
+fn http_frontend_matches_its_openapi_description() {
+    let api = read_json("api/openapi.json");
     let (sender, events) = channel();
-    let hosts: Vec<_> = (0..BACKENDS).map(|i| stand_ins::frame_backend(i, sender.clone(), false)).collect();
-    let roster = stand_ins::DiscoveryStandIn::start();
+    let backends: Vec<_> =
+        (0..BACKENDS).map(|i| stand_ins::frame_backend(i, sender.clone(), false)).collect();
+    let discovery = stand_ins::DiscoveryStandIn::start();
     let operator = json!({"flight": {"listen": "127.0.0.1:0"}});
-    let program = Program::start(&config(&hosts, roster.addr), &operator, 1024);
-    // Shard 0 answers, shard 1 fails, the others say nothing.
+    let program = Program::start(&config(&backends, discovery.addr), &operator, 1024);
+    // Shard 0 answers, shard 1 fails, and the others do not answer.
     std::thread::spawn(move || {
         for event in events {
             match event {
@@ -44,19 +48,19 @@
             }
         }
     });
-    let valid = |schema: &Value, value: &Value| {
-        let whole = json!({"allOf": [schema], "components": api["components"]});
-        jsonschema::validate(&whole, value).unwrap_or_else(|e| panic!("{value}: {e}"));
+    let validate = |schema: &Value, value: &Value| {
+        let schema = json!({"allOf": [schema], "components": api["components"]});
+        jsonschema::validate(&schema, value).unwrap_or_else(|e| panic!("{value}: {e}"));
     };
     let mut seen: BTreeSet<(String, String, u16)> = BTreeSet::new();
     let mut exchange = |path: &str, method: &str, request: &str| {
         let socket = TcpStream::connect(program.http).expect("a connection");
         let (status, _, body) = stand_ins::exchange(&socket, request).expect("a response");
         let described = &api["paths"][path][method]["responses"][status.to_string()];
-        assert!(described.is_object(), "{method} {path} gave {status}, which is not described");
+        assert!(described.is_object(), "{method} {path} returned {status}, which is not described");
         let schema = &described["content"]["application/json"]["schema"];
         if schema.is_object() {
-            valid(schema, &serde_json::from_str(&body).expect("JSON"));
+            validate(schema, &serde_json::from_str(&body).expect("JSON"));
         }
         seen.insert((path.to_owned(), method.to_owned(), status));
     };
@@ -64,7 +68,7 @@
         let share = 1.0 / shards.len() as f64;
         let ranges: Vec<Value> = shards.iter().map(|s| json!({"range": s, "portion": share})).collect();
         let body = json!({"ranges": ranges, "predicate": "c41e77d0"});
-        valid(&json!({"$ref": "#/components/schemas/Query"}), &body);
+        validate(&json!({"$ref": "#/components/schemas/Query"}), &body);
         Query { id: id.to_string(), kind: kind.to_owned(), deadline_ms: ms, body }
     };
     exchange("/healthz", "get", "GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n");
@@ -74,11 +78,12 @@
     exchange("/api", "post", &stand_ins::http_request(&query(4, "place-hold", 300, &[2])));
     exchange("/api", "post", "POST /api HTTP/1.1\r\nContent-Length: 65537\r\n\r\n");
     exchange("/api", "post", &format!("POST /api HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(17_000)));
-    // Two queries of nine leave no room for a third; nobody reads their answers.
-    let silent = [2, 3, 4, 5, 6, 7, 8, 9];
+    // Two open queries count nine each, the query and its eight parts, so a third exceeds the limit. Their answers are
+    // not read.
+    let unanswered = [2, 3, 4, 5, 6, 7, 8, 9];
     let open =
-        [5, 6].map(|id| stand_ins::send_query(program.http, query(id, "search", 60_000, &silent), drop));
-    exchange("/api", "post", &stand_ins::http_request(&query(7, "search", 3000, &silent)));
+        [5, 6].map(|id| stand_ins::send_query(program.http, query(id, "search", 60_000, &unanswered), drop));
+    exchange("/api", "post", &stand_ins::http_request(&query(7, "search", 3000, &unanswered)));
     open.into_iter().for_each(|close| close());
     let described: BTreeSet<(String, String, u16)> = api["paths"]
         .as_object()
@@ -90,24 +95,24 @@
             statuses.map(move |s| (path.clone(), method.clone(), s.parse().expect("a status")))
         })
         .collect();
-    // These two take a wait of 2 s and a stop; scenarios play them.
-    let unseen: Vec<_> =
+    // These two need a timeout of 2 s and a shutdown; the scenario tests cover them.
+    let not_seen: Vec<_> =
         described.difference(&seen).map(|(path, _, status)| (path.as_str(), *status)).collect();
-    assert_eq!(unseen, [("/api", 408), ("/healthz", 503)]);
+    assert_eq!(not_seen, [("/api", 408), ("/healthz", 503)]);
 }
 
 #[test]
-fn the_messages_to_hosts_are_as_described() {
-    let api = document("api/asyncapi.json");
+fn backend_frames_match_their_asyncapi_description() {
+    let api = read_json("api/asyncapi.json");
     let messages = &api["components"]["messages"];
-    let fits = |name: &str, bytes: &[u8]| {
+    let validate_frame = |name: &str, bytes: &[u8]| {
         let message = &messages[name];
-        let rest = std::str::from_utf8(&bytes[5..]).expect("text");
+        let payload = std::str::from_utf8(&bytes[5..]).expect("text");
         assert_eq!(u32::from_be_bytes(bytes[..4].try_into().expect("a length")) as usize, bytes.len() - 4);
         assert_eq!(message["x-letter"], std::str::from_utf8(&bytes[4..5]).expect("a letter"), "{name}");
-        jsonschema::validate(&message["payload"], &json!(rest)).unwrap_or_else(|e| panic!("{name}: {e}"));
+        jsonschema::validate(&message["payload"], &json!(payload)).unwrap_or_else(|e| panic!("{name}: {e}"));
     };
-    let send = |shard: u32| AttemptRequest {
+    let attempt = |shard: u32| AttemptRequest {
         call: mallowgauge_core::table_memory::TableQueryId(1),
         attempt: AttemptId { part: PartId(shard.into()), number: 0 },
         request_id: Rc::from("9b1f03aa5c7e2d41"),
@@ -116,22 +121,25 @@
         start_by: 1_240_000,
         body: b"c41e77d0".as_slice().into(),
     };
-    fits("call", &frames::call(1_000_000, &[send(3)]));
-    fits("call", &frames::call(1_000_000, &[send(3), send(4)]));
-    fits("giveUp", &frames::cancel(&frames::part_name(&send(3))));
-    fits("probe", &frames::health_check());
-    let mut heard = Vec::new();
+    validate_frame("call", &frames::call(1_000_000, &[attempt(3)]));
+    validate_frame("call", &frames::call(1_000_000, &[attempt(3), attempt(4)]));
+    validate_frame("giveUp", &frames::cancel(&frames::part_name(&attempt(3))));
+    validate_frame("probe", &frames::health_check());
+    let mut parsed = Vec::new();
     for name in ["end", "probed", "useless"] {
         for example in messages[name]["examples"].as_array().expect("examples") {
             let payload = example["payload"].as_str().expect("text");
             let letter = messages[name]["x-letter"].as_str().expect("a letter");
             let length = u32::try_from(payload.len() + 1).expect("a length").to_be_bytes();
             let bytes = [&length[..], letter.as_bytes(), payload.as_bytes()].concat();
-            fits(name, &bytes);
-            heard.push(format!("{:?}", frames::read(&bytes).expect("a frame").expect("a whole one").0));
+            validate_frame(name, &bytes);
+            parsed.push(format!(
+                "{:?}",
+                frames::read(&bytes).expect("a valid frame").expect("a complete frame").0
+            ));
         }
     }
-    assert_snapshot!(heard.join("\n"), @r#"
+    assert_snapshot!(parsed.join("\n"), @r#"
     PartEnded { part: "9b1f03aa5c7e2d41.3", outcome: Succeeded, value: "5be2a07c19f04d63" }
     PartEnded { part: "9b1f03aa5c7e2d41.3", outcome: BackendError, value: "" }
     PartEnded { part: "9b1f03aa5c7e2d41.3", outcome: Rejected, value: "" }
@@ -141,14 +149,14 @@
     "#);
 }
 
-// Guards the on-call page: every line that it lists is written by the program, and the other way round.
+// Guards the on-call page: it lists exactly the info, warning and error lines that the program writes.
 #[test]
-fn the_on_call_page_lists_the_lines_that_are_logged() {
+fn on_call_page_lists_exactly_the_logged_lines() {
     let macros =
         Regex::new(r#"tracing::(info|warn|error)!\(\s*(?:query = \w+,\s*)?"([^"]*)""#).expect("a pattern");
     let holes = Regex::new(r"\{[^}]*\}").expect("a pattern");
     let mut written = BTreeSet::new();
-    // The programs that serve; what only tests and tools write is not on the page.
+    // Crates of the server; lines that only tests and tools write are not on the page.
     let parts = ["mallowgauge", "edge", "core", "net", "settings", "flight"];
     let folder = |part: &&str| Path::new(env!("CARGO_MANIFEST_DIR")).join("..").join(part).join("src");
     let mut folders: Vec<_> = parts.iter().map(folder).collect();
@@ -166,19 +174,19 @@
         }
     }
     let row = Regex::new(r"(?m)^\| (INFO|WARN|ERROR) \| `([^`]*)` \|").expect("a pattern");
-    let page = text("docs/on-call.md");
+    let page = read_text("docs/on-call.md");
     let listed: BTreeSet<_> =
         row.captures_iter(&page).map(|found| (found[1].to_owned(), found[2].to_owned())).collect();
     assert_eq!(listed, written);
 }
 
-// Guards the catalogue of what is conformed to: the tests that it names are there.
+// Guards the Flight conformance catalogue: every test that it names exists.
 #[test]
-fn the_catalogue_of_flight_names_tests_that_exist() {
+fn flight_conformance_catalogue_names_existing_tests() {
     let name = Regex::new(r"\| `([a-z0-9_]+)`[^|`]*(?:`gatherer.rs` )?\| kept").expect("a pattern");
     let sources = ["flight.rs", "flight_hard.rs", "gatherer.rs"]
-        .map(|f| text(&format!("crates/mallowgauge/tests/{f}")));
-    let page = text("docs/flight-conformance.md");
+        .map(|f| read_text(&format!("crates/mallowgauge/tests/{f}")));
+    let page = read_text("docs/flight-conformance.md");
     let named: BTreeSet<&str> =
         name.captures_iter(&page).map(|found| found.get(1).expect("a name").as_str()).collect();
     assert!(named.len() > 20, "{named:?}");
@@ -188,37 +196,37 @@
     assert_eq!(page.matches("| kept").count(), name.captures_iter(&page).count(), "a row that names no test");
 }
 
-// Guards the start: a configuration that makes no sense ends it with one line.
+// Guards the error report at startup: an invalid configuration ends the program with one line.
 #[test]
-fn a_bad_configuration_is_one_clear_line() {
-    let none = "127.0.0.1:1".parse().expect("an address");
-    let sound = config(&[none; BACKENDS], none);
-    let mut said = Vec::new();
+fn invalid_configuration_is_reported_in_one_line() {
+    let unused_addr = "127.0.0.1:1".parse().expect("an address");
+    let valid_config = config(&[unused_addr; BACKENDS], unused_addr);
+    let mut reports = Vec::new();
     let mut start = |path: &str, value: Value, operator: Value| {
-        let mut config = sound.clone();
-        if let Some(place) = config.pointer_mut(path) {
-            *place = value;
+        let mut config = valid_config.clone();
+        if let Some(target) = config.pointer_mut(path) {
+            *target = value;
         }
-        let output = spawn(&config, &operator, 1024).0.wait_with_output().expect("an end");
+        let output = spawn(&config, &operator, 1024).0.wait_with_output().expect("an exit");
         let log = String::from_utf8(output.stdout).expect("text");
         let lines: Vec<&str> = log.lines().collect();
         assert_eq!(lines.len(), 1, "{log}");
-        let words = lines[0].split_once("fatal error: ").expect("the reason").1;
-        let words = words.split_once(".json: ").map_or(words, |(_, words)| words);
-        said.push(format!("{:?} {words}", output.status.code()));
+        let reason = lines[0].split_once("fatal error: ").expect("the reason").1;
+        let reason = reason.split_once(".json: ").map_or(reason, |(_, reason)| reason);
+        reports.push(format!("{:?} {reason}", output.status.code()));
     };
-    let off = json!({"flight": {}});
-    start("/settings", json!(3), off.clone());
-    start("/settings/TickUs", json!("soon"), off.clone());
-    start("/settings/Limits/MaxOpen", json!(0), off.clone());
-    start("/settings/FamilyInfo/ClassFloor", json!([1, 1, 2]), off.clone());
-    start("/listen", json!("nowhere"), off.clone());
-    start("/seed", json!("xyz"), off.clone());
-    start("/known/instances/0/lifecycle", json!("asleep"), off.clone());
-    start("/limits/sockets", json!(4), off);
-    start("", sound.clone(), json!({"flight": {"hosts": 3}}));
-    start("", sound.clone(), json!({"flight": {"listen": "here"}}));
-    assert_snapshot!(said.join("\n"), @r#"
+    let without_flight = json!({"flight": {}});
+    start("/settings", json!(3), without_flight.clone());
+    start("/settings/TickUs", json!("soon"), without_flight.clone());
+    start("/settings/Limits/MaxOpen", json!(0), without_flight.clone());
+    start("/settings/FamilyInfo/ClassFloor", json!([1, 1, 2]), without_flight.clone());
+    start("/listen", json!("nowhere"), without_flight.clone());
+    start("/seed", json!("xyz"), without_flight.clone());
+    start("/known/instances/0/lifecycle", json!("asleep"), without_flight.clone());
+    start("/limits/sockets", json!(4), without_flight);
+    start("", valid_config.clone(), json!({"flight": {"hosts": 3}}));
+    start("", valid_config.clone(), json!({"flight": {"listen": "here"}}));
+    assert_snapshot!(reports.join("\n"), @r#"
     Some(1) settings is not an object
     Some(1) settings.TickUs is not a whole number
     Some(1) settings.Limits.MaxOpen is zero or far too large
@@ -232,44 +240,44 @@
     "#);
 }
 
-// Guards the section `fleet`: what makes no sense ends the start with one line that names the key.
+// Guards the section `fleet` of the configuration: an invalid value ends the program with one line that names the key.
 #[test]
-fn a_bad_fleet_is_one_clear_line() {
-    let none = "127.0.0.1:1".parse().expect("an address");
-    let sound = config(&[none; BACKENDS], none);
-    let mut said = Vec::new();
+fn invalid_fleet_section_is_reported_in_one_line() {
+    let unused_addr = "127.0.0.1:1".parse().expect("an address");
+    let valid_config = config(&[unused_addr; BACKENDS], unused_addr);
+    let mut reports = Vec::new();
     let mut start = |path: &str, value: Value| {
-        let mut fleet = json!({"fleet": document("deploy/fleet.json")["fleet"]});
+        let mut fleet = json!({"fleet": read_json("deploy/fleet.json")["fleet"]});
         match path.rsplit_once('/') {
-            Some((above, key)) if fleet.pointer(above).is_some_and(Value::is_object) => {
-                fleet.pointer_mut(above).expect("an object")[key] = value;
+            Some((parent, key)) if fleet.pointer(parent).is_some_and(Value::is_object) => {
+                fleet.pointer_mut(parent).expect("an object")[key] = value;
             }
-            _ => *fleet.pointer_mut(path).expect("a place") = value,
+            _ => *fleet.pointer_mut(path).expect("an existing key") = value,
         }
-        let output = spawn(&sound, &fleet, 1024).0.wait_with_output().expect("an end");
+        let output = spawn(&valid_config, &fleet, 1024).0.wait_with_output().expect("an exit");
         let log = String::from_utf8(output.stdout).expect("text");
         assert_eq!(log.lines().count(), 1, "{log}");
-        let words = log.trim().split_once("fatal error: ").expect("the reason").1;
-        let words = words.split_once(".json: ").expect("the file").1;
-        said.push(format!("{:?} {words}", output.status.code()));
+        let reason = log.trim().split_once("fatal error: ").expect("the reason").1;
+        let reason = reason.split_once(".json: ").expect("the file").1;
+        reports.push(format!("{:?} {reason}", output.status.code()));
     };
-    let again = json!({"name": "n9", "address": "127.0.0.1:7401"});
-    let far = json!({"name": "n9", "address": "192.0.2.1:7401"});
+    let same_address = json!({"name": "n9", "address": "127.0.0.1:7401"});
+    let public_address = json!({"name": "n9", "address": "192.0.2.1:7401"});
     start("/fleet/name", json!("n9"));
     start("/fleet/nmae", json!("n1"));
     start("/fleet/peers/version", json!(0));
     start("/fleet/peers/list", json!([]));
-    start("/fleet/peers/list/2", again);
+    start("/fleet/peers/list/2", same_address);
     start("/fleet/peers/list/2", json!({"name": "n1", "address": "127.0.0.1:7409"}));
     start("/fleet/peers/list/2", json!({"name": "n3"}));
-    start("/fleet/peers/list/2", far);
+    start("/fleet/peers/list/2", public_address);
     start("/fleet/group", json!(2));
     start("/fleet/group", json!(5));
     start("/fleet/pace", json!({"probe_ms": 1}));
     start("/fleet/bounds", json!({"queue_kb": 1}));
     start("/fleet/listen", json!("nowhere"));
     start("/fleet/handover", json!({"life_ms": 1}));
-    assert_snapshot!(said.join("\n"), @r#"
+    assert_snapshot!(reports.join("\n"), @r#"
     Some(1) fleet.name is "n9", not in the list
     Some(1) fleet.nmae is not known; there is name, listen, peers, group, anywhere, pace, bounds, handover
     Some(1) fleet.peers.version is not a whole number from 1 to 4294967295
@@ -287,31 +295,34 @@
     "#);
 }
 
-// Guards the example of the section, and JSON lines: each says who wrote it.
+// Guards the example of the section `fleet` and the JSON log: every line names the instance that wrote it.
 #[test]
-fn the_example_of_a_fleet_starts_and_its_lines_say_who_wrote_them() {
-    let none = "127.0.0.1:1".parse().expect("an address");
-    let example = document("deploy/fleet.json");
-    let (mut child, _) = spawn(&config(&[none; BACKENDS], none), &example, 1024);
+fn fleet_example_starts_and_its_log_lines_name_the_instance() {
+    let unused_addr = "127.0.0.1:1".parse().expect("an address");
+    let example = read_json("deploy/fleet.json");
+    let (mut child, _) = spawn(&config(&[unused_addr; BACKENDS], unused_addr), &example, 1024);
     let lines = BufReader::new(child.stdout.take().expect("a pipe")).lines();
-    let mut said = Vec::new();
+    let mut messages = Vec::new();
     for line in lines {
         let line: Value = serde_json::from_str(&line.expect("text")).expect("JSON");
         assert_eq!(line["span"]["gatherer"], "n1", "{line}");
         assert!(line["span"]["life"].as_str().is_some_and(|life| life.len() == 8), "{line}");
-        said.push(line["message"].as_str().expect("words").to_owned());
-        if said.last().is_some_and(|words| words.contains("Starting -> Serving")) {
+        messages.push(line["message"].as_str().expect("text").to_owned());
+        if messages.last().is_some_and(|message| message.contains("Starting -> Serving")) {
             break;
         }
     }
     child.kill().expect("a process");
-    child.wait().expect("an end");
-    assert!(said.iter().any(|words| words.contains("as n1 of 3 in peer list version 1")), "{said:#?}");
+    child.wait().expect("an exit");
+    assert!(
+        messages.iter().any(|message| message.contains("as n1 of 3 in peer list version 1")),
+        "{messages:#?}"
+    );
 }
 
-// Guards the event loop where descriptors run out: it neither ends nor spins, and goes on when it can.
+// Guards the event loop against running out of file descriptors: it neither exits nor spins, and recovers.
 #[test]
-fn a_crowd_beyond_the_descriptors_is_survived() {
+fn event_loop_recovers_from_running_out_of_descriptors() {
     assert_snapshot!(play_with_descriptors(Protocol::Http, 1024, 40, "
         send crowd 60
         expect log accepting client connections is paused
@@ -327,10 +338,10 @@
     ");
 }
 
-// Guards clients that come back against a crowd that says nothing, and the bounds on connections, which
-// follow the limits that the program is told: neither a kept connection nor a descriptor is lost.
+// Guards returning clients against a flood of idle connections, and the connection limits, which follow the configured
+// ones: a kept connection stays open, and file descriptors do not run out.
 #[test]
-fn a_crowd_pushes_out_its_own() {
+fn flood_of_idle_connections_evicts_only_its_own_connections() {
     assert_snapshot!(play_with_descriptors(Protocol::Http, 64, 64, r"
         send raw GET /nothing HTTP/1.1\r\n\r\n
         expect raw
@@ -351,9 +362,10 @@
     ");
 }
 
-// Guards the platform's way in: clients that ask once and stay do not hold more than their share.
+// Guards the platform's access to the program: clients that send one request and stay connected hold no more than their
+// share of the connections.
 #[test]
-fn few_idle_clients_are_kept() {
+fn idle_client_connections_are_limited() {
     assert_snapshot!(play_with_descriptors(Protocol::Http, 64, 64, "
         send asked 30
         expect staying
@@ -362,10 +374,10 @@
     ");
 }
 
-// Guards a request that comes in the very moment in which its connection would make room for another: it
-// is looked for once more, and answered.
+// Guards against losing a request that arrives just before its connection is evicted for another: the connection is
+// read once more before it is closed, and the request is answered.
 #[test]
-fn a_request_that_has_come_is_answered_before_its_connection_goes() {
+fn request_already_received_is_answered_before_its_connection_is_evicted() {
     assert_snapshot!(play_with_descriptors(Protocol::Http, 64, 64, r"
         send raw GET /nothing HTTP/1.1\r\n\r\n
         expect raw
