--- a/crates/mallowgauge/tests/wire_bytes.rs
+++ b/crates/mallowgauge/tests/wire_bytes.rs
@@ -1,4 +1,5 @@
-//! The program's bytes on three wires, held in full: answers to HTTP clients, frames to backends, calls to discovery.
+//! Checks every byte that the program sends on three interfaces: responses to HTTP clients, frames to backends, and
+//! requests to discovery.
 
 use std::io::Read;
 use std::time::Duration;
@@ -7,13 +8,14 @@
 use mallowgauge_testkit::manual_peers::{accept, accept_within, addr, frame, query, Connection, TestBed};
 use regex::Regex;
 
-/// What comes back for a request, to the end of the connection where it ends.
-fn exchange(rig: &TestBed, request: &str) -> String {
-    let mut client = rig.client();
+/// Sends a request on a new connection and returns the response.
+fn exchange(test_bed: &TestBed, request: &str) -> String {
+    let mut client = test_bed.client();
     client.send(request);
     read_response(&mut client)
 }
 
+/// Reads a response with its body, as `Content-Length` gives it.
 fn read_response(client: &mut Connection) -> String {
     let head = client.head();
     let length = head.split_once("Content-Length: ").and_then(|(_, rest)| rest.split_once('\r'));
@@ -22,26 +24,28 @@
     format!("{head}{}", String::from_utf8(body).expect("text"))
 }
 
-/// Line breaks as they are on the wire, one line of the snapshot each.
-fn visible(text: &str) -> String {
+/// Escapes line breaks, so that the snapshot shows them, and starts a new line after each.
+fn escape_line_breaks(text: &str) -> String {
     text.replace('\r', "\\r").replace("\n", "\\n\n").trim_end().to_owned()
 }
 
-/// The first connection to any backend, with that backend's number.
-fn backend(rig: &TestBed) -> Connection {
-    let next = |host| accept_within(host, Duration::from_millis(10));
-    (0..500).flat_map(|_| &rig.backends).find_map(next).expect("the program connects")
+/// Accepts the first connection that the program opens to any backend.
+fn accept_any_backend(test_bed: &TestBed) -> Connection {
+    let accept = |listener| accept_within(listener, Duration::from_millis(10));
+    (0..500).flat_map(|_| &test_bed.backends).find_map(accept).expect("the program connects")
 }
 
+/// Returns a `POST` of a query with these headers and this body.
 fn post(headers: &str, body: &str) -> String {
     format!("POST /api HTTP/1.1\r\nHost: x\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-const GOOD_HEADERS: &str = "Req-Id: q\r\nReq-Kind: search\r\nReq-Deadline-Ms: 4000\r\n";
+/// The headers of a valid query.
+const VALID_HEADERS: &str = "Req-Id: q\r\nReq-Kind: search\r\nReq-Deadline-Ms: 4000\r\n";
 
 #[test]
-fn http_answers_to_requests_that_reach_no_backend() {
-    let rig = TestBed::start(1, |_| {});
+fn http_responses_to_requests_that_reach_no_backend() {
+    let test_bed = TestBed::start(1, |_| {});
     let long = "x".repeat(70_000);
     let requests = [
         ("health", "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n".to_owned()),
@@ -69,39 +73,39 @@
         ("unknown class", post("Req-Id: q\r\nReq-Kind: browse\r\n", "{}")),
         ("no deadline", post("Req-Id: q\r\nReq-Kind: search\r\n", "{}")),
         ("signed deadline", post("Req-Id: q\r\nReq-Kind: search\r\nReq-Deadline-Ms: +1\r\n", "{}")),
-        ("no JSON", post(GOOD_HEADERS, "{")),
-        ("no ranges", post(GOOD_HEADERS, "{}")),
-        ("a range without number", post(GOOD_HEADERS, r#"{"ranges":[{}],"predicate":"x"}"#)),
-        ("a range without portion", post(GOOD_HEADERS, r#"{"ranges":[{"range":0}],"predicate":"x"}"#)),
-        ("no predicate", post(GOOD_HEADERS, r#"{"ranges":[{"range":0,"portion":1.0}]}"#)),
-        ("no parts", post(GOOD_HEADERS, r#"{"ranges":[],"predicate":"x"}"#)),
+        ("no JSON", post(VALID_HEADERS, "{")),
+        ("no ranges", post(VALID_HEADERS, "{}")),
+        ("a range without number", post(VALID_HEADERS, r#"{"ranges":[{}],"predicate":"x"}"#)),
+        ("a range without portion", post(VALID_HEADERS, r#"{"ranges":[{"range":0}],"predicate":"x"}"#)),
+        ("no predicate", post(VALID_HEADERS, r#"{"ranges":[{"range":0,"portion":1.0}]}"#)),
+        ("no parts", post(VALID_HEADERS, r#"{"ranges":[],"predicate":"x"}"#)),
         (
             "unknown shard",
-            post(GOOD_HEADERS, r#"{"ranges":[{"range":99999,"portion":1.0}],"predicate":"x"}"#),
+            post(VALID_HEADERS, r#"{"ranges":[{"range":99999,"portion":1.0}],"predicate":"x"}"#),
         ),
         (
             "a shard twice",
             post(
-                GOOD_HEADERS,
+                VALID_HEADERS,
                 r#"{"ranges":[{"range":0,"portion":0.5},{"range":0,"portion":0.5}],"predicate":"x"}"#,
             ),
         ),
         (
             "a negative portion",
-            post(GOOD_HEADERS, r#"{"ranges":[{"range":0,"portion":-1.0}],"predicate":"x"}"#),
+            post(VALID_HEADERS, r#"{"ranges":[{"range":0,"portion":-1.0}],"predicate":"x"}"#),
         ),
         (
             "a plan that is off",
-            post(GOOD_HEADERS, r#"{"ranges":[{"range":0,"portion":1.0}],"predicate":"x","plan":{}}"#),
+            post(VALID_HEADERS, r#"{"ranges":[{"range":0,"portion":1.0}],"predicate":"x","plan":{}}"#),
         ),
         (
             "a plan that is no object",
-            post(GOOD_HEADERS, r#"{"ranges":[{"range":0,"portion":1.0}],"predicate":"x","plan":1}"#),
+            post(VALID_HEADERS, r#"{"ranges":[{"range":0,"portion":1.0}],"predicate":"x","plan":1}"#),
         ),
         (
             "a plan with an unknown key",
             post(
-                GOOD_HEADERS,
+                VALID_HEADERS,
                 r#"{"ranges":[{"range":0,"portion":1.0}],"predicate":"x","plan":{"other":1}}"#,
             ),
         ),
@@ -113,8 +117,8 @@
             ),
         ),
     ];
-    let answers =
-        requests.map(|(name, request)| format!("== {name}\n{}", visible(&exchange(&rig, &request))));
+    let answers = requests
+        .map(|(name, request)| format!("== {name}\n{}", escape_line_breaks(&exchange(&test_bed, &request))));
     assert_snapshot!(answers.join("\n"), @r#"
     == health
     HTTP/1.1 200 OK\r\n
@@ -305,30 +309,30 @@
 }
 
 #[test]
-fn http_answers_to_queries_and_the_frames_that_they_cause() {
-    let rig = TestBed::start(1, |_| {});
-    let mut seen = Vec::new();
-    // Complete: the call's bytes, and the answer's.
-    let mut client = rig.client();
+fn http_responses_to_queries_and_their_frames_to_backends() {
+    let test_bed = TestBed::start(1, |_| {});
+    let mut outputs = Vec::new();
+    // A complete answer: the bytes of the call to the backend and of the response.
+    let mut client = test_bed.client();
     client.send(query("whole", "search", 4000, &[0]));
-    let mut host = backend(&rig);
-    let (letter, text) = host.frame().expect("a call");
-    let (before, after) = text.split_once(" d=").expect("a wait");
+    let mut backend = accept_any_backend(&test_bed);
+    let (letter, text) = backend.frame().expect("a call");
+    let (before, after) = text.split_once(" d=").expect("a deadline");
     let (wait, after) = after.split_once(' ').expect("a length");
     assert!((1000..=4000).contains(&wait.parse::<u32>().expect("milliseconds")), "{wait}");
-    seen.push(format!("== call\n{} {before} d=WAIT {}", letter as char, visible(after)));
-    host.send(frame(b'q', "whole.0 good 0 util=0.5\nvalue \"x\""));
-    seen.push(format!("== complete\n{}", visible(&read_response(&mut client))));
-    // A query that must not be repeated fails with its part.
+    outputs.push(format!("== call\n{} {before} d=WAIT {}", letter as char, escape_line_breaks(after)));
+    backend.send(frame(b'q', "whole.0 good 0 util=0.5\nvalue \"x\""));
+    outputs.push(format!("== complete\n{}", escape_line_breaks(&read_response(&mut client))));
+    // A non-idempotent query fails when its part fails.
     client.send(query("failed", "place-hold", 4000, &[0]));
-    let part = host.next_parts().pop().expect("a part");
-    host.answer_part(&part, "bad", "");
-    seen.push(format!("== failed\n{}", visible(&read_response(&mut client))));
-    // One that gets no answer in its time.
+    let part = backend.next_parts().pop().expect("a part");
+    backend.answer_part(&part, "bad", "");
+    outputs.push(format!("== failed\n{}", escape_line_breaks(&read_response(&mut client))));
+    // A query that gets no answer before its deadline.
     client.send(query("late", "place-hold", 600, &[0]));
-    assert_eq!(host.next_parts().pop().map(|part| part.id).as_deref(), Some("late.0"));
-    seen.push(format!("== late\n{}", visible(&read_response(&mut client))));
-    assert_snapshot!(seen.join("\n"), @r#"
+    assert_eq!(backend.next_parts().pop().map(|part| part.id).as_deref(), Some("late.0"));
+    outputs.push(format!("== late\n{}", escape_line_breaks(&read_response(&mut client))));
+    assert_snapshot!(outputs.join("\n"), @r#"
     == call
     m whole.0 0 d=WAIT 8\n
     c41e77d0
@@ -354,37 +358,40 @@
 }
 
 #[test]
-fn a_part_whose_client_left_is_given_up() {
-    let rig = TestBed::start(1, |_| {});
-    let mut client = rig.client();
+fn part_of_a_disconnected_client_is_cancelled() {
+    let test_bed = TestBed::start(1, |_| {});
+    let mut client = test_bed.client();
     client.send(query("left", "search", 4000, &[0]));
-    let mut host = backend(&rig);
-    assert_eq!(host.next_parts().pop().map(|part| part.id).as_deref(), Some("left.0"));
+    let mut backend = accept_any_backend(&test_bed);
+    assert_eq!(backend.next_parts().pop().map(|part| part.id).as_deref(), Some("left.0"));
     drop(client);
-    let (letter, text) = host.frame().expect("the part is given up");
+    let (letter, text) = backend.frame().expect("the part is cancelled");
     assert_eq!((letter, &*text), (b'n', "left.0"));
 }
 
 #[test]
-fn http_answers_beyond_the_limit_and_after_shutdown() {
-    let rig = TestBed::start(1, |file| file["settings"]["Limits"]["MaxOpen"] = serde_json::json!(3));
-    let mut seen = Vec::new();
-    let mut open = rig.client();
+fn http_responses_over_the_limit_and_during_shutdown() {
+    let test_bed = TestBed::start(1, |file| file["settings"]["Limits"]["MaxOpen"] = serde_json::json!(3));
+    let mut outputs = Vec::new();
+    let mut open = test_bed.client();
     open.send(query("open", "search", 4000, &[0]));
-    let mut host = backend(&rig);
-    let part = host.next_parts().pop().expect("a part");
-    // How long it says to wait is drawn.
-    let rejected = exchange(&rig, &query("more", "search", 4000, &[0]));
+    let mut backend = accept_any_backend(&test_bed);
+    let part = backend.next_parts().pop().expect("a part");
+    // The retry delay is random, so it is replaced before the comparison.
+    let rejected = exchange(&test_bed, &query("more", "search", 4000, &[0]));
     let wait = Regex::new(r"Retry-After: [0-9]\.[0-9]{3}\r").expect("a pattern");
-    seen.push(format!("== one too many\n{}", visible(&wait.replace(&rejected, "Retry-After: S.MMM\r"))));
-    let mut health = rig.client();
-    rig.program.signal(libc::SIGTERM);
-    rig.wait_for_log("Serving -> Draining");
+    outputs.push(format!(
+        "== one too many\n{}",
+        escape_line_breaks(&wait.replace(&rejected, "Retry-After: S.MMM\r"))
+    ));
+    let mut health = test_bed.client();
+    test_bed.program.signal(libc::SIGTERM);
+    test_bed.wait_for_log("Serving -> Draining");
     health.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
-    seen.push(format!("== health while draining\n{}", visible(&read_response(&mut health))));
-    host.answer_part(&part, "good", "x");
-    seen.push(format!("== answer while draining\n{}", visible(&read_response(&mut open))));
-    assert_snapshot!(seen.join("\n"), @r#"
+    outputs.push(format!("== health while draining\n{}", escape_line_breaks(&read_response(&mut health))));
+    backend.answer_part(&part, "good", "x");
+    outputs.push(format!("== answer while draining\n{}", escape_line_breaks(&read_response(&mut open))));
+    assert_snapshot!(outputs.join("\n"), @r#"
     == one too many
     HTTP/1.1 503 Service Unavailable\r\n
     Content-Type: application/json\r\n
@@ -409,15 +416,17 @@
 }
 
 #[test]
-fn http_answers_before_the_start_is_complete_and_to_a_request_that_never_is() {
-    // Discovery pushes its lists here and says nothing: the program is not ready for as long as it waits for one.
-    let rig = TestBed::start(1, |file| file["settings"]["MembershipMode"] = serde_json::json!("automatic"));
-    let mut seen = Vec::new();
-    let health = exchange(&rig, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
-    seen.push(format!("== health while starting\n{}", visible(&health)));
-    let half = exchange(&rig, "POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
-    seen.push(format!("== half a request\n{}", visible(&half)));
-    assert_snapshot!(seen.join("\n"), @r#"
+fn http_responses_during_startup_and_to_an_incomplete_request() {
+    // In this mode discovery pushes endpoint lists, and here it sends none: the program is not ready while it waits for
+    // the first one.
+    let test_bed =
+        TestBed::start(1, |file| file["settings"]["MembershipMode"] = serde_json::json!("automatic"));
+    let mut outputs = Vec::new();
+    let health = exchange(&test_bed, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+    outputs.push(format!("== health while starting\n{}", escape_line_breaks(&health)));
+    let half = exchange(&test_bed, "POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
+    outputs.push(format!("== half a request\n{}", escape_line_breaks(&half)));
+    assert_snapshot!(outputs.join("\n"), @r#"
     == health while starting
     HTTP/1.1 503 Service Unavailable\r\n
     Content-Type: text/plain\r\n
@@ -436,23 +445,26 @@
 }
 
 #[test]
-fn calls_to_discovery() {
-    let rig = TestBed::start(2, |_| {});
-    let own = addr(&rig.discovery).to_string();
-    let mut wire = accept(&rig.discovery);
-    let mut seen = Vec::new();
-    let mut take = |wire: &mut Connection, name: &str| {
-        seen.push(format!("== {name}\n{}", visible(&wire.head().replace(&own, "DISCOVERY"))));
+fn requests_to_discovery() {
+    let test_bed = TestBed::start(2, |_| {});
+    let discovery_addr = addr(&test_bed.discovery).to_string();
+    let mut connection = accept(&test_bed.discovery);
+    let mut outputs = Vec::new();
+    let mut record_request = |connection: &mut Connection, name: &str| {
+        outputs.push(format!(
+            "== {name}\n{}",
+            escape_line_breaks(&connection.head().replace(&discovery_addr, "DISCOVERY"))
+        ));
     };
-    take(&mut wire, "first");
-    wire.send_endpoint_list(7, true, &rig.endpoints("active"));
-    take(&mut wire, "after a list");
-    wire.send_endpoint_list(8, false, &[]);
-    take(&mut wire, "after a change");
-    drop(wire);
-    let mut wire = accept(&rig.discovery);
-    take(&mut wire, "after a connection that broke");
-    assert_snapshot!(seen.join("\n"), @r#"
+    record_request(&mut connection, "first");
+    connection.send_endpoint_list(7, true, &test_bed.endpoints("active"));
+    record_request(&mut connection, "after a list");
+    connection.send_endpoint_list(8, false, &[]);
+    record_request(&mut connection, "after a change");
+    drop(connection);
+    let mut connection = accept(&test_bed.discovery);
+    record_request(&mut connection, "after a connection that broke");
+    assert_snapshot!(outputs.join("\n"), @r#"
     == first
     GET /v1/servers?index=1&wait=2200 HTTP/1.1\r\n
     Host: DISCOVERY\r\n
