--- a/crates/mallowgauge/tests/upstream_crossings.rs
+++ b/crates/mallowgauge/tests/upstream_crossings.rs
@@ -1,5 +1,6 @@
-//! Events on connections to hosts that cross: what is told, withdrawn, answered or cut in the very moment in
-//! which something is on its way. Each order is forced by what hosts, discovery and clients send and wait for.
+//! Races on connections to backends: endpoint changes, cancellations, responses and connection failures while
+//! an attempt is queued or in flight. Runs the real program; the test plays its backends, discovery and
+//! clients, and forces each order of events by what these send and wait for.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -8,400 +9,419 @@
 };
 use serde_json::{json, Value};
 
-/// Beyond a second, after which a SYN is sent again.
-const DIAL: u64 = 2_500_000;
+/// Longer than a second, after which the kernel sends a SYN again.
+const CONNECT_TIMEOUT_US: u64 = 2_500_000;
 
-/// Dials may take long, and of the hosts in the saved list only the first is active.
-fn first_alone(file: &mut Value) {
-    file["settings"]["Limits"]["DialTimeoutUs"] = json!(DIAL);
-    let hosts = file["known"]["instances"].as_array_mut().expect("hosts");
-    hosts.iter_mut().skip(1).for_each(|host| host["lifecycle"] = json!("leaving"));
+/// Allows slow connects, and leaves only the first backend of the cached snapshot active.
+fn with_one_active_backend(file: &mut Value) {
+    file["settings"]["Limits"]["DialTimeoutUs"] = json!(CONNECT_TIMEOUT_US);
+    let instances = file["known"]["instances"].as_array_mut().expect("instances");
+    instances.iter_mut().skip(1).for_each(|instance| instance["lifecycle"] = json!("leaving"));
 }
 
-fn class(file: &mut Value, name: &str) -> usize {
+fn class_index(file: &mut Value, name: &str) -> usize {
     let classes = file["settings"]["Classes"].as_array().expect("classes");
     classes.iter().position(|class| class["Name"] == name).expect("a class")
 }
 
-/// Discovery's first call, which waits for news.
-fn watch(rig: &TestBed) -> Connection {
-    let mut watch = accept(&rig.discovery);
+/// Accepts the first request to discovery, which waits for a change.
+fn accept_watch(test_bed: &TestBed) -> Connection {
+    let mut watch = accept(&test_bed.discovery);
     assert!(watch.head().contains("index="));
     watch
 }
 
-/// A client's question, on its way.
-fn ask(rig: &TestBed, id: &str, kind: &str, ms: u64, shards: &[u32]) -> Connection {
-    let mut client = rig.client();
+/// Submits a query. Returns the client's connection.
+fn submit(test_bed: &TestBed, id: &str, kind: &str, ms: u64, shards: &[u32]) -> Connection {
+    let mut client = test_bed.client();
     client.send(query(id, kind, ms, shards));
     client
 }
 
-fn status(client: &mut Connection) -> u16 {
-    client.response().expect("an answer").0
+fn response_status(client: &mut Connection) -> u16 {
+    client.response().expect("a response").0
 }
 
-/// The program has looked at its clients since this was called.
-fn turn(rig: &TestBed) {
-    let mut client = rig.client();
+/// Returns once the program has read from its clients since the call.
+fn wait_for_client_read(test_bed: &TestBed) {
+    let mut client = test_bed.client();
     client.send("GET /healthz HTTP/1.1\r\n\r\n");
-    assert_eq!(status(&mut client), 200);
+    assert_eq!(response_status(&mut client), 200);
 }
 
-fn only(mut parts: Vec<Part>) -> Part {
+fn only_part(mut parts: Vec<Part>) -> Part {
     assert_eq!(parts.len(), 1, "{parts:?}");
     parts.remove(0)
 }
 
-/// Serves a part that comes next on this connection.
-fn serve(host: &mut Connection) {
-    let part = only(host.next_parts());
-    host.answer_part(&part, "good", "x");
+/// Answers the next part on this connection.
+fn answer_next_part(backend: &mut Connection) {
+    let part = only_part(backend.next_parts());
+    backend.answer_part(&part, "good", "x");
 }
 
-// ---- a dial that comes up late ----
+// ---- slow connects ----
 
-// Guards the time that a host is told: what is left when the frame is written, and not what was left in the
-// turn that queued it behind a dial.
+// Guards against an outdated timeout: a frame carries the time left when it is written, not the time left in
+// the event-loop iteration that queued it for a connection.
 #[test]
-fn a_call_that_waited_for_its_dial_tells_what_is_left() {
-    let rig = TestBed::start(1, first_alone);
-    let held = StalledListener::stall(&rig.backends[0]);
-    let _client = ask(&rig, "1", "search", 3_000, &[0]);
-    held.wait_for_attempts(1);
-    let since = Instant::now();
+fn frame_sent_after_a_slow_connect_carries_the_time_left() {
+    let test_bed = TestBed::start(1, with_one_active_backend);
+    let stalled = StalledListener::stall(&test_bed.backends[0]);
+    let _client = submit(&test_bed, "1", "search", 3_000, &[0]);
+    stalled.wait_for_attempts(1);
+    let started_at = Instant::now();
     std::thread::sleep(Duration::from_millis(500));
-    let waited = since.elapsed().as_millis() as u64;
-    let part = only(held.release().next_parts());
-    assert!(part.timeout_ms <= 3_000 - waited, "{part:?} after {waited} ms");
+    let waited_ms = started_at.elapsed().as_millis() as u64;
+    let part = only_part(stalled.release().next_parts());
+    assert!(part.timeout_ms <= 3_000 - waited_ms, "{part:?} after {waited_ms} ms");
 }
 
-// The same for `grpc-timeout`.
+// The same for the `grpc-timeout` header.
 #[test]
-fn a_stream_that_waited_for_its_dial_tells_what_is_left() {
-    let rig = TestBed::start_with_flight(1, first_alone);
-    let held = StalledListener::stall(&rig.backends[0]);
-    let _client = ask(&rig, "1", "search", 3_000, &[0]);
-    held.wait_for_attempts(1);
-    let since = Instant::now();
+fn stream_opened_after_a_slow_connect_carries_the_time_left() {
+    let test_bed = TestBed::start_with_flight(1, with_one_active_backend);
+    let stalled = StalledListener::stall(&test_bed.backends[0]);
+    let _client = submit(&test_bed, "1", "search", 3_000, &[0]);
+    stalled.wait_for_attempts(1);
+    let started_at = Instant::now();
     std::thread::sleep(Duration::from_millis(500));
-    let waited = since.elapsed().as_micros() as u64;
-    let lines = held.release().read_first_stream_headers();
-    let told = lines.iter().find(|(name, _)| name == "grpc-timeout").expect("a time").1.clone();
-    let told: u64 = told.strip_suffix('u').and_then(|us| us.parse().ok()).expect("microseconds");
-    assert!(told <= 3_000_000 - waited, "{told} us after {waited} us");
-}
-
-/// A hold waits for the first host's dial; then discovery tells this of the hosts. The hold has to go to the
-/// second at once, and nothing is left that could come up at the first.
-fn a_hold_moves(mut news: impl FnMut(&TestBed) -> (bool, Vec<Value>), told: &str, start: fn(&mut Value)) {
-    let rig = TestBed::start(2, start);
-    let held = StalledListener::stall(&rig.backends[0]);
-    let mut discovery = watch(&rig);
-    let mut client = ask(&rig, "1", "place-hold", 3_500, &[0]);
-    held.wait_for_attempts(1);
-    let (whole, hosts) = news(&rig);
-    discovery.send_endpoint_list(2, whole, &hosts);
-    rig.wait_for_log(told);
-    serve(&mut accept(&rig.backends[1]));
-    assert_eq!(status(&mut client), 200);
-    held.wait_for_attempts(0);
-}
-
-// Guards a host that drains against what waited for its dial: that goes elsewhere, effect or not, since it
-// has never run.
+    let waited_us = started_at.elapsed().as_micros() as u64;
+    let lines = stalled.release().read_first_stream_headers();
+    let sent_timeout =
+        lines.iter().find(|(name, _)| name == "grpc-timeout").expect("a grpc-timeout header").1.clone();
+    let sent_timeout: u64 =
+        sent_timeout.strip_suffix('u').and_then(|us| us.parse().ok()).expect("microseconds");
+    assert!(sent_timeout <= 3_000_000 - waited_us, "{sent_timeout} us after {waited_us} us");
+}
+
+/// Queues a non-idempotent query for a connection to the first backend, then sends an endpoint list. The
+/// query has to be sent to the second backend at once, and no connect to the first may be left.
+fn assert_queued_attempt_moves(
+    mut next_list: impl FnMut(&TestBed) -> (bool, Vec<Value>),
+    expected_log: &str,
+    configure: fn(&mut Value),
+) {
+    let test_bed = TestBed::start(2, configure);
+    let stalled = StalledListener::stall(&test_bed.backends[0]);
+    let mut discovery = accept_watch(&test_bed);
+    let mut client = submit(&test_bed, "1", "place-hold", 3_500, &[0]);
+    stalled.wait_for_attempts(1);
+    let (snapshot, instances) = next_list(&test_bed);
+    discovery.send_endpoint_list(2, snapshot, &instances);
+    test_bed.wait_for_log(expected_log);
+    answer_next_part(&mut accept(&test_bed.backends[1]));
+    assert_eq!(response_status(&mut client), 200);
+    stalled.wait_for_attempts(0);
+}
+
+// Guards against sending queued attempts to a draining backend. They go to another replica, also those of
+// non-idempotent queries, since they were not executed.
 #[test]
-fn nothing_that_waited_for_a_dial_goes_to_a_host_that_drains() {
-    let news = |rig: &TestBed| (false, vec![rig.endpoint(0, "leaving"), rig.endpoint(1, "active")]);
-    a_hold_moves(news, "host s-0 is Draining", first_alone);
+fn queued_attempt_moves_from_a_draining_backend() {
+    let next_list =
+        |test_bed: &TestBed| (false, vec![test_bed.endpoint(0, "leaving"), test_bed.endpoint(1, "active")]);
+    assert_queued_attempt_moves(next_list, "backend s-0 is Draining", with_one_active_backend);
 }
 
 #[test]
-fn nothing_that_waited_for_a_dial_goes_to_a_host_that_has_left() {
-    let news = |rig: &TestBed| (false, vec![rig.endpoint(0, "left"), started(rig.endpoint(1, "active"), 1)]);
-    a_hold_moves(news, "host s-1 is Ready", first_alone);
+fn queued_attempt_moves_from_a_removed_backend() {
+    let next_list = |test_bed: &TestBed| {
+        (false, vec![test_bed.endpoint(0, "left"), with_start_time(test_bed.endpoint(1, "active"), 1)])
+    };
+    assert_queued_attempt_moves(next_list, "backend s-1 is Ready", with_one_active_backend);
 }
 
-// What a whole list does not name is gone.
+// A snapshot removes the backends that it does not list.
 #[test]
-fn nothing_that_waited_for_a_dial_goes_to_a_host_that_the_list_lacks() {
-    let news = |rig: &TestBed| (true, vec![started(rig.endpoint(1, "active"), 1)]);
-    a_hold_moves(news, "host s-1 is Ready", first_alone);
+fn queued_attempt_moves_from_a_backend_missing_in_a_snapshot() {
+    let next_list = |test_bed: &TestBed| (true, vec![with_start_time(test_bed.endpoint(1, "active"), 1)]);
+    assert_queued_attempt_moves(next_list, "backend s-1 is Ready", with_one_active_backend);
 }
 
-// Guards the shards of another host that has got the address: parts go where their host is now.
+// Guards against sending parts to an address that another backend, with other shards, may have by now:
+// attempts go to the present address of their backend.
 #[test]
-fn nothing_that_waited_for_a_dial_goes_to_the_address_that_a_host_had() {
-    let news = |rig: &TestBed| {
-        let mut moved = started(rig.endpoint(0, "active"), 1);
-        moved["hostPort"] = json!(addr(&rig.backends[1]).to_string());
+fn queued_attempt_moves_to_the_new_address_of_its_backend() {
+    let next_list = |test_bed: &TestBed| {
+        let mut moved = with_start_time(test_bed.endpoint(0, "active"), 1);
+        moved["hostPort"] = json!(addr(&test_bed.backends[1]).to_string());
         (false, vec![moved])
     };
-    a_hold_moves(news, "host s-0 is Ready", |file| {
-        first_alone(file);
-        file["known"]["instances"].as_array_mut().expect("hosts").truncate(1);
+    assert_queued_attempt_moves(next_list, "backend s-0 is Ready", |file| {
+        with_one_active_backend(file);
+        file["known"]["instances"].as_array_mut().expect("instances").truncate(1);
     });
 }
 
-fn started(mut host: Value, at: u64) -> Value {
-    host["startedAtMs"] = json!(at);
-    host
+fn with_start_time(mut instance: Value, start_ms: u64) -> Value {
+    instance["startedAtMs"] = json!(start_ms);
+    instance
 }
 
-/// A client asks and leaves while the dial hangs; nothing may be written once that comes up.
-fn a_client_leaves_a_dial(cancel: bool) {
-    let rig = TestBed::start(1, |file| {
-        first_alone(file);
+/// Disconnects a client while the connect for its query is pending. Nothing may be written once the connect
+/// succeeds.
+fn assert_nothing_is_sent_after_disconnect(cancel: bool) {
+    let test_bed = TestBed::start(1, |file| {
+        with_one_active_backend(file);
         file["settings"]["Limits"]["Cancel"] = json!(cancel);
     });
-    let held = StalledListener::stall(&rig.backends[0]);
-    let client = ask(&rig, "1", "place-hold", 3_500, &[0, 1]);
-    held.wait_for_attempts(1);
+    let stalled = StalledListener::stall(&test_bed.backends[0]);
+    let client = submit(&test_bed, "1", "place-hold", 3_500, &[0, 1]);
+    stalled.wait_for_attempts(1);
     drop(client);
-    turn(&rig);
-    assert!(held.release().is_closed_by_peer(), "nobody waits for anything here");
+    wait_for_client_read(&test_bed);
+    assert!(stalled.release().is_closed_by_peer(), "the only client has disconnected");
 }
 
-// Guards hosts against work that nobody waits for, and holds against an effect that nobody hears of.
+// Guards against useless work on backends, and against executing a non-idempotent query whose client would
+// not learn of it.
 #[test]
-fn nothing_is_written_for_a_client_that_left_while_its_dial_hung() {
-    a_client_leaves_a_dial(true);
+fn nothing_is_written_for_a_client_that_disconnected_during_a_connect() {
+    assert_nothing_is_sent_after_disconnect(true);
 }
 
-// Where hosts are not told what is given up, a part that was not written is withdrawn all the same.
+// Cancellation of attempts at backends is disabled here; a part that is not written yet is revoked
+// nevertheless.
 #[test]
-fn nothing_is_written_for_a_client_that_left_where_attempts_are_not_called_off() {
-    a_client_leaves_a_dial(false);
+fn nothing_is_written_for_a_disconnected_client_where_cancellation_is_disabled() {
+    assert_nothing_is_sent_after_disconnect(false);
 }
 
-// Guards the window in which a repeat is dropped: one that waited for its dial beyond it is not written.
+// Guards the window in which backends deduplicate a query that is idempotent under a key: a retry that was
+// queued beyond it is not written.
 #[test]
-fn a_repeat_that_waited_beyond_its_window_is_not_written() {
-    let rig = TestBed::start(2, |file| {
-        first_alone(file);
-        let hold = class(file, "place-hold");
-        file["settings"]["Classes"][hold]["Semantics"] = json!("guarded");
-        file["settings"]["Classes"][hold]["WindowUs"] = json!(600_000);
+fn retry_queued_beyond_its_window_is_not_written() {
+    let test_bed = TestBed::start(2, |file| {
+        with_one_active_backend(file);
+        let class = class_index(file, "place-hold");
+        file["settings"]["Classes"][class]["Semantics"] = json!("guarded");
+        file["settings"]["Classes"][class]["WindowUs"] = json!(600_000);
     });
-    let held = StalledListener::stall(&rig.backends[1]);
-    let mut discovery = watch(&rig);
-    let mut client = ask(&rig, "1", "place-hold", 3_500, &[0]);
-    let mut first = accept(&rig.backends[0]);
-    only(first.next_parts());
-    discovery.send_endpoint_list(2, false, &[started(rig.endpoint(1, "active"), 1)]);
-    rig.wait_for_log("host s-1 is Ready");
+    let stalled = StalledListener::stall(&test_bed.backends[1]);
+    let mut discovery = accept_watch(&test_bed);
+    let mut client = submit(&test_bed, "1", "place-hold", 3_500, &[0]);
+    let mut first = accept(&test_bed.backends[0]);
+    only_part(first.next_parts());
+    discovery.send_endpoint_list(2, false, &[with_start_time(test_bed.endpoint(1, "active"), 1)]);
+    test_bed.wait_for_log("backend s-1 is Ready");
     first.reset();
-    held.wait_for_attempts(1);
+    stalled.wait_for_attempts(1);
     std::thread::sleep(Duration::from_millis(600));
-    assert!(held.release().is_closed_by_peer(), "the window is over");
-    assert!([429, 503].contains(&status(&mut client)), "it may be tried again");
+    assert!(stalled.release().is_closed_by_peer(), "the deduplication window is over");
+    assert!([429, 503].contains(&response_status(&mut client)), "the client may retry");
 }
 
-// Guards the window against an attempt that is written after its copy: both could have an effect.
+// Guards the deduplication window: an attempt written after its hedge could be executed in addition to it.
 #[test]
-fn an_attempt_that_waits_for_its_dial_is_taken_back_for_its_copy() {
-    let rig = TestBed::start(2, |file| {
-        first_alone(file);
-        let hold = class(file, "place-hold");
-        file["settings"]["Classes"][hold]["Semantics"] = json!("guarded");
+fn queued_attempt_is_revoked_before_its_hedge_is_sent() {
+    let test_bed = TestBed::start(2, |file| {
+        with_one_active_backend(file);
+        let class = class_index(file, "place-hold");
+        file["settings"]["Classes"][class]["Semantics"] = json!("guarded");
         file["settings"]["Limits"]["Probing"] = json!(false);
-        // Longer than what makes the hold overdue.
+        // Longer than the time after which the query is hedged.
         file["settings"]["Limits"]["ConnIdleUs"] = json!(2_000_000);
     });
-    let held = StalledListener::stall(&rig.backends[0]);
-    let mut discovery = watch(&rig);
-    let _client = ask(&rig, "1", "place-hold", 3_500, &[0]);
-    held.wait_for_attempts(1);
-    discovery.send_endpoint_list(2, false, &[started(rig.endpoint(1, "active"), 1)]);
-    rig.wait_for_log("host s-1 is Ready");
-    // Beside answers that came since it was sent, it is overdue.
-    let mut other = ask(&rig, "2", "search", 3_000, &[0]);
-    let mut second = accept(&rig.backends[1]);
-    serve(&mut second);
-    assert_eq!(status(&mut other), 200);
+    let stalled = StalledListener::stall(&test_bed.backends[0]);
+    let mut discovery = accept_watch(&test_bed);
+    let _client = submit(&test_bed, "1", "place-hold", 3_500, &[0]);
+    stalled.wait_for_attempts(1);
+    discovery.send_endpoint_list(2, false, &[with_start_time(test_bed.endpoint(1, "active"), 1)]);
+    test_bed.wait_for_log("backend s-1 is Ready");
+    // Responses to later queries make the queued attempt overdue.
+    let mut other = submit(&test_bed, "2", "search", 3_000, &[0]);
+    let mut second = accept(&test_bed.backends[1]);
+    answer_next_part(&mut second);
+    assert_eq!(response_status(&mut other), 200);
     for id in ["3", "4"] {
         other.send(query(id, "search", 3_000, &[0]));
-        serve(&mut second);
-        assert_eq!(status(&mut other), 200);
+        answer_next_part(&mut second);
+        assert_eq!(response_status(&mut other), 200);
     }
-    assert_eq!(only(second.next_parts()).id, "1.0");
-    assert!(held.release().is_closed_by_peer(), "its copy runs in its place");
+    assert_eq!(only_part(second.next_parts()).id, "1.0");
+    assert!(stalled.release().is_closed_by_peer(), "its hedge replaces it");
 }
 
-// A dial that has nothing to carry any more gives way where no other place is left.
+// A pending connect that no attempt waits for any more is dropped when the connection limit is reached.
 #[test]
-fn a_dial_that_nobody_waits_for_gives_its_place_to_a_call() {
-    // Ten places for connections to hosts, at which all dials but those to the last hang.
-    let rig = TestBed::start(12, |file| {
-        file["settings"]["Limits"]["DialTimeoutUs"] = json!(DIAL);
+fn unused_connect_is_dropped_for_a_waiting_attempt() {
+    // At most ten connections to backends; the connects to the first ten backends stay pending.
+    let test_bed = TestBed::start(12, |file| {
+        file["settings"]["Limits"]["DialTimeoutUs"] = json!(CONNECT_TIMEOUT_US);
         file["limits"]["sockets"] = json!(32);
         file["settings"]["FamilyInfo"]["Places"] = json!(12);
         file["settings"]["FamilyInfo"]["Shards"] = json!(12);
         file["settings"]["FamilyInfo"]["Width"] = json!(1);
     });
-    let held: Vec<StalledListener<'_>> = rig.backends[..10].iter().map(StalledListener::stall).collect();
-    for (shard, host) in held.iter().enumerate() {
-        let client = ask(&rig, &format!("{shard}"), "search", 3_500, &[shard as u32]);
-        host.wait_for_attempts(1);
+    let stalled: Vec<StalledListener<'_>> =
+        test_bed.backends[..10].iter().map(StalledListener::stall).collect();
+    for (shard, backend) in stalled.iter().enumerate() {
+        let client = submit(&test_bed, &format!("{shard}"), "search", 3_500, &[shard as u32]);
+        backend.wait_for_attempts(1);
         drop(client);
     }
-    turn(&rig);
-    let mut client = ask(&rig, "11", "search", 3_500, &[11]);
-    serve(&mut accept(&rig.backends[11]));
-    assert_eq!(status(&mut client), 200);
+    wait_for_client_read(&test_bed);
+    let mut client = submit(&test_bed, "11", "search", 3_500, &[11]);
+    answer_next_part(&mut accept(&test_bed.backends[11]));
+    assert_eq!(response_status(&mut client), 200);
 }
 
-// ---- a connection that ends ----
+// ---- connections that end ----
 
-// Guards a hold against a kept connection that was reset before it: nothing was written there.
+// Guards against failing a non-idempotent query because its idle connection was reset before the query was
+// written.
 #[test]
-fn a_reset_before_the_frame_costs_nothing() {
-    let rig = TestBed::start(1, first_alone);
-    let mut client = ask(&rig, "1", "place-hold", 3_000, &[0]);
-    let mut host = accept(&rig.backends[0]);
-    serve(&mut host);
-    assert_eq!(status(&mut client), 200);
-    host.reset();
+fn reset_before_the_frame_is_written_is_harmless() {
+    let test_bed = TestBed::start(1, with_one_active_backend);
+    let mut client = submit(&test_bed, "1", "place-hold", 3_000, &[0]);
+    let mut backend = accept(&test_bed.backends[0]);
+    answer_next_part(&mut backend);
+    assert_eq!(response_status(&mut client), 200);
+    backend.reset();
     client.send(query("2", "place-hold", 3_000, &[0]));
-    serve(&mut accept(&rig.backends[0]));
-    assert_eq!(status(&mut client), 200);
-}
-
-/// A hold and a search are on their way when this happens to their connection: the hold fails and is not sent
-/// again, the search is.
-fn after_the_frame(happens: fn(Connection, &Part)) {
-    let rig = TestBed::start(1, first_alone);
-    let mut client = ask(&rig, "1", "place-hold", 3_000, &[0]);
-    let mut host = accept(&rig.backends[0]);
-    let part = only(host.next_parts());
-    happens(host, &part);
-    assert!(![200, 429, 503].contains(&status(&mut client)), "it may have run");
+    answer_next_part(&mut accept(&test_bed.backends[0]));
+    assert_eq!(response_status(&mut client), 200);
+}
+
+/// Lets the connection fail with a non-idempotent and then with an idempotent query in flight: the first
+/// fails and is not retried, the second is retried.
+fn assert_possibly_executed_after(fail: fn(Connection, &Part)) {
+    let test_bed = TestBed::start(1, with_one_active_backend);
+    let mut client = submit(&test_bed, "1", "place-hold", 3_000, &[0]);
+    let mut backend = accept(&test_bed.backends[0]);
+    let part = only_part(backend.next_parts());
+    fail(backend, &part);
+    assert!(![200, 429, 503].contains(&response_status(&mut client)), "possibly executed");
     client.send(query("2", "search", 3_000, &[0]));
-    let mut host = accept(&rig.backends[0]);
-    // The hold would have come first.
-    let part = only(host.next_parts());
+    let mut backend = accept(&test_bed.backends[0]);
+    // A retry of the non-idempotent query would come first.
+    let part = only_part(backend.next_parts());
     assert_eq!(part.id, "2.0");
-    happens(host, &part);
-    let mut host = accept(&rig.backends[0]);
-    assert_eq!(only(host.next_parts()).id, "2.0");
-    host.answer_part(&part, "good", "x");
-    assert_eq!(status(&mut client), 200);
+    fail(backend, &part);
+    let mut backend = accept(&test_bed.backends[0]);
+    assert_eq!(only_part(backend.next_parts()).id, "2.0");
+    backend.answer_part(&part, "good", "x");
+    assert_eq!(response_status(&mut client), 200);
 }
 
 #[test]
-fn a_reset_after_the_frame_leaves_it_open_whether_it_ran() {
-    after_the_frame(|host, _| host.reset());
+fn reset_after_the_frame_is_written_means_possibly_executed() {
+    assert_possibly_executed_after(|backend, _| backend.reset());
 }
 
-// Half an answer is none, however good it looks, and whether the end behind it is clean or a reset.
+// A truncated response is not accepted, however complete its text seems, and whether the connection ends by a
+// close or a reset.
 #[test]
-fn half_a_line_at_the_close_is_no_answer() {
-    after_the_frame(|mut host, part| {
-        let answer = frame(b'q', &format!("{} good 0 -\nx", part.id));
-        host.send(&answer[..answer.len() - 4]);
+fn response_cut_within_its_header_line_is_not_accepted() {
+    assert_possibly_executed_after(|mut backend, part| {
+        let response = frame(b'q', &format!("{} good 0 -\nx", part.id));
+        backend.send(&response[..response.len() - 4]);
     });
 }
 
 #[test]
-fn an_answer_short_of_its_last_byte_is_no_answer() {
-    after_the_frame(|mut host, part| {
-        let answer = frame(b'q', &format!("{} good 0 -\nxy", part.id));
-        host.send(&answer[..answer.len() - 1]);
+fn response_cut_before_its_last_byte_is_not_accepted() {
+    assert_possibly_executed_after(|mut backend, part| {
+        let response = frame(b'q', &format!("{} good 0 -\nxy", part.id));
+        backend.send(&response[..response.len() - 1]);
     });
 }
 
-// Guards what has come in whole against the end behind it.
+// Guards against dropping a complete response because the connection ends after it.
 #[test]
-fn a_whole_answer_counts_though_the_connection_ends_behind_it() {
-    let rig = TestBed::start(1, first_alone);
-    let mut client = ask(&rig, "1", "place-hold", 3_000, &[0]);
-    let mut host = accept(&rig.backends[0]);
-    serve(&mut host);
-    drop(host);
-    assert_eq!(status(&mut client), 200);
+fn complete_response_counts_if_the_connection_ends_after_it() {
+    let test_bed = TestBed::start(1, with_one_active_backend);
+    let mut client = submit(&test_bed, "1", "place-hold", 3_000, &[0]);
+    let mut backend = accept(&test_bed.backends[0]);
+    answer_next_part(&mut backend);
+    drop(backend);
+    assert_eq!(response_status(&mut client), 200);
 }
 
-// Guards what is out on a connection against an answer for what was given up there.
+// Guards against matching a late response to a cancelled part with another part on the same connection.
 #[test]
-fn an_answer_for_a_part_given_up_takes_nothing_from_the_next() {
-    let rig = TestBed::start(1, first_alone);
-    let client = ask(&rig, "1", "search", 3_000, &[0]);
-    let mut host = accept(&rig.backends[0]);
-    let late = only(host.next_parts());
+fn late_response_to_a_cancelled_part_does_not_affect_the_next_part() {
+    let test_bed = TestBed::start(1, with_one_active_backend);
+    let client = submit(&test_bed, "1", "search", 3_000, &[0]);
+    let mut backend = accept(&test_bed.backends[0]);
+    let late = only_part(backend.next_parts());
     drop(client);
-    assert_eq!(host.frame(), Some((b'n', late.id.clone())));
-    let mut client = ask(&rig, "2", "place-hold", 3_000, &[0]);
-    // While the place of the first may still be taken, the next gets a connection of its own.
-    let mut other = accept(&rig.backends[0]);
-    host.answer_part(&late, "good", "late");
-    serve(&mut other);
-    assert_eq!(client.response().expect("an answer").1.matches("late").count(), 0);
-    assert!(host.is_closed_by_peer(), "by its rest, and not before");
-}
-
-// Guards the loop against a host that never ends its answers: a second copy is passed over, but not for ever.
+    assert_eq!(backend.frame(), Some((b'n', late.id.clone())));
+    let mut client = submit(&test_bed, "2", "place-hold", 3_000, &[0]);
+    // While the response to the first part may still come, the next part uses another connection.
+    let mut other = accept(&test_bed.backends[0]);
+    backend.answer_part(&late, "good", "late");
+    answer_next_part(&mut other);
+    assert_eq!(client.response().expect("a response").1.matches("late").count(), 0);
+    assert!(backend.is_closed_by_peer(), "closed after the idle time, not before");
+}
+
+// Guards the event loop against a backend that sends responses without end: a duplicate response is ignored,
+// but not an unlimited number of them.
 #[test]
-fn answers_without_end_end_their_connection() {
-    let rig = TestBed::start(1, |file| {
-        first_alone(file);
+fn connection_with_endless_responses_is_closed() {
+    let test_bed = TestBed::start(1, |file| {
+        with_one_active_backend(file);
         file["settings"]["Limits"]["ConnIdleUs"] = json!(60_000_000);
     });
-    let mut client = ask(&rig, "1", "search", 3_000, &[0]);
-    let mut host = accept(&rig.backends[0]);
-    let part = only(host.next_parts());
-    host.answer_part(&part, "good", "x");
-    assert_eq!(status(&mut client), 200);
+    let mut client = submit(&test_bed, "1", "search", 3_000, &[0]);
+    let mut backend = accept(&test_bed.backends[0]);
+    let part = only_part(backend.next_parts());
+    backend.answer_part(&part, "good", "x");
+    assert_eq!(response_status(&mut client), 200);
     client.send(query("2", "search", 3_000, &[0]));
-    assert_eq!(only(host.next_parts()).id, "2.0");
-    let copy = frame(b'q', &format!("{} good 0 util=0.5\nx", part.id));
-    host.send(copy.repeat(1_000));
-    assert!(host.is_closed_by_peer(), "more answers than were asked for");
-    serve(&mut accept(&rig.backends[0]));
-    assert_eq!(status(&mut client), 200);
+    assert_eq!(only_part(backend.next_parts()).id, "2.0");
+    let duplicate = frame(b'q', &format!("{} good 0 util=0.5\nx", part.id));
+    backend.send(duplicate.repeat(1_000));
+    assert!(backend.is_closed_by_peer(), "more responses than requests");
+    answer_next_part(&mut accept(&test_bed.backends[0]));
+    assert_eq!(response_status(&mut client), 200);
 }
 
-// ---- a host that comes back ----
+// ---- restarted backends ----
 
-// Guards a hold against a connection to a process that is no more: nobody has closed it where the machine
-// vanished, and the first word on it would be met by a reset.
+// Guards against sending a non-idempotent query on a connection to a former process of the backend: after a
+// crash of its machine nobody has closed the connection, and the first bytes on it would be answered by a
+// reset.
 #[test]
-fn a_kept_connection_to_a_process_before_the_last_start_is_closed() {
-    let rig = TestBed::start(1, |file| {
-        first_alone(file);
+fn idle_connection_to_a_restarted_backend_is_closed() {
+    let test_bed = TestBed::start(1, |file| {
+        with_one_active_backend(file);
         file["settings"]["Limits"]["ConnIdleUs"] = json!(60_000_000);
-        // What has just started is not cold here.
+        // Ends slow start at once.
         file["settings"]["Safety"]["FallUs"] = json!(1);
         file["settings"]["Safety"]["WarmWithinUs"] = json!(1);
     });
-    let mut discovery = watch(&rig);
-    let mut client = ask(&rig, "1", "place-hold", 3_000, &[0]);
-    let mut host = accept(&rig.backends[0]);
-    serve(&mut host);
-    assert_eq!(status(&mut client), 200);
+    let mut discovery = accept_watch(&test_bed);
+    let mut client = submit(&test_bed, "1", "place-hold", 3_000, &[0]);
+    let mut backend = accept(&test_bed.backends[0]);
+    answer_next_part(&mut backend);
+    assert_eq!(response_status(&mut client), 200);
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_millis() as u64;
-    discovery.send_endpoint_list(2, false, &[started(rig.endpoint(0, "active"), now + 1)]);
-    rig.wait_for_log("host s-0 is Ready");
+    discovery.send_endpoint_list(2, false, &[with_start_time(test_bed.endpoint(0, "active"), now + 1)]);
+    test_bed.wait_for_log("backend s-0 is Ready");
     client.send(query("2", "place-hold", 3_000, &[0]));
-    serve(&mut accept(&rig.backends[0]));
-    assert_eq!(status(&mut client), 200);
-    assert!(host.is_closed_by_peer(), "nothing more is due to the process before");
+    answer_next_part(&mut accept(&test_bed.backends[0]));
+    assert_eq!(response_status(&mut client), 200);
+    assert!(backend.is_closed_by_peer(), "the connection to the former process is closed");
 }
 
-// ---- room on a connection ----
+// ---- send buffers ----
 
-// Guards against a frame that comes whole after all who waited for it have left: it is cut, and nothing
-// behind it is written.
+// Guards against completing a partly written frame after all clients that waited for it have disconnected: it
+// stays incomplete, and nothing is written after it.
 #[test]
-fn a_frame_half_written_for_clients_that_left_is_not_completed() {
-    // Twelve places for connections to twelve hosts, of which one is active: there is one connection to it.
-    let rig = TestBed::start(12, |file| {
-        first_alone(file);
+fn partly_written_frame_of_disconnected_clients_is_not_completed() {
+    // At most twelve connections to twelve backends, of which one is active: it gets one connection.
+    let test_bed = TestBed::start(12, |file| {
+        with_one_active_backend(file);
         file["settings"]["Limits"]["MaxOpen"] = json!(1000);
         file["settings"]["Limits"]["MaxStreams"] = json!(1000);
         file["limits"]["sockets"] = json!(64);
     });
-    limit_receive_buffer(&rig.backends[0]);
-    // Ten parts of 60,000 bytes each: more than a socket holds for a host that does not read.
+    limit_receive_buffer(&test_bed.backends[0]);
+    // Ten parts of 60,000 bytes each: more than the socket buffers hold while the backend does not read.
     let large = |id: usize| {
         let text = "x".repeat(60_000);
         let ranges: Vec<Value> = (0..10).map(|s| json!({"range": s, "portion": 0.1})).collect();
@@ -414,17 +434,17 @@
     };
     let mut clients: Vec<Connection> = Vec::new();
     for id in 0..8 {
-        let mut client = rig.client();
+        let mut client = test_bed.client();
         client.send(large(id));
         clients.push(client);
     }
-    let mut host = accept(&rig.backends[0]);
-    turn(&rig);
+    let mut backend = accept(&test_bed.backends[0]);
+    wait_for_client_read(&test_bed);
     drop(clients);
-    turn(&rig);
-    let mut whole = 0;
-    while let Some((letter, _)) = host.frame() {
-        whole += usize::from(letter == b'm');
+    wait_for_client_read(&test_bed);
+    let mut complete_frames = 0;
+    while let Some((letter, _)) = backend.frame() {
+        complete_frames += usize::from(letter == b'm');
     }
-    assert!(whole < 8, "the last frames are not written");
+    assert!(complete_frames < 8, "the last frames are not written");
 }
