--- a/crates/mallowgauge/tests/leaving.rs
+++ b/crates/mallowgauge/tests/leaving.rs
@@ -28,7 +28,7 @@
     let name = |index: usize| format!("g{index}");
     let peer = |(index, port): (usize, &TcpListener)| json!({"name": name(index), "address": addr(port).to_string()});
     let list: Vec<Value> = ports.iter().enumerate().map(peer).collect();
-    let listens: Vec<String> = ports.iter().map(|port| addr(port).to_string()).collect();
+    let listen_addresses: Vec<String> = ports.iter().map(|port| addr(port).to_string()).collect();
     let first = addr(&ports[0]);
     let others = ports.split_off(running);
     drop(ports);
@@ -37,12 +37,12 @@
         for class in file["settings"]["Classes"].as_array_mut().expect("classes") {
             class["DeadlineUs"] = json!(2_000_000);
         }
-        let fleet = json!({"name": name(index), "listen": listen, "group": 3, "handover": {"life_ms": 2_100},
-                           "peers": {"version": 1, "list": list}});
-        let operator = json!({"flight": {"listen": "127.0.0.1:0", "hosts": []}, "fleet": fleet});
+        let cluster = json!({"name": name(index), "listen": listen, "group": 3, "handover": {"life_ms": 2_100},
+                             "peers": {"version": 1, "list": list}});
+        let operator = json!({"flight": {"listen": "127.0.0.1:0", "hosts": []}, "fleet": cluster});
         Program::start(&file, &operator, 1024)
     };
-    (listens.iter().enumerate().take(running).map(start).collect(), first, others)
+    (listen_addresses.iter().enumerate().take(running).map(start).collect(), first, others)
 }
 
 fn has_logged(program: &Program, text: &str) -> bool {
@@ -50,9 +50,9 @@
 }
 
 fn wait_for_log(program: &Program, text: &str) {
-    let give_up_at = Instant::now() + TIMEOUT;
+    let deadline = Instant::now() + TIMEOUT;
     while !has_logged(program, text) {
-        assert!(Instant::now() < give_up_at, "no line {text}: {:#?}", program.log.lock());
+        assert!(Instant::now() < deadline, "no line {text}: {:#?}", program.log.lock());
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -64,12 +64,12 @@
     for other in ["g1", "g2"] {
         wait_for_log(&programs[0], &format!("peer {other} connected"));
     }
-    let give_up_at = Instant::now() + TIMEOUT;
+    let deadline = Instant::now() + TIMEOUT;
     let admitted = (0..).find_map(|number| {
-        assert!(Instant::now() < give_up_at, "no query was admitted");
+        assert!(Instant::now() < deadline, "no query was admitted");
         let mut client = Connection::connect(programs[0].http);
         client.send(query(&format!("hold-{number}"), "place-hold", 2_000, &[0]));
-        accept_within(backend, Duration::from_millis(500)).map(|wire| (number, client, wire))
+        accept_within(backend, Duration::from_millis(500)).map(|connection| (number, client, connection))
     });
     admitted.expect("an admitted query")
 }
@@ -108,7 +108,7 @@
         wait_for_log(other, "peer g0 is left");
     }
     programs[0].child.kill().expect("a process");
-    programs[0].child.wait().expect("its end");
+    programs[0].child.wait().expect("an exit status");
     let mut resubmission = Connection::connect(programs[1].http);
     let request = query(&format!("hold-{number}"), "place-hold", 1_500, &[0]);
     resubmission.send(request.replace("Req-Kind", "Req-Retry: 1\r\nReq-Kind"));
@@ -123,18 +123,18 @@
     let (backend, discovery) = (listener(), listener());
     let (programs, first, others) = start_instances(&backend, &discovery, 2);
     wait_for_log(&programs[0], "peer g1 connected");
-    // The first instance dials the third. Its hello is the template for one with the same peer list.
-    let mut dialed = accept(&others[0]);
+    // The first instance connects to the third. Its hello is the template for one with the same peer list.
+    let mut from_first = accept(&others[0]);
     let mut received = Vec::new();
     let hello = loop {
         let mut byte = [0];
-        dialed.0.read_exact(&mut byte).expect("a hello");
+        from_first.0.read_exact(&mut byte).expect("a hello");
         received.push(byte[0]);
         if let Some((Frame::Hello(hello), _)) = decode(&received, 64 * 1024).expect("a message") {
             break hello;
         }
     };
-    drop(dialed);
+    drop(from_first);
     let mut own = hello.clone();
     (own.name, own.known, own.incarnation.nonce) = ("g2".to_owned(), None, hello.incarnation.nonce + 1);
     let bytes = encode(&Frame::Hello(own));
