--- a/crates/mallowgauge/tests/gatherer.rs
+++ b/crates/mallowgauge/tests/gatherer.rs
@@ -1,10 +1,11 @@
-//! The failure suite: each scenario is played on both wires, and both have to tell the same story.
+//! Failure scenarios, played over HTTP and frames and over Flight, with one expected transcript for both
+//! protocols.
 
 use insta::assert_snapshot;
 use mallowgauge_testkit::{play, play_on_both, Protocol};
 
 #[test]
-fn a_query_is_answered_whole() {
+fn query_gets_a_complete_response() {
     assert_snapshot!(play_on_both("
         send a search 3000 0 1 2
         expect part 0
@@ -22,10 +23,10 @@
     ");
 }
 
-// Guards against a second run of a part with an effect: its stream breaks off halfway, with a row that
-// looks good already in, so it may have run.
+// Guards against a second execution of a non-idempotent query: its stream ends halfway, after a row that
+// looks good, so it is possibly executed.
 #[test]
-fn a_hold_cut_halfway_is_not_run_again() {
+fn non_idempotent_query_is_not_retried_after_a_partial_response() {
     assert_snapshot!(play_on_both("
         send a place-hold 3000 0
         expect part 0
@@ -40,9 +41,9 @@
     ");
 }
 
-// Guards against giving up on a part with an effect that was turned away: it never ran.
+// Guards against failing a non-idempotent query that a backend rejected: it was not executed.
 #[test]
-fn a_hold_turned_away_goes_elsewhere() {
+fn non_idempotent_query_is_retried_after_a_rejection() {
     assert_snapshot!(play_on_both("
         send a place-hold 3000 0
         expect part 0
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn a_search_cut_halfway_is_repeated() {
+fn idempotent_query_is_retried_after_a_partial_response() {
     assert_snapshot!(play_on_both("
         send a search 3000 0
         expect part 0
@@ -75,9 +76,10 @@
     ");
 }
 
-// Guards against marking as whole what lacks a part: the report is given from 80% and says so.
+// Guards against marking an incomplete response as complete: a report is returned from 80% on, and marked as
+// partial.
 #[test]
-fn a_report_from_four_parts_of_five_is_partial() {
+fn report_from_four_parts_of_five_is_partial() {
     assert_snapshot!(play_on_both("
         send a sales-report 2000 0 1 2 3 4
         expect part 0
@@ -101,7 +103,7 @@
 }
 
 #[test]
-fn a_report_from_less_is_not_given() {
+fn report_below_the_minimum_completeness_is_not_returned() {
     assert_snapshot!(play_on_both("
         send a sales-report 1000 0 1 2 3 4
         expect part 0
@@ -119,9 +121,9 @@
     ");
 }
 
-// Guards against holding a failure back until the client's time is nearly up.
+// Guards against delaying a failure until the client's deadline.
 #[test]
-fn a_hold_that_failed_is_told_at_once() {
+fn failure_of_a_non_idempotent_query_is_reported_at_once() {
     assert_snapshot!(play_on_both("
         send a place-hold 60000 0 1
         expect part 0
@@ -134,7 +136,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_parts() {
+fn client_disconnect_cancels_its_parts() {
     assert_snapshot!(play_on_both("
         send a search 3000 0
         expect part 0
@@ -147,7 +149,7 @@
 }
 
 #[test]
-fn what_makes_no_sense_is_said_plainly() {
+fn invalid_queries_get_a_specific_error() {
     assert_snapshot!(play_on_both("
         send a browse 3000 0
         expect a
@@ -166,7 +168,7 @@
 }
 
 #[test]
-fn time_runs_out_while_a_hold_is_out() {
+fn deadline_passes_with_a_non_idempotent_query_in_flight() {
     assert_snapshot!(play_on_both("
         send a place-hold 500 0
         expect part 0
@@ -177,9 +179,9 @@
     ");
 }
 
-// Guards the bound on open queries and parts: MaxOpen is 20, a query of ten parts counts for eleven.
+// Guards the limit on open queries and parts: MaxOpen is 20, and a query of ten parts counts as eleven.
 #[test]
-fn more_than_may_be_open_is_refused() {
+fn queries_beyond_the_open_limit_are_rejected() {
     assert_snapshot!(play_on_both("
         send a search 3000 0 1 2 3 4 5 6 7 8 9
         expect part 9
@@ -192,7 +194,7 @@
 }
 
 #[test]
-fn a_host_that_leaves_gets_nothing_new() {
+fn draining_and_removed_backends_get_no_new_parts() {
     assert_snapshot!(play_on_both("
         send roster 0 leaving
         send roster 1 left
@@ -208,7 +210,7 @@
 }
 
 #[test]
-fn a_planned_restart_finishes_what_it_took() {
+fn graceful_shutdown_completes_open_queries() {
     assert_snapshot!(play_on_both("
         send a search 3000 0
         expect part 0
@@ -231,9 +233,9 @@
     ");
 }
 
-// Guards against giving up on a part with an effect that no connection was had for: it never ran.
+// Guards against failing a non-idempotent query for which no connection could be opened: it was not executed.
 #[test]
-fn a_hold_for_a_dead_host_goes_elsewhere() {
+fn non_idempotent_query_is_retried_after_a_failed_connect() {
     assert_snapshot!(play_on_both("
         send roster 0 dead
         send roster 1 dead
@@ -251,9 +253,9 @@
     ");
 }
 
-// Guards answers that are larger than a window of HTTP/2 or the room in a socket.
+// Guards responses that are larger than an HTTP/2 window or a socket buffer.
 #[test]
-fn a_wide_report_is_answered_whole() {
+fn large_report_gets_a_complete_response() {
     assert_snapshot!(play_on_both("
         send a sales-report 3000 0 1 2 3 4
         expect part 0
@@ -277,10 +279,10 @@
     ");
 }
 
-// Guards against a request on a connection that the host is about to close: idle ones go first. Here
-// hosts close after 1 s, so the program does after 0.8 s.
+// Guards against a request on a connection that the backend is about to close: the program closes idle
+// connections first. Here backends close them after 1 s, so the program does after 0.8 s.
 #[test]
-fn an_idle_connection_is_closed_and_the_next_part_dials_anew() {
+fn idle_connection_is_closed_and_the_next_part_reconnects() {
     assert_snapshot!(play_on_both("
         send a search 3000 0
         expect part 0
@@ -300,9 +302,9 @@
     ");
 }
 
-// Guards the HTTP front's framing: bad input gets a 4xx, and a close where framing is lost.
+// Guards the framing of the HTTP frontend: malformed input gets a 4xx, and a close where framing is lost.
 #[test]
-fn malformed_http_is_turned_down() {
+fn malformed_http_is_rejected() {
     assert_snapshot!(play(Protocol::Http, r#"
         send raw GET /healthz HTTP/1.1\r\n\r\n
         expect raw
@@ -338,9 +340,9 @@
     ");
 }
 
-// Guards against taking a broken answer for a sign that the part never ran.
+// Guards against treating a malformed response as proof that the part was not executed.
 #[test]
-fn nonsense_from_a_host_may_have_run() {
+fn malformed_backend_response_means_possibly_executed() {
     assert_snapshot!(play_on_both("
         send a place-hold 3000 0
         expect part 0
@@ -363,9 +365,9 @@
     ");
 }
 
-// Guards the way back after discovery fails: the watch is asked for again, and what changed is heeded.
+// Guards the recovery from failures of discovery: the watch is requested again, and changes are applied.
 #[test]
-fn discovery_fails_and_comes_back() {
+fn discovery_fails_and_recovers() {
     assert_snapshot!(play_on_both("
         send roster fail
         send roster 0 left
@@ -380,9 +382,9 @@
     ");
 }
 
-// A refused stream has never run, so even a hold goes elsewhere.
+// A refused stream was not executed, so even a non-idempotent query is retried at another backend.
 #[test]
-fn a_refused_stream_never_ran() {
+fn refused_stream_is_not_executed() {
     assert_snapshot!(play(Protocol::Flight, "
         send a place-hold 3000 0
         expect part 0
@@ -399,10 +401,10 @@
     ");
 }
 
-// The stream lies above the last one that the GOAWAY names: it has never run, though the connection ends
-// in the same breath.
+// The stream is above the last one that the GOAWAY names: it was not executed, although the connection ends
+// at the same time.
 #[test]
-fn a_stream_above_the_last_of_a_goaway_never_ran() {
+fn stream_above_the_last_of_a_goaway_is_not_executed() {
     assert_snapshot!(play(Protocol::FlightGoAway(0), "
         send a place-hold 3000 0
         expect part 0
@@ -418,9 +420,9 @@
     ");
 }
 
-// Guards against a second run: the GOAWAY covers the stream, and then the connection ends.
+// Guards against a second execution: the GOAWAY covers the stream, and then the connection ends.
 #[test]
-fn a_stream_below_the_last_of_a_goaway_may_have_run() {
+fn stream_up_to_the_last_of_a_goaway_is_possibly_executed() {
     assert_snapshot!(play(Protocol::FlightGoAway(1), "
         send a place-hold 3000 0
         expect part 0
@@ -433,9 +435,9 @@
     ");
 }
 
-// Guards the parts on a connection against the late answer to a probe that was given up.
+// Guards the parts on a connection against the late response to a health check that timed out.
 #[test]
-fn a_late_answer_to_a_probe_costs_nothing() {
+fn late_health_check_response_is_harmless() {
     assert_snapshot!(play(Protocol::Http, "
         send roster 0 left
         send roster 1 left
@@ -462,10 +464,10 @@
     ");
 }
 
-// Guards a reload: a file that makes no sense changes nothing, a good one moves discovery at once and as
-// often as it comes, and neither costs what is open. What the new discovery tells is heeded.
+// Guards a reload: a malformed file changes nothing, a valid one changes the address of discovery at once,
+// however often it is reloaded, and open queries survive both. The lists of the new discovery are applied.
 #[test]
-fn a_reload_moves_discovery_and_keeps_what_is_open() {
+fn reload_changes_discovery_and_keeps_open_queries() {
     assert_snapshot!(play_on_both("
         send a place-hold 3000 0
         expect part 0
@@ -495,10 +497,10 @@
     ");
 }
 
-// Guards against waiting out the time of a part whose answer came spoilt: it may have run, so a search is
-// asked again at once and a hold fails at once.
+// Guards against waiting for the deadline after a malformed response: the part is possibly executed, so an
+// idempotent query is retried at once and a non-idempotent one fails at once.
 #[test]
-fn a_spoilt_answer_ends_the_attempt_at_once() {
+fn malformed_response_ends_the_attempt_at_once() {
     assert_snapshot!(play_on_both("
         send a search 60000 0
         expect part 0
@@ -530,10 +532,10 @@
     ");
 }
 
-// Guards a good answer against what comes with it: it stays good, its host is not doubted, and what
-// stands behind it is not taken for the answer to the next part.
+// Guards a good response against the bytes after it: it stays good, its backend's failure score does not
+// rise, and the bytes are not taken for the response to the next part.
 #[test]
-fn a_good_answer_stays_good_whatever_comes_behind_it() {
+fn good_response_stays_good_whatever_follows_it() {
     assert_snapshot!(play(Protocol::Http, "
         send a place-hold 3000 0
         expect part 0
@@ -559,10 +561,10 @@
     ");
 }
 
-// Guards against a client that never finishes its request: it hears so while a query that came after it
-// still has time.
+// Guards against a client that never completes its request: it gets a response while a query that came after
+// it still has time left.
 #[test]
-fn half_a_request_is_told_soon() {
+fn incomplete_request_times_out_early() {
     assert_snapshot!(play(Protocol::Http, r"
         send raw POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\n{
         send a search 4000 0
@@ -577,10 +579,10 @@
     ");
 }
 
-// Guards clients against a planned restart: the connections that they have stay open until the platform's
-// front has had the time to send them elsewhere.
+// Guards clients during a planned restart: their connections stay open until the platform's load balancer has
+// had the time to send them to another instance.
 #[test]
-fn a_kept_connection_stays_open_while_the_program_drains() {
+fn idle_client_connection_stays_open_while_draining() {
     assert_snapshot!(play(Protocol::Http, r"
         send raw GET /nothing HTTP/1.1\r\n\r\n
         expect raw
@@ -597,10 +599,10 @@
     ");
 }
 
-// Guards parts against what breaks beside them: while a connection is busy another is opened, so that a
-// host that cuts one cuts few.
+// Guards parts against failures of other parts: while a connection is busy another is opened, so that a
+// closed connection fails few parts.
 #[test]
-fn a_connection_that_breaks_takes_few_parts_with_it() {
+fn connection_failure_affects_few_parts() {
     assert_snapshot!(play_on_both("
         send roster 0 left
         send roster 1 left
@@ -620,10 +622,10 @@
     ");
 }
 
-// Guards new parts against a connection that has fallen silent: it ends with the last part that it was
-// silent on, and does not stay for the next.
+// Guards new parts against an unresponsive connection: it is closed with the last part that got no response
+// on it, and not used for the next.
 #[test]
-fn a_silent_connection_ends_with_its_part() {
+fn unresponsive_connection_is_closed_with_its_part() {
     assert_snapshot!(play(Protocol::Http, "
         send roster 0 left
         send roster 1 left
