--- a/crates/mallowgauge/tests/bad_input.rs
+++ b/crates/mallowgauge/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Hostile and broken peers of the real program: what they send costs them their own connection and nobody else
-//! anything.
+//! Malformed input from backends and discovery. Runs the real program; malformed input may only cost its
+//! sender the connection, and must not affect others.
 
 use std::time::Duration;
 
@@ -8,37 +8,38 @@
 };
 use serde_json::{json, Value};
 
-/// The next connection to any of the hosts.
-fn called(rig: &TestBed) -> Connection {
-    let next = |host| accept_within(host, Duration::from_millis(10));
-    let mut tries = (0..500).flat_map(|_| &rig.backends);
-    tries.find_map(next).expect("the program connects")
+/// The next connection to any of the backends.
+fn accept_from_any_backend(test_bed: &TestBed) -> Connection {
+    let next = |listener| accept_within(listener, Duration::from_millis(10));
+    let mut rounds = (0..500).flat_map(|_| &test_bed.backends);
+    rounds.find_map(next).expect("the program connects")
 }
 
-/// A host that answers everything well.
-fn serve(mut host: Connection) {
+/// Answers every part and every health check on this connection.
+fn answer_all(mut backend: Connection) {
     std::thread::spawn(move || {
-        while let Some((letter, text)) = host.frame() {
+        while let Some((letter, text)) = backend.frame() {
             match (letter, text.split_once(' ')) {
-                (b'm', Some((part, _))) => host.send(frame(b'q', &format!("{part} good 0 -\nvalue"))),
-                (b'o', _) => host.send(frame(b'o', "good")),
+                (b'm', Some((part, _))) => backend.send(frame(b'q', &format!("{part} good 0 -\nvalue"))),
+                (b'o', _) => backend.send(frame(b'o', "good")),
                 _ => {}
             }
         }
     });
 }
 
-fn health(rig: &TestBed) -> Option<u16> {
-    let mut client = rig.client();
+fn health_status(test_bed: &TestBed) -> Option<u16> {
+    let mut client = test_bed.client();
     client.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
     client.response().map(|(status, _)| status)
 }
 
-// Guards against what one host can do to the whole program: the answer to a probe whose length promises one byte more
-// than its word has was taken for whole, with a byte that had not come, and the program ended there.
+// Guards against a crash of the program by one backend: the response to a health check whose length was one
+// byte longer than its text was treated as complete, a byte that had not arrived was read, and the program
+// ended.
 #[test]
-fn what_a_host_says_wrongly_costs_only_its_connection() {
-    let odd = [
+fn malformed_backend_input_only_closes_its_connection() {
+    let inputs = [
         b"\0\0\0\x06ogood".to_vec(),
         b"\0\0\0\0".to_vec(),
         b"\xff\xff\xff\xffq".to_vec(),
@@ -50,49 +51,49 @@
         frame(b'r', "some\nwords\r\n"),
         vec![0xff; 5000],
     ];
-    for odd in odd {
-        let rig = TestBed::start(3, |_| {});
-        let mut client = rig.client();
+    for malformed in inputs {
+        let test_bed = TestBed::start(3, |_| {});
+        let mut client = test_bed.client();
         client.send(query("q", "search", 4000, &[0]));
-        let mut host = called(&rig);
-        assert_eq!(host.next_parts().pop().map(|part| part.id).as_deref(), Some("q.0"));
-        host.send(&odd);
-        host.reset();
-        // The part is asked of another, or of the same host again; it may be looked after by probes meanwhile.
+        let mut backend = accept_from_any_backend(&test_bed);
+        assert_eq!(backend.next_parts().pop().map(|part| part.id).as_deref(), Some("q.0"));
+        backend.send(&malformed);
+        backend.reset();
+        // The part is retried at another or the same backend. Meanwhile there may be health checks.
         let answer = std::thread::spawn(move || client.response());
         while !answer.is_finished() {
-            let next = |host| accept_within(host, Duration::from_millis(5));
-            rig.backends.iter().filter_map(next).for_each(serve);
+            let next = |listener| accept_within(listener, Duration::from_millis(5));
+            test_bed.backends.iter().filter_map(next).for_each(answer_all);
         }
         let (status, body) = answer.join().expect("a client").expect("an answer");
         let body: Value = serde_json::from_str(&body).expect("JSON");
-        assert_eq!((status, &body["answers"][0]["blob"]), (200, &json!("value")), "{odd:?}");
-        assert_eq!(health(&rig), Some(200), "{odd:?}");
-        let log = rig.program.log.lock().expect("a sound lock");
-        assert!(log.iter().all(|line| line != "words"), "a host wrote a line of the log: {log:#?}");
+        assert_eq!((status, &body["answers"][0]["blob"]), (200, &json!("value")), "{malformed:?}");
+        assert_eq!(health_status(&test_bed), Some(200), "{malformed:?}");
+        let log = test_bed.program.log.lock().expect("the log");
+        assert!(log.iter().all(|line| line != "words"), "a backend wrote a line of the log: {log:#?}");
     }
 }
 
-/// The next call for a list, on this connection or on a new one.
-fn asked(rig: &TestBed, mut discovery: Option<Connection>) -> Connection {
+/// Accepts the next request for a list, on this connection or on a new one.
+fn accept_list_request(test_bed: &TestBed, mut discovery: Option<Connection>) -> Connection {
     loop {
-        let mut wire = discovery.take().unwrap_or_else(|| accept(&rig.discovery));
-        if wire.try_read_head().is_some() {
-            return wire;
+        let mut connection = discovery.take().unwrap_or_else(|| accept(&test_bed.discovery));
+        if connection.try_read_head().is_some() {
+            return connection;
         }
     }
 }
 
 #[test]
-fn a_list_is_taken_in_every_form_and_after_every_broken_one() {
-    let rig = TestBed::start(2, |_| {});
+fn lists_are_read_in_every_encoding_and_after_malformed_ones() {
+    let test_bed = TestBed::start(2, |_| {});
     let mut generation = 1;
-    // A list that adds one host, whose name shows in the log.
+    // A list that adds one backend, whose name appears in the log.
     let mut next = |form: &str| {
         generation += 1;
-        let mut added = rig.endpoint(0, "active");
+        let mut added = test_bed.endpoint(0, "active");
         added["instanceId"] = json!(format!("new-{form}"));
-        let instances = [rig.endpoint(0, "active"), rig.endpoint(1, "active"), added];
+        let instances = [test_bed.endpoint(0, "active"), test_bed.endpoint(1, "active"), added];
         endpoint_list(generation, true, &instances)
     };
     let head = "HTTP/1.1 200 OK\r\n";
@@ -101,32 +102,32 @@
         let each = body.bytes().map(|byte| format!("1\r\n{}\r\n", byte as char)).collect::<String>();
         format!("{head}Transfer-Encoding: chunked\r\n\r\n{each}0\r\n\r\n")
     };
-    let known = |form: &str| rig.wait_for_log(&format!("backend new-{form} has index"));
+    let wait_until_listed = |form: &str| test_bed.wait_for_log(&format!("backend new-{form} has index"));
 
-    let mut wire = asked(&rig, None);
+    let mut connection = accept_list_request(&test_bed, None);
     for byte in sized(&next("bytes")).bytes() {
-        wire.send([byte]);
+        connection.send([byte]);
     }
-    known("bytes");
+    wait_until_listed("bytes");
 
-    wire = asked(&rig, Some(wire));
+    connection = accept_list_request(&test_bed, Some(connection));
     let value: Value = serde_json::from_str(&next("indented")).expect("JSON");
-    wire.send(sized(&format!("\n\n  {value:#}\n")));
-    known("indented");
+    connection.send(sized(&format!("\n\n  {value:#}\n")));
+    wait_until_listed("indented");
 
-    wire = asked(&rig, Some(wire));
-    wire.send(chunks(&next("chunked")));
-    known("chunked");
+    connection = accept_list_request(&test_bed, Some(connection));
+    connection.send(chunks(&next("chunked")));
+    wait_until_listed("chunked");
 
-    // No length: the end of the connection is the end of the list.
-    wire = asked(&rig, Some(wire));
-    wire.send(format!("{head}\r\n{}", next("open")));
-    drop(wire);
-    known("open");
+    // Without a length, the end of the connection is the end of the list.
+    connection = accept_list_request(&test_bed, Some(connection));
+    connection.send(format!("{head}\r\n{}", next("open")));
+    drop(connection);
+    wait_until_listed("open");
 
-    // What is no list, or does not become one, fails the call; the next one is as good as ever.
+    // A malformed or incomplete list fails its request; the next list is applied as usual.
     let endless = format!("{head}Transfer-Encoding: chunked\r\n\r\n200000\r\n{}", " ".repeat(1 << 20));
-    let cut = format!("{head}\r\n{}", &next("cut")[..90]);
+    let truncated = format!("{head}\r\n{}", &next("cut")[..90]);
     let cases = [
         ("empty", sized(""), true),
         ("nothing", sized("{}"), true),
@@ -135,28 +136,28 @@
             sized("{\"generation\":9,\"reset\":true,\"instances\":[{\"instanceId\":\"a\nb\"}]}"),
             true,
         ),
-        ("cut", cut, false),
+        ("cut", truncated, false),
         ("garbled", "\r\n\0HTTP".to_owned(), true),
         ("endless", endless, true),
     ];
-    let mut wire = None;
-    for (form, bytes, waits) in cases {
-        let mut broken = asked(&rig, wire.take());
-        // The chunk's length alone is too much: the connection may close while its megabyte is written.
-        let cut_off = if form == "endless" {
+    let mut connection = None;
+    for (form, bytes, expects_close) in cases {
+        let mut broken = accept_list_request(&test_bed, connection.take());
+        // The chunk's length alone exceeds the limit: the connection may close while its megabyte is written.
+        let closed_while_writing = if form == "endless" {
             broken.send_until_closed(&bytes)
         } else {
             broken.send(&bytes);
             false
         };
-        if waits {
-            assert!(cut_off || broken.is_closed_by_peer(), "{form}");
+        if expects_close {
+            assert!(closed_while_writing || broken.is_closed_by_peer(), "{form}");
         }
         drop(broken);
-        let mut sound = asked(&rig, None);
-        sound.send(sized(&next(form)));
-        known(form);
-        wire = Some(sound);
+        let mut valid = accept_list_request(&test_bed, None);
+        valid.send(sized(&next(form)));
+        wait_until_listed(form);
+        connection = Some(valid);
     }
-    assert_eq!(health(&rig), Some(200));
+    assert_eq!(health_status(&test_bed), Some(200));
 }
