--- a/crates/testkit/src/bench_flight.rs
+++ b/crates/testkit/src/bench_flight.rs
@@ -64,10 +64,10 @@
 }
 
 async fn connect(addr: SocketAddr) -> h2::client::SendRequest<Bytes> {
-    let socket = tokio::net::TcpStream::connect(addr).await.expect("a connection");
+    let socket = tokio::net::TcpStream::connect(addr).await.expect("connect");
     let mut builder = h2::client::Builder::new();
     builder.initial_window_size(4 << 20).initial_connection_window_size(16 << 20).max_frame_size(1 << 20);
-    socket.set_nodelay(true).expect("a socket");
+    socket.set_nodelay(true).expect("set TCP_NODELAY");
     let (sender, connection) = builder.handshake(socket).await.expect("HTTP/2");
     tokio::task::spawn_local(connection);
     sender
@@ -85,7 +85,7 @@
         .body(())
         .expect("a request");
     let (response, mut stream) = sender.send_request(request, false).expect("a stream");
-    stream.send_data(message.into(), true).expect("room");
+    stream.send_data(message.into(), true).expect("send the data");
     let Ok(response) = response.await else { return (0, Bytes::new(), 99) };
     let head = response.headers().clone();
     let mut body = response.into_body();
@@ -107,7 +107,8 @@
 
 /// What a reader does; prints bytes, seconds and CPU seconds.
 fn reader(kind: &str, addrs: &[SocketAddr], count: usize) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build a runtime");
     let local = tokio::task::LocalSet::new();
     let began = Instant::now();
     let before = cpu(std::process::id());
@@ -156,7 +157,7 @@
 }
 
 fn text(addr: SocketAddr, number: usize) -> u64 {
-    let mut socket = TcpStream::connect(addr).expect("a connection");
+    let mut socket = TcpStream::connect(addr).expect("connect");
     let id = format!("t-{}-{number}", std::process::id());
     let share = 1.0 / f64::from(BACKENDS);
     let ranges: Vec<Value> = (0..BACKENDS).map(|s| json!({"range": s, "portion": share})).collect();
@@ -166,7 +167,7 @@
          Content-Length: {}\r\nConnection: close\r\n\r\n{body}",
         body.len()
     );
-    socket.write_all(request.as_bytes()).expect("room");
+    socket.write_all(request.as_bytes()).expect("send the data");
     let mut answer = Vec::new();
     socket.read_to_end(&mut answer).expect("an answer");
     assert!(
@@ -258,13 +259,14 @@
     let (program, _roster) = start(&hosts, MEMORY);
     let addr = program.flight;
     println!("\n{readers} readers that take 16 KB a second of answers of 60 MB; {MEMORY} MB for the program");
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build a runtime");
     let local = tokio::task::LocalSet::new();
     let ends = local.block_on(&runtime, async {
         let (mut tasks, mut senders) = (Vec::new(), Vec::new());
         // As many connections as the program takes with this memory, and several readers on each.
         for _ in 0..readers / A_CONNECTION {
-            let socket = tokio::net::TcpStream::connect(addr).await.expect("a connection");
+            let socket = tokio::net::TcpStream::connect(addr).await.expect("connect");
             let mut builder = h2::client::Builder::new();
             builder.initial_connection_window_size(1 << 20);
             let (sender, connection) = builder.handshake(socket).await.expect("HTTP/2");
@@ -319,7 +321,7 @@
     println!("ends: {ends:?}");
     println!("peak memory: {} MB of {MEMORY}", memory(program.child.id(), "VmHWM:") / 1024);
     if readers < 200 {
-        println!("{:#?}", program.log.lock().expect("a sound lock"));
+        println!("{:#?}", program.log.lock().expect("lock is not poisoned"));
     }
 }
 
@@ -353,5 +355,5 @@
     let me = std::env::current_exe().expect("a path");
     let out = Command::new(&me).args(["reader", "flight", "1", &program.flight.to_string()]).output();
     println!("{}", String::from_utf8_lossy(&out.expect("a reader").stderr));
-    println!("{:#?}", program.log.lock().expect("a sound lock"));
+    println!("{:#?}", program.log.lock().expect("lock is not poisoned"));
 }
--- a/crates/testkit/src/bench_phases.rs
+++ b/crates/testkit/src/bench_phases.rs
@@ -143,11 +143,12 @@
     (rate, seed): (f64, u64),
     starts: impl Fn(),
 ) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build a runtime");
     for segment in 0..SEGMENTS as u64 {
         for side in sides.iter_mut() {
             starts();
-            let before = world.lock().expect("a sound lock").asked_ms;
+            let before = world.lock().expect("lock is not poisoned").asked_ms;
             let addr = programs[side.program].flight;
             let ends = Rc::new(RefCell::new(Vec::new()));
             let local = tokio::task::LocalSet::new();
@@ -171,7 +172,7 @@
                     task.await.expect("a task");
                 }
             });
-            side.work += world.lock().expect("a sound lock").asked_ms - before;
+            side.work += world.lock().expect("lock is not poisoned").asked_ms - before;
             for (good, took) in ends.borrow().iter() {
                 side.count += 1;
                 side.inside += usize::from(*good && *took <= AIM);
@@ -210,7 +211,7 @@
                 let said = ticket["predicate"].as_str().expect("text");
                 let scout = said.strip_prefix("scout:");
                 let predicate: u64 = scout.unwrap_or(said).parse().expect("a number");
-                let mut world = world.lock().expect("a sound lock");
+                let mut world = world.lock().expect("lock is not poisoned");
                 let cost = if scout.is_some() { SCOUT_MS } else { BLOCK_MS };
                 let times = world.slow.filter(|(host, _)| *host == i).map_or(1.0, |(_, times)| times as f64);
                 let cold = world.cold.filter(|(host, _)| *host == i).map_or(1.0, |(_, since)| {
@@ -256,7 +257,7 @@
         return rules(&world, &programs, plan, seed);
     }
     for (skew_name, skew) in [("none", 0.0), ("some", 0.2), ("heavy", 0.5)] {
-        world.lock().expect("a sound lock").skew = skew;
+        world.lock().expect("lock is not poisoned").skew = skew;
         let mut sides = [side("single", None, 0), side("two-phase", plan(), 0)];
         // At the begin of each segment a successor of host 1 starts, and discovery tells so.
         let starts = || {
@@ -264,20 +265,20 @@
             let mut instance = stand_ins::endpoint(1, hosts[1], "active");
             instance["startedAtMs"] = json!(now.as_millis() as u64);
             first.publish(&instance);
-            world.lock().expect("a sound lock").cold = Some((1, Instant::now()));
+            world.lock().expect("lock is not poisoned").cold = Some((1, Instant::now()));
         };
         play(&world, &programs, &mut sides, (8.0, seed), starts);
         print("cold successor", skew_name, &sides);
         seed += 1_000_000;
     }
-    world.lock().expect("a sound lock").cold = None;
+    world.lock().expect("lock is not poisoned").cold = None;
     if std::env::args().nth(1).as_deref() == Some("cold") {
         return;
     }
     for (skew_name, skew) in [("none", 0.0), ("some", 0.2), ("heavy", 0.5)] {
         for (day, rate, slow, hangs) in days {
             {
-                let mut world = world.lock().expect("a sound lock");
+                let mut world = world.lock().expect("lock is not poisoned");
                 (world.skew, world.slow, world.hangs) = (skew, slow, hangs);
             }
             let mut sides = [side("single", None, 0), side("two-phase", plan(), 0)];
@@ -299,7 +300,7 @@
         ("one block's scouts silent", None, None, Some(5)),
     ] {
         {
-            let mut world = world.lock().expect("a sound lock");
+            let mut world = world.lock().expect("lock is not poisoned");
             (world.skew, world.slow, world.hangs, world.mute) = (0.5, slow, hangs, mute);
         }
         let mut sides = [side("learned", plan(), 0), side("half", plan(), 1), side("a fifth", plan(), 2)];
--- a/crates/testkit/src/flight.rs
+++ b/crates/testkit/src/flight.rs
@@ -26,7 +26,7 @@
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let local = tokio::task::LocalSet::new();
-        local.block_on(&runtime.expect("a runtime"), task);
+        local.block_on(&runtime.expect("build a runtime"), task);
     });
 }
 
@@ -45,7 +45,7 @@
 pub fn backend(number: usize, events: Sender<Event>, away: Arc<Mutex<Option<u32>>>) -> SocketAddr {
     listen(move |socket| {
         let events = events.clone();
-        if let Some(last) = away.lock().expect("a sound lock").take() {
+        if let Some(last) = away.lock().expect("lock is not poisoned").take() {
             tokio::task::spawn_local(go_away(number, socket, events, last));
             return;
         }
@@ -61,13 +61,13 @@
 
 /// Listens on a free port, in a thread of its own that runs what `accept` spawns for each connection.
 pub(crate) fn listen(accept: impl Fn(TcpStream) + Send + 'static) -> SocketAddr {
-    let socket = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let addr = socket.local_addr().expect("an address");
-    socket.set_nonblocking(true).expect("a socket");
+    let socket = std::net::TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+    let addr = socket.local_addr().expect("local address");
+    socket.set_nonblocking(true).expect("set the blocking mode");
     run(async move {
         let listener = TcpListener::from_std(socket).expect("a listener");
         while let Ok((socket, _)) = listener.accept().await {
-            socket.set_nodelay(true).expect("a socket");
+            socket.set_nodelay(true).expect("set TCP_NODELAY");
             accept(socket);
         }
     });
@@ -129,11 +129,11 @@
         BackendReply::Outcome(end, _) if end == "nonsense" => {
             let data_header = Bytes::from_static(b"no flatbuffer");
             let message = FlightData { data_header, ..FlightData::default() };
-            return stream.send_data(frame(&message).into(), true).expect("room");
+            return stream.send_data(frame(&message).into(), true).expect("send the data");
         }
         BackendReply::Outcome(end, _) if end == "half" => {
             let half = table(&[(shard, "good".to_owned(), "half".to_owned())]);
-            stream.send_data(half[..half.len() - 1].to_vec().into(), false).expect("room");
+            stream.send_data(half[..half.len() - 1].to_vec().into(), false).expect("send the data");
             drop(std::future::poll_fn(|cx| stream.poll_reset(cx)).await);
             return;
         }
@@ -142,13 +142,13 @@
         BackendReply::Disconnect => {
             // An answer that looks good, and then the stream breaks off.
             let half = table(&[(shard, "good".to_owned(), "half".to_owned())]);
-            stream.send_data(half.into(), false).expect("room");
+            stream.send_data(half.into(), false).expect("send the data");
             // Let it get through before the stream is cut.
             tokio::task::yield_now().await;
             return stream.send_reset(Reason::INTERNAL_ERROR);
         }
     };
-    stream.send_data(table(&rows).into(), false).expect("room");
+    stream.send_data(table(&rows).into(), false).expect("send the data");
     let mut trailers = HeaderMap::new();
     trailers.insert("grpc-status", "0".parse().expect("a value"));
     stream.send_trailers(trailers).expect("a stream");
@@ -195,7 +195,7 @@
 type Got = Result<Vec<Bytes>, String>;
 
 async fn fetch(addr: SocketAddr, query: Query) -> String {
-    let socket = TcpStream::connect(addr).await.expect("a connection");
+    let socket = TcpStream::connect(addr).await.expect("connect");
     let (sender, connection) = h2::client::handshake(socket).await.expect("HTTP/2");
     tokio::task::spawn_local(connection);
     let sender = Arc::new(Mutex::new(sender));
@@ -205,7 +205,7 @@
             .header("grpc-timeout", write_timeout(query.deadline_ms * 1000))
             .body(())
             .expect("a request");
-        let sent = sender.lock().expect("a sound lock").send_request(request, false);
+        let sent = sender.lock().expect("lock is not poisoned").send_request(request, false);
         async move {
             let (response, mut stream) = sent.map_err(|e| e.to_string())?;
             stream.send_data(message.into(), true).map_err(|e| e.to_string())?;
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,42 +1,43 @@
-//! The scenario language. A scenario is a text of one step a line, played against the real program on
-//! loopback sockets; what its `expect` lines see is the transcript.
+//! The scenario language. A scenario is a text with one step per line. It is played against the real program
+//! over loopback sockets, and the results of its `expect` steps form the transcript.
 //!
 //! ```text
-//! send NAME KIND MS SHARD...      a client sends a query
-//! send part SHARD good VALUE      a host answers the part that was expected last (or: bad, later; or
-//!                                 nonsense, which is no answer at all; stray, an answer to another part;
-//!                                 half, which never becomes whole; on Flight also refused, a reset; in
-//!                                 frames also good ones: twice, with a second copy; noisy, with an
-//!                                 unreadable report and noise behind)
-//!                                 a value `big` stands for one of 60,000 bytes
-//! send roster HOST STATE          discovery tells that a host is now in that state; `dead` says
-//!                                 that it is active, at an address where nobody listens
+//! send NAME KIND MS SHARD...      client NAME sends a query of this kind, with a timeout of MS
+//! send part SHARD good VALUE      a backend answers the part of this shard that was expected last.
+//!                                 Instead of `good`: `bad` or `later` (outcomes); `nonsense` (not an
+//!                                 answer at all); `stray` (an answer to another part); `half` (an answer
+//!                                 that stays incomplete); on Flight `refused` (a stream reset); in frames
+//!                                 also `twice` (the answer and a duplicate) and `noisy` (an answer with
+//!                                 an unreadable load report and garbage after it).
+//!                                 The value `big` stands for 60,000 bytes.
+//! send roster HOST STATE          discovery reports this state of a backend; `dead` reports it as
+//!                                 active at an address where nothing listens
 //! send roster fail                discovery answers 503
-//! send raw TEXT                   a client sends these bytes, in Rust's escapes
+//! send raw TEXT                   a client sends these bytes; `\r` and `\n` are escapes
 //! send term                       the program gets SIGTERM
-//! send stop                       the program is halted, until `send cont`
-//! send reload                     the program gets SIGHUP, with a file that names a new discovery;
-//!                                 `send reload bad`: with one that makes no sense
-//! send more TEXT                  the same client sends these, once it has its answer
-//! send crowd N                    so many clients connect and say nothing
-//! send asked N                    so many clients ask something, one after the other, and stay
-//! expect staying                  how many of the crowd the program has not closed
-//! expect part SHARD               a host has got the part
-//! expect cancel SHARD             a host was told that nobody waits for the part
-//! expect NAME                     the client's answer
-//! expect closed                   a host's connection was closed by the program
-//! expect probe                    a host has got a probe, and `send probe` answers it
-//! expect runs SHARD               how many times the part was sent so far
-//! expect hosts                    the hosts that have been sent anything so far
-//! expect raw                      the status of the answer, and whether the connection was closed
-//! expect no log TEXT              the program has written no such line so far
+//! send stop                       the program is stopped (SIGSTOP) until `send cont`
+//! send reload                     the program gets SIGHUP with a configuration that names a new discovery
+//!                                 address; `send reload bad`: with an invalid configuration
+//! send more TEXT                  the raw client sends more bytes, after it has received its response
+//! send crowd N                    N clients connect and send nothing
+//! send asked N                    N clients connect in turn, get one response each and stay connected
+//! expect staying                  the number of these connections that the program has not closed
+//! expect part SHARD               a backend has received the part
+//! expect cancel SHARD             a backend has received the part's cancellation
+//! expect NAME                     the client's response
+//! expect closed                   the program has closed a connection to a backend
+//! expect probe                    a backend has received a health check; `send probe` answers it
+//! expect runs SHARD               how many attempts of the part were sent so far
+//! expect hosts                    the backends that have received any part so far
+//! expect raw                      the response's status, and whether the connection was closed
+//! expect no log TEXT              the program's log has no line with this text so far
 //! expect exit                     the program's exit code
-//! expect log TEXT                 the program writes such a line
-//! close part SHARD                the host cuts the connection; on Flight, halfway through the answer
-//! close NAME                      the client goes away; `crowd` for the crowd
+//! expect log TEXT                 the program logs a line with this text
+//! close part SHARD                the backend closes the connection; on Flight, halfway through the answer
+//! close NAME                      the client disconnects; `close crowd`: the crowd does
 //! wait MS
 //! ```
-#![allow(missing_docs)] // The language above is the documentation
+#![allow(missing_docs)] // The scenario language above is the main documentation
 
 pub mod columns;
 pub mod core_scenario;
@@ -58,35 +59,47 @@
 
 use serde_json::{json, Value};
 
-/// Longer than any step may take on a slow machine; only a failing test waits for it.
+/// Upper limit for any single step on a slow machine. Only a failing test reaches it.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Number of stand-in backends.
 pub const BACKENDS: usize = 3;
 
+/// The protocol that the clients and backends of a scenario speak.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
+    /// HTTP/1.1 to clients, frames to backends.
     Http,
+    /// Arrow Flight to both.
     Flight,
-    /// As Flight, but the first connection to any host ends with a GOAWAY that names this stream as the
-    /// last one that the host has looked at.
+    /// As `Flight`, but the first connection to any backend ends with a GOAWAY whose last processed stream is
+    /// this one.
     FlightGoAway(u32),
 }
 
-/// What a host does about a part.
+/// How a stand-in backend responds to a part.
 #[derive(Clone, Debug)]
 pub enum BackendReply {
+    /// Answers with an outcome and a value.
     Outcome(String, String),
+    /// Closes the connection.
     Disconnect,
 }
 
+/// What the stand-ins report to a scenario.
 pub enum Event {
+    /// A backend received a part: the backend, the shard, and the function that answers.
     Part(usize, u32, Box<dyn Fn(BackendReply) + Send>),
+    /// A backend received the cancellation of a part of this shard.
     Cancel(u32),
+    /// A connection to a backend ended.
     ConnectionClosed,
+    /// A backend received a health check; the function answers it.
     HealthCheck(Box<dyn Fn() + Send>),
+    /// The named client received this response.
     Response(String, String),
 }
 
-/// A client's query.
+/// A query as a stand-in client sends it.
 #[derive(Clone)]
 pub struct Query {
     pub id: String,
@@ -95,18 +108,23 @@
     pub body: Value,
 }
 
+/// A running process of the program under test.
 pub struct Program {
     pub child: Child,
+    /// Where it serves HTTP.
     pub http: SocketAddr,
+    /// Where it serves Arrow Flight.
     pub flight: SocketAddr,
+    /// The lines that it has logged since it began to listen.
     pub log: Arc<Mutex<Vec<String>>>,
     config: PathBuf,
 }
 
+/// The `settings` section of the platform's configuration.
 pub fn settings() -> Value {
-    let class = |name: &str, effect: &str, late: f64| {
-        json!({"Name": name, "AimUs": 1_500_000, "DeadlineUs": 4_000_000, "LateValue": late,
-               "Semantics": effect, "WindowUs": 5_000_000, "Worth": 1.0})
+    let class = |name: &str, semantics: &str, late_value: f64| {
+        json!({"Name": name, "AimUs": 1_500_000, "DeadlineUs": 4_000_000, "LateValue": late_value,
+               "Semantics": semantics, "WindowUs": 5_000_000, "Worth": 1.0})
     };
     json!({
         "Az": "regina-dc1", "Azs": ["regina-dc1"], "Instances": 1, "TickUs": 5000,
@@ -124,23 +142,24 @@
     })
 }
 
-pub fn config(hosts: &[SocketAddr], discovery: SocketAddr) -> Value {
-    let instance = |(i, addr): (usize, &SocketAddr)| stand_ins::endpoint(i, *addr, "active");
-    let known: Vec<Value> = hosts.iter().enumerate().map(instance).collect();
+/// The platform's configuration file, with these backends in the cached endpoint list.
+pub fn config(backends: &[SocketAddr], discovery: SocketAddr) -> Value {
+    let endpoint = |(i, addr): (usize, &SocketAddr)| stand_ins::endpoint(i, *addr, "active");
+    let known: Vec<Value> = backends.iter().enumerate().map(endpoint).collect();
     json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
            "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
            "known": {"generation": 1, "reset": true, "instances": known}, "settings": settings()})
 }
 
-/// The program, started with these files and so many descriptors, and where its own file stands;
-/// `stdout` is its log.
+/// Starts the program with these two configuration files and this limit of descriptors. Returns the process, whose
+/// `stdout` is its log, and the path of the platform's configuration file.
 pub fn spawn(config: &Value, operator: &Value, descriptors: u32) -> (Child, PathBuf) {
     static NUMBER: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let file = |what: &str, value: &Value| {
         let name = format!("mallowgauge-{}-{number}-{what}.json", std::process::id());
         let path = std::env::temp_dir().join(name);
-        std::fs::write(&path, value.to_string()).expect("a file in the temporary folder");
+        std::fs::write(&path, value.to_string()).expect("write a temporary file");
         path
     };
     let config = file("config", config);
@@ -155,48 +174,52 @@
     (child, config)
 }
 
-/// The program under test: `MALLOWGAUGE` names it, or else it stands beside or above this one.
+/// The path of the program under test: the value of `MALLOWGAUGE`, or else the binary in the folder of this
+/// executable or in the folder above.
 pub fn program_path() -> PathBuf {
     let named = std::env::var_os("MALLOWGAUGE").map(PathBuf::from);
     named.unwrap_or_else(|| {
-        let this = std::env::current_exe().expect("a path");
+        let executable = std::env::current_exe().expect("path of this executable");
         let name = "mallowgauge";
-        let mut places = this.ancestors().skip(1).take(2).map(|folder| folder.join(name));
-        places.find(|path| path.is_file()).expect("the program is built")
+        let mut candidates = executable.ancestors().skip(1).take(2).map(|folder| folder.join(name));
+        candidates.find(|path| path.is_file()).expect("the program is built")
     })
 }
 
 impl Program {
+    /// Starts the program and waits until it listens.
     pub fn start(file: &Value, operator: &Value, descriptors: u32) -> Self {
         let (mut child, config) = spawn(file, operator, descriptors);
-        let mut lines = BufReader::new(child.stdout.take().expect("a pipe")).lines();
-        let mut listens = |what: &str| loop {
-            let line = lines.next().expect("the program goes on").expect("text");
+        let mut lines = BufReader::new(child.stdout.take().expect("stdout is piped")).lines();
+        let mut listen_address = |what: &str| loop {
+            let line = lines.next().expect("the program keeps running").expect("text");
             if let Some((_, addr)) = line.split_once(what) {
                 return addr.trim().parse().expect("an address");
             }
         };
         let name = file["name"].as_str().expect("a name");
-        let (http, flight) = (listens(&format!("{name} listens on ")), listens("Flight listens on "));
+        let (http, flight) =
+            (listen_address(&format!("{name} listens on ")), listen_address("Flight listens on "));
         let log = Arc::new(Mutex::new(Vec::new()));
-        let kept = Arc::clone(&log);
+        let log_writer = Arc::clone(&log);
         std::thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
-                kept.lock().expect("a sound lock").push(line);
+                log_writer.lock().expect("lock is not poisoned").push(line);
             }
         });
         Self { child, http, flight, log, config }
     }
 
-    /// Changes its configuration and has it read again.
+    /// Changes the configuration file and sends SIGHUP, which makes the program reload it.
     pub fn reconfigure(&self, change: impl FnOnce(&mut Value)) {
-        let text = std::fs::read_to_string(&self.config).expect("its file");
+        let text = std::fs::read_to_string(&self.config).expect("the configuration file");
         let mut file = serde_json::from_str(&text).expect("JSON");
         change(&mut file);
-        std::fs::write(&self.config, file.to_string()).expect("its file");
+        std::fs::write(&self.config, file.to_string()).expect("the configuration file");
         self.signal(libc::SIGHUP);
     }
 
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: libc::c_int) {
         let pid = self.child.id().to_string();
         let sent = Command::new("kill").args([format!("-{signal}"), pid]).status().expect("kill runs");
@@ -211,22 +234,23 @@
     }
 }
 
-/// A program with hosts that play a script.
+/// A program with scripted Flight backends and stand-in discovery.
 pub struct Deployment {
     pub program: Program,
+    /// How often each part was sent.
     pub attempts: columns::AttemptCounts,
     pub discovery: stand_ins::DiscoveryStandIn,
     pub backends: Vec<SocketAddr>,
 }
 
 impl Deployment {
-    /// Starts it; `flight` is what the operator's file says beside `listen` and `hosts`, and `change` has the
-    /// last word on the platform's file.
+    /// Starts it. `flight` holds entries of the operator file's `flight` section that are added to or replace
+    /// `listen` and `hosts`; `change` edits the platform's configuration file last.
     pub fn start(script: columns::Script, flight: Value, change: impl FnOnce(&mut Value)) -> Self {
         Self::start_with_tls(script, flight, None, change)
     }
 
-    /// The same with hosts that speak TLS.
+    /// As [`Deployment::start`], with backends that speak TLS.
     pub fn start_with_tls(
         script: columns::Script,
         flight: Value,
@@ -259,14 +283,14 @@
         Self { program, attempts, discovery, backends }
     }
 
-    /// Starts it with queries in two phases.
+    /// As [`Deployment::start`], with two-phase queries.
     pub fn start_two_phase(script: columns::Script, phases: Value) -> Self {
         Self::start_with(script, json!({"listen": "127.0.0.1:0", "hosts": "all"}), phases, None, |_| {})
     }
 
-    /// How often the parts of a query were run, by shard.
+    /// How many attempts each part of a query had: pairs of shard and count.
     pub fn attempts_by_shard(&self, query: &str) -> Vec<(u32, u32)> {
-        let attempts = self.attempts.lock().expect("a sound lock");
+        let attempts = self.attempts.lock().expect("lock is not poisoned");
         attempts
             .iter()
             .filter(|((id, _), _)| id == query)
@@ -274,151 +298,160 @@
             .collect()
     }
 
-    /// Waits until the program has written such a line.
+    /// Waits until the program has logged a line with this text; `false` if none came in time.
     pub fn wait_for_log(&self, text: &str) -> bool {
         (0..TEST_TIMEOUT.as_millis() / 10).any(|_| {
             std::thread::sleep(Duration::from_millis(10));
-            self.program.log.lock().expect("a sound lock").iter().any(|line| line.contains(text))
+            self.program.log.lock().expect("lock is not poisoned").iter().any(|line| line.contains(text))
         })
     }
 }
 
+/// Plays the steps of a scenario and keeps what they need of one another.
 struct ScenarioRunner {
-    wire: Protocol,
+    protocol: Protocol,
     program: Program,
-    roster: stand_ins::DiscoveryStandIn,
-    hosts: Vec<SocketAddr>,
+    discovery: stand_ins::DiscoveryStandIn,
+    backends: Vec<SocketAddr>,
     sender: Sender<Event>,
     events: Receiver<Event>,
-    seen: Vec<Event>,
+    /// Events that were received and not yet expected.
+    pending: Vec<Event>,
     replies: BTreeMap<u32, Box<dyn Fn(BackendReply) + Send>>,
-    runs: BTreeMap<u32, u32>,
-    used: BTreeSet<usize>,
+    attempts: BTreeMap<u32, u32>,
+    used_backends: BTreeSet<usize>,
     clients: BTreeMap<String, Box<dyn FnOnce()>>,
-    probe: Option<Box<dyn Fn() + Send>>,
+    health_check: Option<Box<dyn Fn() + Send>>,
     raw: Option<TcpStream>,
     crowd: Vec<TcpStream>,
-    next: u32,
+    last_query: u32,
 }
 
 impl ScenarioRunner {
-    fn new(wire: Protocol, told: u32, descriptors: u32, probes: bool) -> Self {
+    fn new(protocol: Protocol, sockets: u32, descriptors: u32, manual_health_checks: bool) -> Self {
         let (sender, events) = channel();
-        let away =
-            Arc::new(Mutex::new(if let Protocol::FlightGoAway(last) = wire { Some(last) } else { None }));
-        let host = |i| match wire {
-            Protocol::Http => stand_ins::frame_backend(i, sender.clone(), probes),
+        let last_stream = match protocol {
+            Protocol::FlightGoAway(last) => Some(last),
+            Protocol::Http | Protocol::Flight => None,
+        };
+        let last_stream = Arc::new(Mutex::new(last_stream));
+        let backend = |i| match protocol {
+            Protocol::Http => stand_ins::frame_backend(i, sender.clone(), manual_health_checks),
             Protocol::Flight | Protocol::FlightGoAway(_) => {
-                flight::backend(i, sender.clone(), Arc::clone(&away))
+                flight::backend(i, sender.clone(), Arc::clone(&last_stream))
             }
         };
-        let hosts: Vec<SocketAddr> = (0..BACKENDS).map(host).collect();
-        let roster = stand_ins::DiscoveryStandIn::start();
-        let offers = if wire == Protocol::Http { json!([]) } else { json!("all") };
-        let operator = json!({"flight": {"listen": "127.0.0.1:0", "hosts": offers}});
-        let mut file = config(&hosts, roster.addr);
-        file["limits"]["sockets"] = json!(told);
+        let backends: Vec<SocketAddr> = (0..BACKENDS).map(backend).collect();
+        let discovery = stand_ins::DiscoveryStandIn::start();
+        let flight_backends = if protocol == Protocol::Http { json!([]) } else { json!("all") };
+        let operator = json!({"flight": {"listen": "127.0.0.1:0", "hosts": flight_backends}});
+        let mut file = config(&backends, discovery.addr);
+        file["limits"]["sockets"] = json!(sockets);
         let program = Program::start(&file, &operator, descriptors);
         Self {
-            wire,
+            protocol,
             program,
-            roster,
-            hosts,
+            discovery,
+            backends,
             sender,
             events,
-            seen: Vec::new(),
+            pending: Vec::new(),
             replies: BTreeMap::new(),
-            runs: BTreeMap::new(),
-            used: BTreeSet::new(),
+            attempts: BTreeMap::new(),
+            used_backends: BTreeSet::new(),
             clients: BTreeMap::new(),
-            probe: None,
+            health_check: None,
             raw: None,
             crowd: Vec::new(),
-            next: 0,
+            last_query: 0,
         }
     }
 
-    /// The first event that `pick` takes, now or later.
+    /// Removes and returns the first event that `pick` accepts; waits for one if there is none yet.
     fn event<T>(&mut self, what: &str, pick: impl Fn(&Event) -> Option<T>) -> (T, Event) {
-        let mut at = 0;
+        let mut index = 0;
         loop {
-            if let Some(found) = self.seen.get(at).and_then(&pick) {
-                return (found, self.seen.remove(at));
+            if let Some(found) = self.pending.get(index).and_then(&pick) {
+                return (found, self.pending.remove(index));
             }
-            at += 1;
-            if at >= self.seen.len() {
+            index += 1;
+            if index >= self.pending.len() {
                 let event = self.events.recv_timeout(TEST_TIMEOUT).unwrap_or_else(|_| {
-                    panic!("no {what}; log: {:#?}", self.program.log.lock().expect("a sound lock"))
+                    panic!(
+                        "timed out waiting for {what}; log: {:#?}",
+                        self.program.log.lock().expect("lock is not poisoned")
+                    )
                 });
-                if let Event::Part(host, shard, _) = &event {
-                    self.used.insert(*host);
-                    *self.runs.entry(*shard).or_default() += 1;
+                if let Event::Part(backend, shard, _) = &event {
+                    self.used_backends.insert(*backend);
+                    *self.attempts.entry(*shard).or_default() += 1;
                 }
-                self.seen.push(event);
-                at = self.seen.len() - 1;
+                self.pending.push(event);
+                index = self.pending.len() - 1;
             }
         }
     }
 
+    /// Plays one step; returns its line of the transcript, if it has one.
     fn step(&mut self, line: &str) -> Option<String> {
         let words: Vec<&str> = line.split_whitespace().collect();
-        let number = |at: usize| words[at].parse::<u32>().expect("a number");
+        let number = |index: usize| words[index].parse::<u32>().expect("a number");
         match words[..] {
-            ["send", "part", _, end, ..] => {
+            ["send", "part", _, outcome, ..] => {
                 let value = words.get(4).copied().unwrap_or_default();
                 let value = if value == "big" { "x".repeat(60_000) } else { value.to_owned() };
-                self.replies[&number(2)](BackendReply::Outcome(end.to_owned(), value));
+                self.replies[&number(2)](BackendReply::Outcome(outcome.to_owned(), value));
             }
-            ["send", "probe"] => self.probe.as_ref().expect("a probe")(),
-            ["send", "roster", "fail"] => self.roster.fail(),
+            ["send", "probe"] => self.health_check.as_ref().expect("a health check was expected before")(),
+            ["send", "roster", "fail"] => self.discovery.fail(),
             ["send", "roster", _, state] => {
-                let host = number(2) as usize;
-                let nobody = "127.0.0.1:1".parse().expect("an address");
-                self.roster.publish(&match state {
-                    "dead" => stand_ins::endpoint(host, nobody, "active"),
-                    state => stand_ins::endpoint(host, self.hosts[host], state),
+                let backend = number(2) as usize;
+                let closed_port = "127.0.0.1:1".parse().expect("an address");
+                self.discovery.publish(&match state {
+                    "dead" => stand_ins::endpoint(backend, closed_port, "active"),
+                    state => stand_ins::endpoint(backend, self.backends[backend], state),
                 });
             }
             ["send", "raw", ..] => {
-                let mut raw = TcpStream::connect(self.program.http).expect("a connection");
-                raw.write_all(&raw_bytes(line, "raw ")).expect("room in the socket");
+                let mut raw = TcpStream::connect(self.program.http).expect("connect");
+                raw.write_all(&raw_bytes(line, "raw ")).expect("write to the program");
                 self.raw = Some(raw);
             }
             ["send", "more", ..] => {
-                let raw = self.raw.as_mut().expect("raw bytes were sent");
-                // A connection that the program has closed shows when its answer is expected.
+                let raw = self.raw.as_mut().expect("`send raw` came before");
+                // If the program has closed the connection, the next `expect raw` shows it.
                 drop(raw.write_all(&raw_bytes(line, "more ")));
             }
             ["send", "crowd", _] => {
-                let connect = |_| TcpStream::connect(self.program.http).expect("a connection");
+                let connect = |_| TcpStream::connect(self.program.http).expect("connect");
                 self.crowd.extend((0..number(2)).map(connect));
             }
             ["send", "reload", ..] => {
-                let fresh = stand_ins::DiscoveryStandIn::start();
+                let new_discovery = stand_ins::DiscoveryStandIn::start();
                 let file = match words.get(2) {
-                    None => config(&self.hosts, fresh.addr).to_string(),
+                    None => config(&self.backends, new_discovery.addr).to_string(),
                     Some(_) => "{".to_owned(),
                 };
-                std::fs::write(&self.program.config, file).expect("a file in the temporary folder");
+                std::fs::write(&self.program.config, file).expect("write a temporary file");
                 if words.len() == 2 {
-                    self.roster = fresh;
+                    self.discovery = new_discovery;
                 }
                 self.program.signal(libc::SIGHUP);
             }
             ["send", "asked", _] => {
                 for _ in 0..number(2) {
-                    let mut socket = TcpStream::connect(self.program.http).expect("a connection");
-                    socket.write_all(b"GET /nothing HTTP/1.1\r\n\r\n").expect("room in the socket");
+                    let mut socket = TcpStream::connect(self.program.http).expect("connect");
+                    socket.write_all(b"GET /nothing HTTP/1.1\r\n\r\n").expect("write to the program");
                     while !socket.read(&mut [0; 512]).is_ok_and(|n| n > 0) {}
-                    socket.set_nonblocking(true).expect("a socket");
+                    socket.set_nonblocking(true).expect("set the blocking mode");
                     self.crowd.push(socket);
                 }
             }
             ["expect", "staying"] => {
-                let stays = |mut socket: &TcpStream| !socket.read(&mut [0; 512]).is_ok_and(|n| n == 0);
+                let is_open = |mut socket: &TcpStream| !socket.read(&mut [0; 512]).is_ok_and(|n| n == 0);
                 return Some(format!(
                     "staying {}",
-                    self.crowd.iter().filter(|&socket| stays(socket)).count()
+                    self.crowd.iter().filter(|&socket| is_open(socket)).count()
                 ));
             }
             ["send", "stop"] => {
@@ -433,19 +466,19 @@
                 let share = 1.0 / shards.len() as f64;
                 let range = |s: &&str| json!({"range": s.parse::<u32>().unwrap_or(99), "portion": share});
                 let ranges: Vec<Value> = shards.iter().map(range).collect();
-                self.next += 1;
+                self.last_query += 1;
                 let query = Query {
-                    id: format!("{:016x}", self.next),
+                    id: format!("{:016x}", self.last_query),
                     kind: kind.to_owned(),
                     deadline_ms: ms.parse().expect("a number"),
                     body: json!({"ranges": ranges, "predicate": "c41e77d0"}),
                 };
                 let (name, sender) = (name.to_owned(), self.sender.clone());
-                let answer = move |text: String| drop(sender.send(Event::Response(name.clone(), text)));
-                let close = match self.wire {
-                    Protocol::Http => stand_ins::send_query(self.program.http, query, answer),
+                let on_response = move |text: String| drop(sender.send(Event::Response(name.clone(), text)));
+                let close = match self.protocol {
+                    Protocol::Http => stand_ins::send_query(self.program.http, query, on_response),
                     Protocol::Flight | Protocol::FlightGoAway(_) => {
-                        flight::send_query(self.program.flight, query, answer)
+                        flight::send_query(self.program.flight, query, on_response)
                     }
                 };
                 self.clients.insert(words[1].to_owned(), close);
@@ -464,7 +497,7 @@
                 return Some(format!("cancel {shard}"));
             }
             ["expect", "runs", _] => {
-                return Some(format!("runs {}: {}", words[2], self.runs.get(&number(2)).unwrap_or(&0)));
+                return Some(format!("runs {}: {}", words[2], self.attempts.get(&number(2)).unwrap_or(&0)));
             }
             ["expect", "closed"] => {
                 self.event(line, |e| matches!(e, Event::ConnectionClosed).then_some(()));
@@ -473,14 +506,14 @@
             ["expect", "probe"] => {
                 let pick = |e: &Event| matches!(e, Event::HealthCheck(_)).then_some(());
                 if let (_, Event::HealthCheck(reply)) = self.event(line, pick) {
-                    self.probe = Some(reply);
+                    self.health_check = Some(reply);
                 }
                 return Some("probe".to_owned());
             }
-            ["expect", "hosts"] => return Some(format!("hosts {:?}", self.used)),
+            ["expect", "hosts"] => return Some(format!("hosts {:?}", self.used_backends)),
             ["expect", "raw"] => {
-                let mut raw = self.raw.take().expect("raw bytes were sent");
-                raw.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+                let mut raw = self.raw.take().expect("`send raw` came before");
+                raw.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
                 let mut text = String::new();
                 let mut byte = [0];
                 while !text.ends_with("\r\n\r\n") && raw.read_exact(&mut byte).is_ok() {
@@ -490,9 +523,9 @@
                 let length = length.and_then(|(length, _)| length.parse().ok()).unwrap_or(0);
                 drop(raw.read_exact(&mut vec![0; length]));
                 let status = text.split(' ').nth(1).unwrap_or("none");
-                let closes = text.contains("Connection: close");
-                let closed = closes && raw.read_to_end(&mut Vec::new()).is_ok();
-                self.raw = (!closes).then_some(raw);
+                let announces_close = text.contains("Connection: close");
+                let closed = announces_close && raw.read_to_end(&mut Vec::new()).is_ok();
+                self.raw = (!announces_close).then_some(raw);
                 return Some(format!("raw {status}{}", if closed { ", closed" } else { "" }));
             }
             ["expect", "exit"] => {
@@ -501,18 +534,19 @@
             }
             ["expect", "no", "log", ..] => {
                 let text = line.split_once("log ").expect("a text").1;
-                let log = self.program.log.lock().expect("a sound lock");
+                let log = self.program.log.lock().expect("lock is not poisoned");
                 assert!(!log.iter().any(|line| line.contains(text)), "{log:#?}");
             }
             ["expect", "log", ..] => {
                 let text = line.split_once("log ").expect("a text").1;
-                let written =
-                    || self.program.log.lock().expect("a sound lock").iter().any(|l| l.contains(text));
-                let tries = (0..TEST_TIMEOUT.as_millis() / 20).any(|_| {
+                let is_logged = || {
+                    self.program.log.lock().expect("lock is not poisoned").iter().any(|l| l.contains(text))
+                };
+                let found = (0..TEST_TIMEOUT.as_millis() / 20).any(|_| {
                     std::thread::sleep(Duration::from_millis(20));
-                    written()
+                    is_logged()
                 });
-                assert!(tries, "no line {text}");
+                assert!(found, "no log line contains {text}");
                 return Some(format!("log {text}"));
             }
             ["expect", name] => {
@@ -524,28 +558,30 @@
             }
             ["close", "crowd"] => self.crowd.clear(),
             ["close", "part", _] => self.replies[&number(2)](BackendReply::Disconnect),
-            ["close", name] => self.clients.remove(name).expect("such a client")(),
+            ["close", name] => self.clients.remove(name).expect("a client of this name")(),
             ["wait", _] => std::thread::sleep(Duration::from_millis(number(1).into())),
-            _ => panic!("no such step: {line}"),
+            _ => panic!("unknown step: {line}"),
         }
         None
     }
 }
 
-/// Plays a scenario on one wire and returns its transcript.
-pub fn play(wire: Protocol, scenario: &str) -> String {
-    play_with_descriptors(wire, 1024, 1024, scenario)
+/// Plays a scenario over one protocol and returns its transcript.
+pub fn play(protocol: Protocol, scenario: &str) -> String {
+    play_with_descriptors(protocol, 1024, 1024, scenario)
 }
 
+/// The bytes that follow `word` in a step, with `\r` and `\n` unescaped.
 fn raw_bytes(line: &str, word: &str) -> Vec<u8> {
     let text = line.split_once(word).expect("bytes").1;
     text.replace("\\r", "\r").replace("\\n", "\n").into_bytes()
 }
 
-/// Plays a scenario with a program that is told so many descriptors and may hold so many.
-pub fn play_with_descriptors(wire: Protocol, told: u32, descriptors: u32, scenario: &str) -> String {
-    let mut world = ScenarioRunner::new(wire, told, descriptors, scenario.contains("expect probe"));
-    transcript(scenario, |line| world.step(line))
+/// Plays a scenario against a program whose configuration allows `sockets` sockets and whose process may hold
+/// `descriptors` descriptors.
+pub fn play_with_descriptors(protocol: Protocol, sockets: u32, descriptors: u32, scenario: &str) -> String {
+    let mut runner = ScenarioRunner::new(protocol, sockets, descriptors, scenario.contains("expect probe"));
+    transcript(scenario, |line| runner.step(line))
 }
 
 fn transcript(scenario: &str, step: impl FnMut(&str) -> Option<String>) -> String {
@@ -553,9 +589,9 @@
     steps.filter_map(step).collect::<Vec<_>>().join("\n")
 }
 
-/// Plays a scenario on both wires; the transcripts have to be the same.
+/// Plays a scenario over both protocols, asserts that the transcripts are equal, and returns them.
 pub fn play_on_both(scenario: &str) -> String {
     let (http, flight) = (play(Protocol::Http, scenario), play(Protocol::Flight, scenario));
-    assert_eq!(http, flight, "the wires differ");
+    assert_eq!(http, flight, "the transcripts of the two protocols differ");
     http
 }
--- a/crates/testkit/src/raw_http2.rs
+++ b/crates/testkit/src/raw_http2.rs
@@ -1,5 +1,5 @@
-//! A client that writes HTTP/2 byte by byte, so that it is able to do wrong. It knows the frames and reads
-//! header lines; all else is left to the test.
+//! A client that writes HTTP/2 frames directly, so that it can violate the protocol. It encodes frames and decodes
+//! headers; all else is left to the test.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -8,13 +8,13 @@
 use httlib_hpack::Decoder;
 use mallowgauge_flight::grpc::{Deframer, SERVICE};
 
-/// Longer than any answer may take on a slow machine.
+/// Upper limit for any response on a slow machine.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Longest frame that may be sent unasked.
+/// Longest frame payload that HTTP/2 allows without a larger `SETTINGS_MAX_FRAME_SIZE`.
 const MAX_FRAME_BYTES: usize = 16_384;
 
-/// Kinds of frames.
+/// Frame types.
 pub const DATA: u8 = 0;
 pub const HEADERS: u8 = 1;
 pub const RST_STREAM: u8 = 3;
@@ -23,12 +23,12 @@
 pub const GOAWAY: u8 = 7;
 pub const WINDOW_UPDATE: u8 = 8;
 pub const CONTINUATION: u8 = 9;
-/// Flags of frames.
+/// Frame flags.
 pub const ACK: u8 = 1;
 pub const END_STREAM: u8 = 1;
 pub const END_HEADERS: u8 = 4;
 
-/// A frame.
+/// A frame as it was received.
 #[derive(Clone, Debug)]
 pub struct Frame {
     pub kind: u8,
@@ -37,39 +37,39 @@
     pub payload: Vec<u8>,
 }
 
-/// What came of a stream.
+/// What was received on a stream.
 #[derive(Clone, Debug, Default)]
 pub struct StreamReply {
-    /// Header lines and trailers.
+    /// Headers and trailers.
     pub headers: Vec<(String, String)>,
-    /// Whole messages.
+    /// Complete gRPC messages.
     pub messages: Vec<Vec<u8>>,
-    /// The reason of a reset.
+    /// The error code of a reset.
     pub reset: Option<u32>,
-    /// The connection ended, or a GOAWAY came with this reason.
+    /// The error code of a GOAWAY, or `u32::MAX` if the connection ended without one.
     pub goaway: Option<u32>,
 }
 
 impl StreamReply {
-    /// A header line or trailer.
+    /// Returns the value of a header or trailer.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().rev().find(|(key, _)| key == name).map(|(_, value)| value.as_str())
     }
 
-    /// gRPC's status.
+    /// Returns the gRPC status code.
     pub fn status(&self) -> Option<u32> {
         self.header("grpc-status")?.parse().ok()
     }
 }
 
-/// The client.
+/// A client connection whose frames the test writes one by one.
 pub struct RawHttp2Client {
     socket: TcpStream,
     decoder: Decoder<'static>,
-    next: u32,
+    next_stream: u32,
 }
 
-/// A header line, written out in full.
+/// Encodes a header as an HPACK literal that is not indexed.
 fn literal(out: &mut Vec<u8>, name: &str, value: &str) {
     out.push(0);
     for text in [name, value] {
@@ -88,7 +88,7 @@
     }
 }
 
-/// The head of a call of a method.
+/// The encoded headers of a gRPC call; a method without a leading `/` belongs to the Flight service.
 pub fn request_headers(method: &str, extra: &[(&str, &str)]) -> Vec<u8> {
     let path = if method.starts_with('/') { method.to_owned() } else { format!("{SERVICE}{method}") };
     let mut out = Vec::new();
@@ -107,79 +107,80 @@
 }
 
 impl RawHttp2Client {
-    /// Connects and says the preface.
+    /// Connects and sends the preface with empty settings.
     pub fn connect(addr: SocketAddr) -> Self {
-        let mut raw = Self::connect_without_preface(addr);
-        raw.write(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
-        raw.send_frame(SETTINGS, 0, 0, &[]);
-        raw
+        let mut client = Self::connect_without_preface(addr);
+        client.write(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
+        client.send_frame(SETTINGS, 0, 0, &[]);
+        client
     }
 
-    /// Connects with these settings (number, value).
+    /// Connects and sends the preface with these settings: pairs of identifier and value.
     pub fn with_settings(addr: SocketAddr, settings: &[(u16, u32)]) -> Self {
-        let mut raw = Self::connect_without_preface(addr);
-        raw.write(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
+        let mut client = Self::connect_without_preface(addr);
+        client.write(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
         let payload: Vec<u8> =
             settings.iter().flat_map(|(id, v)| [&id.to_be_bytes()[..], &v.to_be_bytes()].concat()).collect();
-        raw.send_frame(SETTINGS, 0, 0, &payload);
-        raw
+        client.send_frame(SETTINGS, 0, 0, &payload);
+        client
     }
 
-    /// Connects and says nothing.
+    /// Connects and sends nothing.
     pub fn connect_without_preface(addr: SocketAddr) -> Self {
-        let socket = TcpStream::connect(addr).expect("a connection");
-        socket.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
-        socket.set_write_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
-        Self { socket, decoder: Decoder::default(), next: 1 }
+        let socket = TcpStream::connect(addr).expect("connect");
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
+        socket.set_write_timeout(Some(TEST_TIMEOUT)).expect("set the write timeout");
+        Self { socket, decoder: Decoder::default(), next_stream: 1 }
     }
 
-    /// A client on a connection that is there, which lets so much come before it gives room back.
+    /// Uses an open connection. `window` is the initial window of each stream and is added to that of the
+    /// connection.
     pub fn from_socket(socket: TcpStream, window: u32) -> Self {
-        let mut raw = Self { socket, decoder: Decoder::default(), next: 1 };
-        raw.write(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
-        raw.send_frame(SETTINGS, 0, 0, &[&4_u16.to_be_bytes()[..], &window.to_be_bytes()].concat());
-        raw.send_frame(WINDOW_UPDATE, 0, 0, &window.to_be_bytes());
-        raw
+        let mut client = Self { socket, decoder: Decoder::default(), next_stream: 1 };
+        client.write(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
+        client.send_frame(SETTINGS, 0, 0, &[&4_u16.to_be_bytes()[..], &window.to_be_bytes()].concat());
+        client.send_frame(WINDOW_UPDATE, 0, 0, &window.to_be_bytes());
+        client
     }
 
-    /// Writes bytes as they are; `false` if the program has closed the connection.
+    /// Writes these bytes unchanged; `false` if the program has closed the connection.
     pub fn write(&mut self, bytes: &[u8]) -> bool {
         self.socket.write_all(bytes).is_ok()
     }
 
-    /// Writes a frame.
+    /// Sends a frame; `false` if the program has closed the connection.
     pub fn send_frame(&mut self, kind: u8, flags: u8, stream: u32, payload: &[u8]) -> bool {
         let length = (payload.len() as u32).to_be_bytes();
         let head = [&length[1..], &[kind, flags], &stream.to_be_bytes()].concat();
         self.write(&[&head, payload].concat())
     }
 
-    /// Opens a stream.
+    /// Opens a stream with a call of this method; returns the stream's identifier.
     pub fn open_stream(&mut self, method: &str, extra: &[(&str, &str)], end: bool) -> u32 {
-        let stream = self.next;
-        self.next += 2;
+        let stream = self.next_stream;
+        self.next_stream += 2;
         let flags = END_HEADERS | if end { END_STREAM } else { 0 };
         self.send_frame(HEADERS, flags, stream, &request_headers(method, extra));
         stream
     }
 
-    /// Sends bytes on a stream.
+    /// Sends bytes on a stream in as many DATA frames as needed; `false` if the program has closed the connection.
     pub fn send_data(&mut self, stream: u32, bytes: &[u8], end: bool) -> bool {
         let count = bytes.len().div_ceil(MAX_FRAME_BYTES).max(1);
         (0..count).all(|i| {
-            let piece = &bytes[i * MAX_FRAME_BYTES..bytes.len().min((i + 1) * MAX_FRAME_BYTES)];
-            self.send_frame(DATA, if end && i + 1 == count { END_STREAM } else { 0 }, stream, piece)
+            let chunk = &bytes[i * MAX_FRAME_BYTES..bytes.len().min((i + 1) * MAX_FRAME_BYTES)];
+            self.send_frame(DATA, if end && i + 1 == count { END_STREAM } else { 0 }, stream, chunk)
         })
     }
 
-    /// A call with one message.
+    /// Starts a call with one message; returns the stream's identifier.
     pub fn start_call(&mut self, method: &str, extra: &[(&str, &str)], message: &[u8]) -> u32 {
         let stream = self.open_stream(method, extra, false);
         self.send_data(stream, message, true);
         stream
     }
 
-    /// Reads a frame; `None` once the connection is over.
+    /// Reads a frame; `None` once the connection has ended.
     pub fn read_frame(&mut self) -> Option<Frame> {
         let mut head = [0; 9];
         self.socket.read_exact(&mut head).ok()?;
@@ -190,8 +191,8 @@
         Some(Frame { kind: head[3], flags: head[4], stream, payload })
     }
 
-    /// Reads until a stream is over, giving back what its windows lost if `takes`.
-    pub fn read_reply(&mut self, stream: u32, takes: bool) -> StreamReply {
+    /// Reads until a stream has ended; restores the flow-control windows if `update_windows`.
+    pub fn read_reply(&mut self, stream: u32, update_windows: bool) -> StreamReply {
         let mut reply = StreamReply::default();
         let mut frames = Deframer::new(64 << 20);
         loop {
@@ -201,21 +202,21 @@
             };
             match frame.kind {
                 HEADERS => {
-                    let mut lines = Vec::new();
+                    let mut headers = Vec::new();
                     let mut payload = frame.payload;
-                    self.decoder.decode(&mut payload, &mut lines).expect("header lines");
+                    self.decoder.decode(&mut payload, &mut headers).expect("decode the headers");
                     if frame.stream == stream {
                         let text = |bytes: Vec<u8>| String::from_utf8_lossy(&bytes).into_owned();
-                        reply.headers.extend(lines.into_iter().map(|(n, v, _)| (text(n), text(v))));
+                        reply.headers.extend(headers.into_iter().map(|(n, v, _)| (text(n), text(v))));
                     }
                 }
                 DATA => {
                     if frame.stream == stream {
                         frames.push(&frame.payload);
-                        let whole = std::iter::from_fn(|| frames.take().expect("a message"));
-                        reply.messages.extend(whole.map(|m| m.to_vec()));
+                        let complete = std::iter::from_fn(|| frames.take().expect("a valid gRPC message"));
+                        reply.messages.extend(complete.map(|m| m.to_vec()));
                     }
-                    if takes && !frame.payload.is_empty() {
+                    if update_windows && !frame.payload.is_empty() {
                         let size = (frame.payload.len() as u32).to_be_bytes();
                         self.send_frame(WINDOW_UPDATE, 0, 0, &size);
                         self.send_frame(WINDOW_UPDATE, 0, frame.stream, &size);
@@ -241,7 +242,7 @@
         }
     }
 
-    /// A call with one message, to its end.
+    /// Makes a call with one message and reads its reply.
     pub fn call(&mut self, method: &str, extra: &[(&str, &str)], message: &[u8]) -> StreamReply {
         let stream = self.start_call(method, extra, message);
         self.read_reply(stream, true)
@@ -249,13 +250,13 @@
 
     /// Closes the sending side.
     pub fn shut_down_writing(&self) {
-        self.socket.shutdown(Shutdown::Write).expect("a connection");
+        self.socket.shutdown(Shutdown::Write).expect("shut down the socket");
     }
 
-    /// Whether the program has closed the connection; waits for that.
+    /// Waits for the program to close the connection; `false` if it does not in time.
     pub fn is_closed(&mut self) -> bool {
         let mut rest = Vec::new();
-        // A reset counts as well as an end.
+        // A reset counts as a close.
         match self.socket.read_to_end(&mut rest) {
             Ok(_) => true,
             Err(e) => !matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut),
--- a/crates/testkit/src/stand_ins.rs
+++ b/crates/testkit/src/stand_ins.rs
@@ -1,4 +1,4 @@
-//! Stand-ins on the platform's own wires: a host that takes frames, discovery, and an HTTP client.
+//! Stand-ins for the platform's own protocols: a backend that speaks frames, discovery, and an HTTP client.
 
 use std::cell::Cell;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -10,24 +10,26 @@
 use super::{BackendReply, Event, Query, TEST_TIMEOUT};
 
 fn listener() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let addr = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+    let addr = listener.local_addr().expect("local address");
     (listener, addr)
 }
 
-fn frame(letter: u8, rest: &str) -> Vec<u8> {
-    let length = u32::try_from(rest.len() + 1).expect("a short frame");
-    [&length.to_be_bytes()[..], &[letter], rest.as_bytes()].concat()
+/// Encodes a frame with this kind letter and payload.
+fn frame(letter: u8, payload: &str) -> Vec<u8> {
+    let length = u32::try_from(payload.len() + 1).expect("a short frame");
+    [&length.to_be_bytes()[..], &[letter], payload.as_bytes()].concat()
 }
 
-/// A host that takes frames; whether it leaves probes to the scenario.
-pub fn frame_backend(number: usize, events: Sender<Event>, probes: bool) -> SocketAddr {
+/// Starts a backend that speaks frames and reports to `events`. With `manual_health_checks` the scenario answers
+/// health checks; otherwise the backend does.
+pub fn frame_backend(number: usize, events: Sender<Event>, manual_health_checks: bool) -> SocketAddr {
     let (listener, addr) = listener();
     std::thread::spawn(move || {
         for socket in listener.incoming().flatten() {
             let events = events.clone();
             std::thread::spawn(move || {
-                serve(number, socket, &events, probes);
+                serve(number, socket, &events, manual_health_checks);
                 drop(events.send(Event::ConnectionClosed));
             });
         }
@@ -35,7 +37,7 @@
     addr
 }
 
-/// The next frame: its letter and the rest.
+/// Reads the next frame: its kind letter and its payload.
 fn read_frame(socket: &mut TcpStream) -> Option<(u8, String)> {
     let mut head = [0; 5];
     socket.read_exact(&mut head).ok()?;
@@ -45,42 +47,49 @@
     Some((head[4], String::from_utf8(rest).expect("text")))
 }
 
-fn serve(number: usize, mut socket: TcpStream, events: &Sender<Event>, probes: bool) -> Option<()> {
+fn serve(
+    number: usize,
+    mut socket: TcpStream,
+    events: &Sender<Event>,
+    manual_health_checks: bool,
+) -> Option<()> {
     loop {
         let (letter, text) = read_frame(&mut socket)?;
         match letter {
-            b'm' => call(number, &text, &socket, events),
+            b'm' => report_parts(number, &text, &socket, events),
             b'n' => {
                 let shard = text.rsplit('.').next().and_then(|s| s.parse().ok());
-                drop(events.send(Event::Cancel(shard.expect("a part's id"))));
+                drop(events.send(Event::Cancel(shard.expect("a part id that ends with the shard"))));
             }
-            b'o' if probes => {
+            b'o' if manual_health_checks => {
                 let socket = socket.try_clone().ok()?;
-                let reply = move || (&socket).write_all(&frame(b'o', "good")).expect("a connection");
+                let reply =
+                    move || (&socket).write_all(&frame(b'o', "good")).expect("write to the connection");
                 drop(events.send(Event::HealthCheck(Box::new(reply))));
             }
             b'o' => socket.write_all(&frame(b'o', "good")).ok()?,
-            letter => panic!("a frame {letter}"),
+            letter => panic!("unexpected frame kind {letter}"),
         }
     }
 }
 
-fn call(number: usize, mut text: &str, socket: &TcpStream, events: &Sender<Event>) {
+/// Reports the parts of a frame to the scenario.
+fn report_parts(number: usize, mut text: &str, socket: &TcpStream, events: &Sender<Event>) {
     while let Some((line, rest)) = text.split_once('\n') {
         let words: Vec<&str> = line.split(' ').collect();
-        let [id, shard, list, length] = words[..] else { panic!("a line {line}") };
-        assert!(id.ends_with(&format!(".{shard}")) && list.starts_with("d="), "{line}");
+        let [id, shard, time_left, length] = words[..] else { panic!("malformed part line: {line}") };
+        assert!(id.ends_with(&format!(".{shard}")) && time_left.starts_with("d="), "{line}");
         let (carried, after) = rest.split_at(length.parse().expect("a length"));
-        assert_eq!(carried, "c41e77d0", "the query's text goes on unchanged");
+        assert_eq!(carried, "c41e77d0", "the query's text is forwarded unchanged");
         text = after;
-        let (id, socket) = (id.to_owned(), socket.try_clone().expect("a socket"));
+        let (id, socket) = (id.to_owned(), socket.try_clone().expect("clone the socket"));
         let reply = move |reply: BackendReply| match reply {
-            BackendReply::Outcome(end, _) if end == "nonsense" => {
-                (&socket).write_all(&frame(b'z', "")).expect("room")
+            BackendReply::Outcome(outcome, _) if outcome == "nonsense" => {
+                (&socket).write_all(&frame(b'z', "")).expect("send the data")
             }
-            BackendReply::Outcome(end, value) => {
+            BackendReply::Outcome(outcome, value) => {
                 let good = frame(b'q', &format!("{id} good 0 util=0.5\n{value}"));
-                let answer = match &*end {
+                let answer = match &*outcome {
                     "stray" => frame(b'q', &format!("x{id} good 0 util=0.5\n{value}")),
                     "half" => good[..good.len() - 1].to_vec(),
                     "twice" => [good.clone(), good].concat(),
@@ -90,73 +99,76 @@
                         let length = u32::try_from(line.len() + report.len()).expect("a short frame");
                         [&length.to_be_bytes()[..], &line, &report, b"\0\0\x01\0q"].concat()
                     }
-                    end => frame(b'q', &format!("{id} {end} 0 util=0.5\n{value}")),
+                    outcome => frame(b'q', &format!("{id} {outcome} 0 util=0.5\n{value}")),
                 };
-                (&socket).write_all(&answer).expect("a connection");
+                (&socket).write_all(&answer).expect("write to the connection");
             }
-            BackendReply::Disconnect => socket.shutdown(Shutdown::Both).expect("a connection"),
+            BackendReply::Disconnect => socket.shutdown(Shutdown::Both).expect("shut down the socket"),
         };
         drop(events.send(Event::Part(number, shard.parse().expect("a shard"), Box::new(reply))));
     }
 }
 
-pub fn endpoint(host: usize, addr: SocketAddr, state: &str) -> Value {
-    json!({"instanceId": format!("s-{host}"), "hostPort": addr.to_string(), "zone": "regina-dc1",
-           "machineType": "m2", "cell": host, "lifecycle": state, "weight": 1.0, "startedAtMs": 0})
+/// The entry of a backend in discovery's endpoint list.
+pub fn endpoint(backend: usize, addr: SocketAddr, state: &str) -> Value {
+    json!({"instanceId": format!("s-{backend}"), "hostPort": addr.to_string(), "zone": "regina-dc1",
+           "machineType": "m2", "cell": backend, "lifecycle": state, "weight": 1.0, "startedAtMs": 0})
 }
 
-/// Discovery: holds each watch until there is something to tell.
+/// Stand-in discovery. It keeps each watch open until the test publishes a change or a failure.
 pub struct DiscoveryStandIn {
     pub addr: SocketAddr,
-    news: Sender<String>,
-    asked: Receiver<()>,
-    asked_again: Cell<bool>,
+    responses: Sender<String>,
+    requests: Receiver<()>,
+    first_request_seen: Cell<bool>,
     generation: Cell<u64>,
 }
 
 impl DiscoveryStandIn {
     pub fn start() -> Self {
         let (listener, addr) = listener();
-        let (news, told) = channel::<String>();
-        let (ask, asked) = channel();
+        let (responses, next_response) = channel::<String>();
+        let (on_request, requests) = channel();
         std::thread::spawn(move || {
             for mut socket in listener.incoming().flatten() {
-                let mut lines = BufReader::new(socket.try_clone().expect("a socket")).lines();
-                // A head ends with an empty line; nothing follows a GET.
+                let mut lines = BufReader::new(socket.try_clone().expect("clone the socket")).lines();
+                // A request head ends with an empty line; a GET has no body.
                 while lines.by_ref().map_while(Result::ok).any(|line| line.is_empty()) {
-                    ask.send(()).expect("a test");
-                    let Ok(answer) = told.recv() else { return };
-                    if socket.write_all(answer.as_bytes()).is_err() {
+                    on_request.send(()).expect("the test still runs");
+                    let Ok(response) = next_response.recv() else { return };
+                    if socket.write_all(response.as_bytes()).is_err() {
                         break;
                     }
                 }
             }
         });
-        Self { addr, news, asked, asked_again: Cell::new(false), generation: Cell::new(1) }
+        Self { addr, responses, requests, first_request_seen: Cell::new(false), generation: Cell::new(1) }
     }
 
+    /// Answers the pending watch with a delta that holds this endpoint.
     pub fn publish(&self, endpoint: &Value) {
         self.generation.set(self.generation.get() + 1);
         let list = json!({"generation": self.generation.get(), "reset": false, "instances": [endpoint]});
-        self.answer("200 OK", &list.to_string());
+        self.respond("200 OK", &list.to_string());
     }
 
+    /// Answers the pending watch with status 503.
     pub fn fail(&self) {
-        self.answer("503 Service Unavailable", "");
+        self.respond("503 Service Unavailable", "");
     }
 
-    /// Answers the watch. The program has read that once it asks again.
-    fn answer(&self, status: &str, body: &str) {
-        if !self.asked_again.replace(true) {
-            self.asked.recv_timeout(TEST_TIMEOUT).expect("a watch");
+    /// Answers the pending watch, and waits for the next request: the program has then read this response.
+    fn respond(&self, status: &str, body: &str) {
+        if !self.first_request_seen.replace(true) {
+            self.requests.recv_timeout(TEST_TIMEOUT).expect("a watch");
         }
         let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n", body.len());
-        self.news.send(head + body).expect("discovery runs");
-        self.asked.recv_timeout(TEST_TIMEOUT).expect("the next watch");
+        self.responses.send(head + body).expect("discovery runs");
+        self.requests.recv_timeout(TEST_TIMEOUT).expect("the next watch");
     }
 }
 
-/// What a transcript says of an answer's body.
+/// Describes a response body in the form that transcripts use.
 pub fn describe_body(body: &Value) -> String {
     let mark = if body["total"] == true { "whole" } else { "partial" };
     let value = |a: &Value| match a["blob"].as_str().unwrap_or_default() {
@@ -167,7 +179,8 @@
     mark.to_owned() + &values.concat()
 }
 
-/// Sends a request and reads the response: its status, head and body. `None` if the connection breaks.
+/// Sends a request and reads the response to the end of the connection: its status, head and body. `None` if the
+/// connection breaks.
 pub fn exchange(mut socket: &TcpStream, request: &str) -> Option<(u16, String, String)> {
     socket.write_all(request.as_bytes()).ok()?;
     let mut text = String::new();
@@ -177,7 +190,7 @@
     Some((status, head.to_owned(), body.to_owned()))
 }
 
-/// A query as an HTTP request.
+/// A query as an HTTP request that closes the connection.
 pub fn http_request(query: &Query) -> String {
     let (Query { id, kind, deadline_ms: ms, .. }, body) = (query, query.body.to_string());
     format!(
@@ -187,55 +200,58 @@
     )
 }
 
-/// An HTTP client; the returned call makes it go away.
+/// Sends a query over HTTP and passes a description of the response to `on_response`. The returned function
+/// disconnects the client.
 pub fn send_query(
     addr: SocketAddr,
     query: Query,
-    answer: impl Fn(String) + Send + 'static,
+    on_response: impl Fn(String) + Send + 'static,
 ) -> Box<dyn FnOnce()> {
-    let socket = TcpStream::connect(addr).expect("a connection");
-    let closer = socket.try_clone().expect("a socket");
+    let socket = TcpStream::connect(addr).expect("connect");
+    let closer = socket.try_clone().expect("clone the socket");
     std::thread::spawn(move || {
-        let Some((status, head, got)) = exchange(&socket, &http_request(&query)) else { return };
-        let got: Value = serde_json::from_str(&got).expect("a body");
-        let advice = head.contains("\r\nRetry-After: ");
-        answer(match status {
-            200 => describe_body(&got),
-            503 => format!("refused{}", if advice { ", with advice" } else { "" }),
+        let Some((status, head, text)) = exchange(&socket, &http_request(&query)) else { return };
+        let response: Value = serde_json::from_str(&text).expect("a body");
+        let has_advice = head.contains("\r\nRetry-After: ");
+        on_response(match status {
+            200 => describe_body(&response),
+            503 => format!("refused{}", if has_advice { ", with advice" } else { "" }),
             502 => "failed".to_owned(),
             504 => "time up".to_owned(),
-            400 => format!("invalid: {}", got["error"].as_str().unwrap_or_default()),
+            400 => format!("invalid: {}", response["error"].as_str().unwrap_or_default()),
             other => format!("status {other:?}"),
         });
     });
-    Box::new(move || closer.shutdown(Shutdown::Both).expect("a connection"))
+    Box::new(move || closer.shutdown(Shutdown::Both).expect("shut down the socket"))
 }
 
-/// What a host by script answers to a part: its end and value; `None` for silence.
+/// Decides how a scripted backend answers a part, from the backend's number, the query's id, the shard and the
+/// query's text: an outcome and a value, or `None` for no answer.
 pub type FrameScript =
     std::sync::Arc<dyn Fn(usize, &str, u32, &str) -> Option<(String, String)> + Send + Sync>;
 
-/// A host on frames that answers by a script, which is given its number, the query, the shard and the text.
+/// Starts a backend that speaks frames and answers by a script.
 pub fn scripted_frame_backend(
     number: usize,
     script: FrameScript,
-    runs: crate::columns::AttemptCounts,
+    attempts: crate::columns::AttemptCounts,
 ) -> SocketAddr {
     let (listener, addr) = listener();
     std::thread::spawn(move || {
         for socket in listener.incoming().flatten() {
-            let (script, runs) = (script.clone(), runs.clone());
-            std::thread::spawn(move || answer_all(number, socket, &script, &runs));
+            let (script, attempts) = (script.clone(), attempts.clone());
+            std::thread::spawn(move || answer_all(number, socket, &script, &attempts));
         }
     });
     addr
 }
 
+/// Answers every part of a connection by the script, and every health check.
 fn answer_all(
     number: usize,
     mut socket: TcpStream,
     script: &FrameScript,
-    runs: &crate::columns::AttemptCounts,
+    attempts: &crate::columns::AttemptCounts,
 ) -> Option<()> {
     loop {
         let (letter, text) = read_frame(&mut socket)?;
@@ -249,9 +265,9 @@
             let (carried, after) = rest.split_at(words[3].parse().ok()?);
             text = after;
             let query = id.rsplit_once('.')?.0;
-            *runs.lock().ok()?.entry((query.to_owned(), shard)).or_default() += 1;
-            if let Some((end, value)) = script(number, query, shard, carried) {
-                socket.write_all(&frame(b'q', &format!("{id} {end} 0 util=0.5\n{value}"))).ok()?;
+            *attempts.lock().ok()?.entry((query.to_owned(), shard)).or_default() += 1;
+            if let Some((outcome, value)) = script(number, query, shard, carried) {
+                socket.write_all(&frame(b'q', &format!("{id} {outcome} 0 util=0.5\n{value}"))).ok()?;
             }
         }
     }
--- a/crates/testkit/src/tls.rs
+++ b/crates/testkit/src/tls.rs
@@ -1,4 +1,4 @@
-//! Certificates made for a test: an authority, and what it signs.
+//! Certificates for tests: a certificate authority and the certificates that it signs.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 
-/// An authority.
+/// A certificate authority.
 pub struct Authority {
     issuer: Issuer<'static, KeyPair>,
     /// Its certificate, in PEM.
@@ -21,20 +21,20 @@
 }
 
 impl Authority {
-    /// A new one.
+    /// Creates an authority with a new key.
     pub fn new() -> Self {
-        let key = KeyPair::generate().expect("a key");
-        let mut params = CertificateParams::new(Vec::new()).expect("names");
+        let key = KeyPair::generate().expect("key");
+        let mut params = CertificateParams::new(Vec::new()).expect("valid subject names");
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         let certificate = params.self_signed(&key).expect("a certificate");
         Self { pem: certificate.pem(), issuer: Issuer::new(params, key) }
     }
 
-    /// A certificate for loopback; one that has expired if so wished.
+    /// Signs a certificate for loopback; with `expired`, one whose validity has ended.
     pub fn sign(&self, expired: bool) -> Identity {
-        let key = KeyPair::generate().expect("a key");
+        let key = KeyPair::generate().expect("key");
         let names = vec!["localhost".to_owned(), "127.0.0.1".to_owned()];
-        let mut params = CertificateParams::new(names).expect("names");
+        let mut params = CertificateParams::new(names).expect("valid subject names");
         params.extended_key_usages =
             vec![ExtendedKeyUsagePurpose::ServerAuth, ExtendedKeyUsagePurpose::ClientAuth];
         if expired {
@@ -53,14 +53,15 @@
 }
 
 impl Identity {
-    /// The certificate as a server's settings; with roots, clients have to show a certificate from there.
-    pub fn server_config(&self, clients: Option<&str>) -> Arc<rustls::ServerConfig> {
+    /// A server configuration with this certificate. With `client_ca`, clients must present a certificate that this
+    /// authority signed.
+    pub fn server_config(&self, client_ca: Option<&str>) -> Arc<rustls::ServerConfig> {
         let chain = vec![CertificateDer::from_pem_slice(self.certificate.as_bytes()).expect("a certificate")];
-        let key = PrivateKeyDer::from_pem_slice(self.key.as_bytes()).expect("a key");
+        let key = PrivateKeyDer::from_pem_slice(self.key.as_bytes()).expect("key");
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let builder = rustls::ServerConfig::builder_with_provider(provider);
-        let builder = builder.with_safe_default_protocol_versions().expect("versions");
-        let builder = match clients {
+        let builder = builder.with_safe_default_protocol_versions().expect("TLS versions");
+        let builder = match client_ca {
             None => builder.with_no_client_auth(),
             Some(pem) => {
                 let mut roots = rustls::RootCertStore::empty();
@@ -71,16 +72,16 @@
                 builder.with_client_cert_verifier(verifier.build().expect("a verifier"))
             }
         };
-        let mut config = builder.with_single_cert(chain, key).expect("a pair");
+        let mut config = builder.with_single_cert(chain, key).expect("a certificate with its key");
         config.alpn_protocols = vec![b"h2".to_vec()];
         Arc::new(config)
     }
 }
 
-/// Writes a file for the program to read, in a folder of the test's own.
+/// Writes a file into a folder, which is created if missing, and returns its path.
 pub fn write_file(folder: &std::path::Path, name: &str, text: &str) -> PathBuf {
-    std::fs::create_dir_all(folder).expect("a folder");
+    std::fs::create_dir_all(folder).expect("create the folder");
     let path = folder.join(name);
-    std::fs::write(&path, text).expect("a file");
+    std::fs::write(&path, text).expect("write the file");
     path
 }
