--- a/crates/lab/tests/trial.rs
+++ b/crates/lab/tests/trial.rs
@@ -81,14 +81,14 @@
 #[test]
 fn each_rule_catches_what_was_planted() {
     let answered = || vec![Step::Answered(60)];
-    assert_eq!(broken(Planted::DoubleRuns, answered()), "an effect once");
+    assert_eq!(broken(Planted::DoubleRuns, answered()), "at most one execution");
     assert_eq!(broken(Planted::DoubleAnswers, answered()), "one answer in time");
     assert_eq!(broken(Planted::LostAnswers, answered()), "one answer in time");
     assert_eq!(broken(Planted::TightLimits, answered()), "memory and descriptors");
     let drains = vec![Step::Answered(20), Step::Drain(0), Step::PassMs(1500)];
-    assert_eq!(broken(Planted::MuteDiscovery, drains), "drains kept");
+    assert_eq!(broken(Planted::MuteDiscovery, drains), "drains respected");
     let cold = vec![Step::Answered(20), Step::Cold(0), Step::PassMs(1500)];
-    assert_eq!(broken(Planted::MuteDiscovery, cold), "cold hosts spared");
+    assert_eq!(broken(Planted::MuteDiscovery, cold), "warm-up limits respected");
     let killed = broken(Planted::SecretKill, vec![Step::PassMs(500)]);
     assert!(killed.contains("no crash"), "{killed}");
 }
--- a/crates/testkit/src/bench_flight.rs
+++ b/crates/testkit/src/bench_flight.rs
@@ -1,7 +1,7 @@
-//! `make bench-flight`: what column tables cost from four stand-in hosts through the program to one reader,
-//! beside the same tables as text over HTTP, and beside reading the hosts directly; and what 200 readers
-//! that hardly read make of the memory. Hosts run here, the program and each reader in processes of their
-//! own, whose CPU is read from the system. All sides run in turns, and medians are printed.
+//! `make bench-flight`: measures the cost of column tables from four stand-in backends through the program to one
+//! reader, compared with the same tables as text over HTTP and with reading the backends directly; and the memory
+//! that the program needs for 200 slow readers. The backends run in this process, the program and each reader in
+//! separate processes whose CPU time is read from `/proc`. The variants run alternately, and medians are printed.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -21,24 +21,25 @@
 use serde_json::{json, Value};
 
 const BACKENDS: u32 = 4;
+/// Measured rounds; one more warms up.
 const ROUNDS: usize = 5;
-/// Record batches of a part, and their rows: about four megabytes.
+/// Record batches of a part and the rows of each batch: about four megabytes.
 const BATCHES: usize = 8;
 const ROWS: usize = 10_000;
 
-/// CPU seconds that a process has used.
+/// Returns the CPU seconds that a process has used.
 fn cpu(pid: u32) -> f64 {
-    let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("a process");
+    let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("the process runs");
     let rest = text.rsplit_once(')').expect("a name").1;
     let field =
         |at: usize| -> f64 { rest.split_whitespace().nth(at).and_then(|n| n.parse().ok()).expect("ticks") };
     (field(11) + field(12)) / 100.0
 }
 
-/// A line of a process's status, in KB.
-fn memory(pid: u32, what: &str) -> u64 {
-    let text = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("a process");
-    let line = text.lines().find(|line| line.starts_with(what)).expect("a line");
+/// Returns a field of `/proc/PID/status`, in KB.
+fn memory(pid: u32, field: &str) -> u64 {
+    let text = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("the process runs");
+    let line = text.lines().find(|line| line.starts_with(field)).expect("a field of this name");
     line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).expect("a number")
 }
 
@@ -47,12 +48,12 @@
     json!({"kind": "search", "id": id, "ranges": ranges, "predicate": "c41e77d0"})
 }
 
-/// A program with these hosts, which may use so much memory.
-fn start(hosts: &[SocketAddr], memory_mb: u64) -> (Program, stand_ins::DiscoveryStandIn) {
-    let roster = stand_ins::DiscoveryStandIn::start();
-    let mut file = config(hosts, roster.addr);
-    file["settings"]["FamilyInfo"]["Places"] = json!(hosts.len());
-    file["settings"]["FamilyInfo"]["Width"] = json!(hosts.len());
+/// Starts a program with these backends and this memory limit.
+fn start(backends: &[SocketAddr], memory_mb: u64) -> (Program, stand_ins::DiscoveryStandIn) {
+    let discovery = stand_ins::DiscoveryStandIn::start();
+    let mut file = config(backends, discovery.addr);
+    file["settings"]["FamilyInfo"]["Places"] = json!(backends.len());
+    file["settings"]["FamilyInfo"]["Width"] = json!(backends.len());
     file["settings"]["Limits"]["MaxOpen"] = json!(400);
     for class in 0..3 {
         file["settings"]["Classes"][class]["AimUs"] = json!(20_000_000);
@@ -60,7 +61,7 @@
     }
     file["limits"] = json!({"cores": 1.0, "memory_mb": memory_mb, "sockets": 4096});
     let operator = json!({"flight": {"listen": "127.0.0.1:0", "hosts": "all"}});
-    (Program::start(&file, &operator, 4096), roster)
+    (Program::start(&file, &operator, 4096), discovery)
 }
 
 async fn connect(addr: SocketAddr) -> h2::client::SendRequest<Bytes> {
@@ -73,7 +74,8 @@
     sender
 }
 
-/// A call to its end: its messages' bytes, the first message, and its status. Messages are not decoded.
+/// Makes a call and reads it to its end: the bytes of its messages, the first message and the status (99 if the call
+/// broke off). Messages are not decoded.
 async fn call(
     sender: &mut h2::client::SendRequest<Bytes>,
     method: &str,
@@ -90,10 +92,10 @@
     let head = response.headers().clone();
     let mut body = response.into_body();
     let (mut frames, mut bytes, mut first) = (Deframer::new(1 << 30), 0, Bytes::new());
-    while let Some(piece) = body.data().await {
-        let Ok(piece) = piece else { return (bytes, first, 99) };
-        let _ = body.flow_control().release_capacity(piece.len());
-        frames.push(&piece);
+    while let Some(chunk) = body.data().await {
+        let Ok(chunk) = chunk else { return (bytes, first, 99) };
+        let _ = body.flow_control().release_capacity(chunk.len());
+        frames.push(&chunk);
         while let Ok(Some(message)) = frames.take() {
             bytes += message.len() as u64;
             if first.is_empty() {
@@ -105,13 +107,13 @@
     (bytes, first, status_of(&trailers).unwrap_or(99))
 }
 
-/// What a reader does; prints bytes, seconds and CPU seconds.
+/// Runs a reader process: reads `count` answers and prints bytes, seconds and CPU seconds.
 fn reader(kind: &str, addrs: &[SocketAddr], count: usize) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build a runtime");
     let local = tokio::task::LocalSet::new();
-    let began = Instant::now();
-    let before = cpu(std::process::id());
+    let started = Instant::now();
+    let cpu_before = cpu(std::process::id());
     let bytes: u64 = match kind {
         "text" => (0..count).map(|i| text(addrs[0], i)).sum(),
         "flight" => local.block_on(&runtime, async {
@@ -152,10 +154,11 @@
             sum
         }),
     };
-    let cpu = cpu(std::process::id()) - before;
-    println!("{bytes} {} {cpu}", began.elapsed().as_secs_f64());
+    let cpu_seconds = cpu(std::process::id()) - cpu_before;
+    println!("{bytes} {} {cpu_seconds}", started.elapsed().as_secs_f64());
 }
 
+/// Fetches one answer as text over HTTP; returns its bytes.
 fn text(addr: SocketAddr, number: usize) -> u64 {
     let mut socket = TcpStream::connect(addr).expect("connect");
     let id = format!("t-{}-{number}", std::process::id());
@@ -178,11 +181,12 @@
     answer.len() as u64
 }
 
-fn median(mut all: Vec<f64>) -> f64 {
-    all.sort_by(f64::total_cmp);
-    all[all.len() / 2]
+fn median(mut values: Vec<f64>) -> f64 {
+    values.sort_by(f64::total_cmp);
+    values[values.len() / 2]
 }
 
+/// Compares reading the backends directly, over Flight through the program, and as text over HTTP.
 fn throughput() {
     let table: Vec<_> = (0..BATCHES).map(|_| listings(0, ROWS)).collect();
     let bytes: usize = mallowgauge_testkit::columns::messages_of(&table, TableEncoding::default())
@@ -191,81 +195,84 @@
         .sum();
     let script: Script =
         Arc::new(move |_, _, _| ScriptedReply::Table(table.clone(), TableEncoding::default()));
-    let hosts: Vec<SocketAddr> = (0..BACKENDS as usize)
+    let backends: Vec<SocketAddr> = (0..BACKENDS as usize)
         .map(|i| scripted_backend(i, Arc::clone(&script), AttemptCounts::default(), None))
         .collect();
-    let (program, _roster) = start(&hosts, 1024);
+    let (program, _discovery) = start(&backends, 1024);
     let megabytes = f64::from(BACKENDS) * bytes as f64 / 1e6;
     println!(
-        "tables of {:.1} MB from each of {BACKENDS} hosts; {ROUNDS} rounds in turns, medians",
+        "tables of {:.1} MB from each of {BACKENDS} backends; medians of {ROUNDS} alternating rounds",
         bytes as f64 / 1e6
     );
-    println!("per megabyte of columns, whatever they were turned into:");
+    println!("per megabyte of column data, whatever its encoding on the wire:");
     println!("{:8} {:>10} {:>16} {:>16} {:>10}", "path", "MB/s", "program ms/MB", "reader ms/MB", "wire MB");
-    let me = std::env::current_exe().expect("a path");
-    // Text is slow: fewer queries of it take as long.
+    let executable = std::env::current_exe().expect("path of this executable");
+    // Text is slow: fewer queries give rounds of similar length.
     let kinds = [("direct", 20), ("flight", 20), ("text", 2)];
-    let mut seen: Vec<[Vec<f64>; 4]> = kinds.iter().map(|_| Default::default()).collect();
+    let mut measured: Vec<[Vec<f64>; 4]> = kinds.iter().map(|_| Default::default()).collect();
     for round in 0..=ROUNDS {
-        for (at, (kind, count)) in kinds.iter().enumerate() {
+        for (index, (kind, count)) in kinds.iter().enumerate() {
             let addrs: Vec<String> = match *kind {
-                "direct" => hosts.iter().map(ToString::to_string).collect(),
+                "direct" => backends.iter().map(ToString::to_string).collect(),
                 "flight" => vec![program.flight.to_string()],
                 _ => vec![program.http.to_string()],
             };
-            let before = cpu(program.child.id());
-            let out = Command::new(&me).args(["reader", kind, &count.to_string()]).args(&addrs).output();
-            let out = out.expect("a reader");
-            assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
-            let used = cpu(program.child.id()) - before;
-            let text = String::from_utf8(out.stdout).expect("text");
-            let said: Vec<f64> = text.split_whitespace().map(|n| n.parse().expect("a number")).collect();
-            // The first round warms up.
+            let cpu_before = cpu(program.child.id());
+            let output =
+                Command::new(&executable).args(["reader", kind, &count.to_string()]).args(&addrs).output();
+            let output = output.expect("run a reader");
+            assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+            let program_cpu = cpu(program.child.id()) - cpu_before;
+            let text = String::from_utf8(output.stdout).expect("text");
+            let reported: Vec<f64> = text.split_whitespace().map(|n| n.parse().expect("a number")).collect();
+            // The first round is a warm-up.
             if round > 0 {
-                let all = megabytes * *count as f64;
+                let total_megabytes = megabytes * *count as f64;
                 let figures = [
-                    all / said[1],
-                    used * 1000.0 / all,
-                    said[2] * 1000.0 / all,
-                    said[0] / 1e6 / *count as f64,
+                    total_megabytes / reported[1],
+                    program_cpu * 1000.0 / total_megabytes,
+                    reported[2] * 1000.0 / total_megabytes,
+                    reported[0] / 1e6 / *count as f64,
                 ];
-                seen[at].iter_mut().zip(figures).for_each(|(list, figure)| list.push(figure));
+                measured[index].iter_mut().zip(figures).for_each(|(list, figure)| list.push(figure));
             }
         }
     }
     let mut speeds = Vec::new();
-    for ((kind, _), figures) in kinds.iter().zip(seen) {
+    for ((kind, _), figures) in kinds.iter().zip(measured) {
         let [speed, used, read, wire] = figures.map(median);
         println!("{kind:8} {speed:>10.0} {used:>16.2} {read:>16.2} {wire:>10.1}");
         speeds.push((speed, used, read));
     }
     let (direct, flight, text) = (speeds[0], speeds[1], speeds[2]);
-    println!("flight beside text: {:.1} times the speed", flight.0 / text.0);
-    println!("the program's CPU beside reading directly: {:.2} times", flight.1 / direct.2);
+    println!("speed of flight compared with text: {:.1} times", flight.0 / text.0);
+    println!("CPU of the program compared with reading directly: {:.2} times", flight.1 / direct.2);
     println!("peak memory of the program: {} MB of 1024", memory(program.child.id(), "VmHWM:") / 1024);
-    println!("what 10 Gbit/s need at that rate: {:.1} cores", 1250.0 * flight.1 / 1000.0);
+    println!("cores needed for 10 Gbit/s at that rate: {:.1}", 1250.0 * flight.1 / 1000.0);
 }
 
-/// Readers that take next to nothing of answers of about 60 MB.
+/// Measures the program's memory while many readers read answers of about 60 MB very slowly.
 fn slow(readers: usize) {
-    const A_CONNECTION: usize = 8;
-    const MEMORY: u64 = 640;
+    const READERS_PER_CONNECTION: usize = 8;
+    const MEMORY_MB: u64 = 640;
     let script: Script = Arc::new(|_, _, _| {
         ScriptedReply::Table((0..15).map(|_| numbers(1 << 20)).collect(), TableEncoding::default())
     });
-    let hosts: Vec<SocketAddr> = (0..BACKENDS as usize)
+    let backends: Vec<SocketAddr> = (0..BACKENDS as usize)
         .map(|i| scripted_backend(i, Arc::clone(&script), AttemptCounts::default(), None))
         .collect();
-    let (program, _roster) = start(&hosts, MEMORY);
+    let (program, _discovery) = start(&backends, MEMORY_MB);
     let addr = program.flight;
-    println!("\n{readers} readers that take 16 KB a second of answers of 60 MB; {MEMORY} MB for the program");
+    println!(
+        "\n{readers} readers that read answers of 60 MB at 16 KB per second; {MEMORY_MB} MB for the program"
+    );
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build a runtime");
     let local = tokio::task::LocalSet::new();
-    let ends = local.block_on(&runtime, async {
+    let outcomes = local.block_on(&runtime, async {
         let (mut tasks, mut senders) = (Vec::new(), Vec::new());
-        // As many connections as the program takes with this memory, and several readers on each.
-        for _ in 0..readers / A_CONNECTION {
+        // As many connections as the program accepts with this memory limit, with several readers on each.
+        for _ in 0..readers / READERS_PER_CONNECTION {
             let socket = tokio::net::TcpStream::connect(addr).await.expect("connect");
             let mut builder = h2::client::Builder::new();
             builder.initial_connection_window_size(1 << 20);
@@ -273,12 +280,12 @@
             tokio::task::spawn_local(connection);
             senders.push(sender);
         }
-        for i in 0..readers {
-            let mut sender: h2::client::SendRequest<Bytes> = senders[i / A_CONNECTION].clone();
+        for reader in 0..readers {
+            let mut sender: h2::client::SendRequest<Bytes> = senders[reader / READERS_PER_CONNECTION].clone();
             tasks.push(tokio::task::spawn_local(async move {
-                let work = async {
+                let read_slowly = async {
                     let descriptor =
-                        FlightDescriptor::command(query(&format!("s-{i}"), BACKENDS).to_string().into());
+                        FlightDescriptor::command(query(&format!("s-{reader}"), BACKENDS).to_string().into());
                     let (_, info, status) = call(&mut sender, "GetFlightInfo", frame(&descriptor)).await;
                     if status != 0 {
                         return Some(status);
@@ -296,30 +303,30 @@
                         return Some(status);
                     }
                     let mut body = response.into_body();
-                    while let Some(Ok(piece)) = body.data().await {
-                        tokio::time::sleep(Duration::from_millis(piece.len() as u64 / 16)).await;
-                        let _ = body.flow_control().release_capacity(piece.len());
+                    while let Some(Ok(chunk)) = body.data().await {
+                        tokio::time::sleep(Duration::from_millis(chunk.len() as u64 / 16)).await;
+                        let _ = body.flow_control().release_capacity(chunk.len());
                     }
                     body.trailers().await.ok().flatten().as_ref().and_then(status_of)
                 };
-                tokio::time::timeout(Duration::from_secs(25), work).await.ok().flatten()
+                tokio::time::timeout(Duration::from_secs(25), read_slowly).await.ok().flatten()
             }));
         }
-        let mut ends = std::collections::BTreeMap::<String, usize>::new();
+        let mut outcomes = std::collections::BTreeMap::<String, usize>::new();
         for task in tasks {
-            let end = match task.await.expect("a task") {
-                Some(0) => "whole".to_owned(),
-                Some(8 | 14) => "refused".to_owned(),
-                Some(4) => "time up".to_owned(),
+            let outcome = match task.await.expect("the reader task") {
+                Some(0) => "complete".to_owned(),
+                Some(8 | 14) => "rejected".to_owned(),
+                Some(4) => "deadline exceeded".to_owned(),
                 Some(code) => format!("status {code}"),
-                None => "cut off, or still reading".to_owned(),
+                None => "broken off or still reading".to_owned(),
             };
-            *ends.entry(end).or_default() += 1;
+            *outcomes.entry(outcome).or_default() += 1;
         }
-        ends
+        outcomes
     });
-    println!("ends: {ends:?}");
-    println!("peak memory: {} MB of {MEMORY}", memory(program.child.id(), "VmHWM:") / 1024);
+    println!("outcomes: {outcomes:?}");
+    println!("peak memory: {} MB of {MEMORY_MB}", memory(program.child.id(), "VmHWM:") / 1024);
     if readers < 200 {
         println!("{:#?}", program.log.lock().expect("lock is not poisoned"));
     }
@@ -343,17 +350,18 @@
     }
 }
 
-/// One query, and the program's log: for looking into what went wrong.
+/// Sends one query and prints the program's log, for debugging.
 fn once() {
     let table: Vec<_> = (0..BATCHES).map(|_| listings(0, ROWS)).collect();
     let script: Script =
         Arc::new(move |_, _, _| ScriptedReply::Table(table.clone(), TableEncoding::default()));
-    let hosts: Vec<SocketAddr> = (0..BACKENDS as usize)
+    let backends: Vec<SocketAddr> = (0..BACKENDS as usize)
         .map(|i| scripted_backend(i, Arc::clone(&script), AttemptCounts::default(), None))
         .collect();
-    let (program, _roster) = start(&hosts, 1024);
-    let me = std::env::current_exe().expect("a path");
-    let out = Command::new(&me).args(["reader", "flight", "1", &program.flight.to_string()]).output();
-    println!("{}", String::from_utf8_lossy(&out.expect("a reader").stderr));
+    let (program, _discovery) = start(&backends, 1024);
+    let executable = std::env::current_exe().expect("path of this executable");
+    let output =
+        Command::new(&executable).args(["reader", "flight", "1", &program.flight.to_string()]).output();
+    println!("{}", String::from_utf8_lossy(&output.expect("run a reader").stderr));
     println!("{:#?}", program.log.lock().expect("lock is not poisoned"));
 }
--- a/crates/testkit/src/fault_injection/mod.rs
+++ b/crates/testkit/src/fault_injection/mod.rs
@@ -1,5 +1,6 @@
-//! What a trial of several processes stands on: relays between them, hosts and discovery that each process has
-//! an address of its own for, clients, and the rules that are lock_ignoring_poison against what all of these saw.
+//! Building blocks for fault-injection trials of several instances: relays between the instances, backends and
+//! discovery with a separate address for each instance, clients, misbehaving peers, and the rules that the recorded
+//! history is checked against.
 
 pub mod backends;
 pub mod clients;
@@ -11,7 +12,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// What everybody in a trial writes down, on one clock.
+/// Records the history of a trial on one clock. Clones share the history.
 #[derive(Clone)]
 pub struct Recorder {
     start: Instant,
@@ -25,17 +26,18 @@
 }
 
 impl Recorder {
-    /// Microseconds since the trial began.
+    /// Returns the time since the trial began, in microseconds.
     pub fn now(&self) -> u64 {
         self.start.elapsed().as_micros() as u64
     }
 
+    /// Locks the history.
     pub fn history(&self) -> MutexGuard<'_, rules::History> {
         lock_ignoring_poison(&self.history)
     }
 }
 
-/// A lock whose holder may have failed: what it guards is read all the same, for the verdict.
+/// Locks a mutex, also one that a panic has poisoned: the verdict needs the data all the same.
 pub fn lock_ignoring_poison<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/testkit/src/fault_injection/relay.rs
+++ b/crates/testkit/src/fault_injection/relay.rs
@@ -1,5 +1,5 @@
-//! A relay for each directed pair of processes. It knows where one message ends and the next begins, so that
-//! it can lose, delay, double and swap whole messages, besides what it does to bytes and connections.
+//! A relay for each directed pair of instances. It knows the boundaries between messages, so it can drop, delay,
+//! duplicate and reorder complete messages, besides throttling bytes and resetting connections.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -18,32 +18,32 @@
 
 use super::lock_ignoring_poison;
 
-/// What a relay does to what goes one way. All of it is off where nothing is said.
+/// Faults that a relay injects in one direction. The default injects none.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fault {
-    /// Nothing comes through, and nobody hears of it.
+    /// All traffic is dropped, and neither side is notified.
     #[serde(skip_serializing_if = "is_default")]
     pub cut: bool,
-    /// Nothing comes through until this is over; then all of it does.
+    /// All traffic is held back until this fault ends, then delivered.
     #[serde(skip_serializing_if = "is_default")]
     pub hold: bool,
-    /// Each message comes so much later.
+    /// Each message is delayed by this much.
     #[serde(skip_serializing_if = "is_default")]
     pub delay_ms: u64,
-    /// And up to so much later still, each by itself: messages overtake one another.
+    /// Each message is delayed further by a random time up to this, so that messages overtake one another.
     #[serde(skip_serializing_if = "is_default")]
     pub jitter_ms: u64,
-    /// This share of the messages is lost.
+    /// The share of messages that is lost.
     #[serde(skip_serializing_if = "is_default")]
     pub lose: f64,
-    /// This share of the messages comes twice.
+    /// The share of messages that is delivered twice.
     #[serde(skip_serializing_if = "is_default")]
     pub twice: f64,
-    /// No more bytes a second than these; 0 for any number.
+    /// Limit of bytes per second; 0 for no limit.
     #[serde(skip_serializing_if = "is_default")]
     pub bytes_a_second: u64,
-    /// The connection is reset at this byte, counted from when the fault began; once.
+    /// The connection is reset once, at this byte after the fault began.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub reset_at: Option<u64>,
 }
@@ -52,7 +52,7 @@
     *value == T::default()
 }
 
-/// What goes from one process to another.
+/// The traffic from one instance to another.
 #[derive(Default)]
 struct Flow {
     fault: Mutex<Fault>,
@@ -66,11 +66,12 @@
         lock_ignoring_poison(&self.fault).clone()
     }
 
-    /// How many bytes come through before the connection is reset.
-    fn until_reset(&self) -> Option<u64> {
+    /// Returns the byte at which the connection is reset, if any.
+    fn reset_at(&self) -> Option<u64> {
         lock_ignoring_poison(&self.fault).reset_at
     }
 
+    /// Waits until traffic is neither dropped nor held back.
     async fn opened(&self) {
         loop {
             let changed = self.changed.notified();
@@ -78,7 +79,7 @@
             if !fault.hold && !fault.cut {
                 return;
             }
-            // A notice that came between the look and the wait is made up for soon.
+            // The timeout makes up for a notification between the check and the wait.
             let _ = tokio::time::timeout(Duration::from_millis(20), changed).await;
         }
     }
@@ -92,9 +93,9 @@
 }
 
 impl Relays {
-    /// Relays between so many processes, on free ports.
-    pub async fn start(processes: usize, seed: u64) -> io::Result<Self> {
-        let pairs = (0..processes).flat_map(|a| (0..processes).map(move |b| (a, b)));
+    /// Starts relays between all pairs of this many instances, on free ports.
+    pub async fn start(instances: usize, seed: u64) -> io::Result<Self> {
+        let pairs = (0..instances).flat_map(|a| (0..instances).map(move |b| (a, b)));
         let pairs: Vec<(usize, usize)> = pairs.filter(|(a, b)| a != b).collect();
         let flows: BTreeMap<_, Arc<Flow>> = pairs.iter().map(|pair| (*pair, Arc::default())).collect();
         let targets = Arc::new(Mutex::new(BTreeMap::<usize, SocketAddr>::new()));
@@ -102,32 +103,32 @@
         for &(from, to) in &pairs {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             addresses.insert((from, to), listener.local_addr()?);
-            let (there, back) = (flows[&(from, to)].clone(), flows[&(to, from)].clone());
+            let (forward, backward) = (flows[&(from, to)].clone(), flows[&(to, from)].clone());
             let targets = targets.clone();
             let seed = seed ^ ((from as u64) << 32) ^ to as u64;
             tokio::spawn(async move {
-                let mut number = seed;
+                let mut connection_seed = seed;
                 while let Ok((socket, _)) = listener.accept().await {
-                    number = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
+                    connection_seed = connection_seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
                     let target = lock_ignoring_poison(&targets).get(&to).copied();
-                    tokio::spawn(join(socket, target, there.clone(), back.clone(), number));
+                    tokio::spawn(join(socket, target, forward.clone(), backward.clone(), connection_seed));
                 }
             });
         }
         Ok(Self { flows, addresses, targets })
     }
 
-    /// Where one process reaches another.
+    /// Returns the address at which one instance reaches another.
     pub fn address(&self, from: usize, to: usize) -> SocketAddr {
         self.addresses[&(from, to)]
     }
 
-    /// Where a process listens now.
-    pub fn set_target(&self, process: usize, addr: SocketAddr) {
-        lock_ignoring_poison(&self.targets).insert(process, addr);
+    /// Sets the address at which an instance listens.
+    pub fn set_target(&self, instance: usize, addr: SocketAddr) {
+        lock_ignoring_poison(&self.targets).insert(instance, addr);
     }
 
-    /// Sets what happens to what goes one way.
+    /// Sets the fault of one direction.
     pub fn set_fault(&self, from: usize, to: usize, fault: &Fault) {
         if let Some(flow) = self.flows.get(&(from, to)) {
             *lock_ignoring_poison(&flow.fault) = fault.clone();
@@ -135,62 +136,72 @@
         }
     }
 
-    /// No faults any more.
+    /// Ends all faults.
     pub fn heal(&self) {
         for &(from, to) in self.flows.keys() {
             self.set_fault(from, to, &Fault::default());
         }
     }
 
-    /// Messages and bytes that a process has sent so far.
-    pub fn sent(&self, process: usize) -> (u64, u64) {
-        let of = self.flows.iter().filter(|((from, _), _)| *from == process);
-        of.fold((0, 0), |(messages, bytes), (_, flow)| {
+    /// Returns how many messages and bytes an instance has sent so far.
+    pub fn sent(&self, instance: usize) -> (u64, u64) {
+        let flows = self.flows.iter().filter(|((from, _), _)| *from == instance);
+        flows.fold((0, 0), |(messages, bytes), (_, flow)| {
             let load = |count: &AtomicU64| count.load(Ordering::Relaxed);
             (messages + load(&flow.messages), bytes + load(&flow.bytes))
         })
     }
 }
 
-fn reset(socket: &TcpStream) {
-    // Closing with this set is a reset.
+/// Makes the socket send a reset when it is closed.
+fn reset_on_close(socket: &TcpStream) {
     let _ = socket2::SockRef::from(socket).set_linger(Some(Duration::ZERO));
 }
 
-async fn join(socket: TcpStream, target: Option<SocketAddr>, there: Arc<Flow>, back: Arc<Flow>, seed: u64) {
-    reset(&socket);
+/// Connects to the target and relays both directions until one of them ends.
+async fn join(
+    source: TcpStream,
+    target: Option<SocketAddr>,
+    forward: Arc<Flow>,
+    backward: Arc<Flow>,
+    seed: u64,
+) {
+    reset_on_close(&source);
     let Some(target) = target else { return };
-    let Ok(other) = TcpStream::connect(target).await else { return };
-    reset(&other);
-    let _ = (socket.set_nodelay(true), other.set_nodelay(true));
-    let ((from, to_from), (to, to_to)) = (socket.into_split(), other.into_split());
-    let (ends, mut over) = mpsc::channel::<()>(4);
+    let Ok(target) = TcpStream::connect(target).await else { return };
+    reset_on_close(&target);
+    let _ = (source.set_nodelay(true), target.set_nodelay(true));
+    let ((source_read, source_write), (target_read, target_write)) =
+        (source.into_split(), target.into_split());
+    let (ended, mut any_ended) = mpsc::channel::<()>(4);
     let tasks = [
-        tokio::spawn(pump(from, to_to, there, seed, ends.clone())),
-        tokio::spawn(pump(to, to_from, back, seed ^ 1, ends)),
+        tokio::spawn(pump(source_read, target_write, forward, seed, ended.clone())),
+        tokio::spawn(pump(target_read, source_write, backward, seed ^ 1, ended)),
     ];
-    // The first direction that ends takes the connection with it, by a reset.
-    over.recv().await;
+    // Once one direction has ended, both connections are reset.
+    any_ended.recv().await;
     tasks.iter().for_each(tokio::task::JoinHandle::abort);
 }
 
-/// Carries one way until that ends, and says so.
-async fn pump(from: OwnedReadHalf, to: OwnedWriteHalf, flow: Arc<Flow>, seed: u64, over: mpsc::Sender<()>) {
+/// Relays one direction until it ends, then notifies `ended`.
+async fn pump(from: OwnedReadHalf, to: OwnedWriteHalf, flow: Arc<Flow>, seed: u64, ended: mpsc::Sender<()>) {
     let (sender, receiver) = mpsc::channel(4096);
     let reader = read(from, sender, flow.clone(), seed);
     let writer = write(to, receiver, flow.clone());
     tokio::select! {
         () = reader => {
-            // One that is cut off is not seen to close, either.
+            // While traffic is dropped or held back, the close is not visible either.
             flow.opened().await;
         }
         () = writer => {}
     }
-    let _ = over.send(()).await;
+    let _ = ended.send(()).await;
 }
 
+/// A message and the time at which it is due.
 type Due = (Instant, Vec<u8>);
 
+/// Reads messages and passes on those that are not lost, with the time at which each is due.
 async fn read(mut from: OwnedReadHalf, out: mpsc::Sender<Due>, flow: Arc<Flow>, seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
     loop {
@@ -211,60 +222,61 @@
         }
         let copies = 1 + usize::from(rng.f64() < fault.twice);
         for _ in 0..copies {
-            let later = fault.delay_ms * 1000 + rng.u64(0..=fault.jitter_ms * 1000);
-            let due = Instant::now() + Duration::from_micros(later);
+            let delay_us = fault.delay_ms * 1000 + rng.u64(0..=fault.jitter_ms * 1000);
+            let due = Instant::now() + Duration::from_micros(delay_us);
             if out.send((due, message.clone())).await.is_err() {
                 return;
             }
         }
     }
-    // What is on its way comes through before the end does.
+    // Messages in transit are delivered before the connection ends.
     let _ = out.send((Instant::now(), Vec::new())).await;
     out.closed().await;
 }
 
+/// Writes messages when they are due.
 async fn write(mut to: OwnedWriteHalf, mut from: mpsc::Receiver<Due>, flow: Arc<Flow>) {
-    let mut waiting: BTreeMap<(Instant, u64), Vec<u8>> = BTreeMap::new();
-    let (mut number, mut done, mut closed) = (0_u64, 0_u64, false);
-    let mut armed = None;
+    let mut pending: BTreeMap<(Instant, u64), Vec<u8>> = BTreeMap::new();
+    let (mut sequence, mut written, mut closed) = (0_u64, 0_u64, false);
+    let mut armed_reset = None;
     loop {
-        let next = waiting.keys().next().map(|(at, _)| *at);
+        let next = pending.keys().next().map(|(at, _)| *at);
         if closed && next.is_none() {
             return;
         }
         tokio::select! {
             biased;
-            come = from.recv(), if !closed => match come {
+            received = from.recv(), if !closed => match received {
                 Some((at, message)) if !message.is_empty() => {
-                    number += 1;
-                    waiting.insert((at, number), message);
+                    sequence += 1;
+                    pending.insert((at, sequence), message);
                     continue;
                 }
                 _ => { closed = true; continue; }
             },
-            // What is due goes at once: the runtime's timers would make a millisecond of it.
+            // A message that is due is sent at once: the runtime's timers have a resolution of a millisecond.
             () = async {
                 if let Some(at) = next.filter(|at| *at > Instant::now()) {
                     tokio::time::sleep_until(at).await;
                 }
             }, if next.is_some() => {}
         }
-        let Some((_, message)) = waiting.pop_first() else { continue };
-        // What was on its way when a cut began is lost, too; what is held waits.
+        let Some((_, message)) = pending.pop_first() else { continue };
+        // Messages in transit when `cut` begins are lost too; with `hold` they wait.
         if flow.fault().cut {
             continue;
         }
         flow.opened().await;
-        if flow.until_reset() != armed {
-            (armed, done) = (flow.until_reset(), 0);
+        if flow.reset_at() != armed_reset {
+            (armed_reset, written) = (flow.reset_at(), 0);
         }
-        let room = armed.map_or(usize::MAX, |at| (at.saturating_sub(done)) as usize);
-        let part = &message[..message.len().min(room)];
+        let allowed = armed_reset.map_or(usize::MAX, |at| (at.saturating_sub(written)) as usize);
+        let part = &message[..message.len().min(allowed)];
         if to.write_all(part).await.is_err() {
             return;
         }
-        done += part.len() as u64;
-        if part.len() < message.len() || armed == Some(done) {
+        written += part.len() as u64;
+        if part.len() < message.len() || armed_reset == Some(written) {
             lock_ignoring_poison(&flow.fault).reset_at = None;
             return;
         }
--- a/crates/testkit/src/fault_injection/rules.rs
+++ b/crates/testkit/src/fault_injection/rules.rs
@@ -1,35 +1,37 @@
-//! Decides whether what was seen in a trial keeps the rules. Free of I/O: a history in, breaches out.
+//! Checks the recorded history of a trial against the rules. Does no I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::Serialize;
 
-/// How a query ended, as its client saw it.
+/// What a client received for a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientResult {
-    /// A whole response, with its status.
+    /// A complete response with this status.
     Answer(u16),
-    /// The connection broke, or what came is no whole response.
+    /// The connection broke, or the response is incomplete.
     Broken(String),
 }
 
-/// A query that a client asked.
+/// A query that a client sent. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct RecordedQuery {
     pub id: String,
-    /// Its effect must happen once at most.
+    /// Each of its parts may be executed at most once.
     pub non_idempotent: bool,
+    /// The instance that it was sent to.
     pub instance: String,
+    /// When it was sent.
     pub at: u64,
     /// How long the client waits.
     pub timeout: u64,
-    /// Each response that came, in order; there has to be one.
+    /// Each response with its time, in order. There must be exactly one.
     pub results: Vec<(u64, ClientResult)>,
-    /// What the first one said.
+    /// The body of the first response.
     pub response_body: String,
 }
 
-/// A part that a host was sent.
+/// A part that a backend received.
 #[derive(Clone, Debug)]
 pub struct ReceivedPart {
     pub at: u64,
@@ -39,279 +41,300 @@
     pub shard: u32,
 }
 
-/// What was seen of a process's use of memory and descriptors.
+/// A sample of the memory and descriptors that an instance uses.
 #[derive(Clone, Debug)]
 pub struct Sample {
     pub instance: String,
+    /// Bytes.
     pub memory: u64,
     pub descriptors: u64,
 }
 
-/// All that was seen.
+/// Everything that was recorded in a trial. Times are in microseconds.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     pub queries: Vec<RecordedQuery>,
     pub received_parts: Vec<ReceivedPart>,
-    /// A process was told that a host drains: (when, process, host).
+    /// Discovery reported to an instance that a backend drains: time, instance, backend.
     pub drains: Vec<(u64, String, usize)>,
-    /// A host started cold: (when, host).
+    /// A backend started and warms up: time, backend.
     pub cold_starts: Vec<(u64, usize)>,
-    /// A process was killed, or told to end: (when, process).
+    /// An instance was killed or shut down: time, instance.
     pub instance_ends: Vec<(u64, String)>,
-    /// A process was halted from when to when.
+    /// An instance was stopped (SIGSTOP): start, end, instance.
     pub pauses: Vec<(u64, u64, String)>,
     pub samples: Vec<Sample>,
-    /// A process ended though nobody ended it, or not as it should.
+    /// Exits of instances that nothing asked for, or with an unexpected result.
     pub crashes: Vec<String>,
-    /// Lines of processes' logs that must not be written.
+    /// Lines of the instances' logs that must not occur.
     pub forbidden_log_lines: Vec<String>,
 }
 
-/// What is allowed.
+/// Limits of the rules. Times are in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// An answer may come so much after its time, on a busy machine.
+    /// How late a response may come, as allowance for a busy machine.
     pub slack: u64,
-    /// Nothing new goes to a host so long after its drain was told.
+    /// Time after the report of a drain from which a backend must not receive parts.
     pub drain: u64,
-    /// Parts that a cold host may be sent in any second, by all together.
+    /// Parts that all instances together may send to a warming-up backend in any second.
     pub cold: usize,
-    /// How long a host counts as cold.
+    /// How long a backend counts as warming up.
     pub warm: u64,
-    /// Bytes of memory.
+    /// Bytes of memory that an instance may use.
     pub memory: u64,
     pub descriptors: u64,
 }
 
-/// What came of one rule.
+/// The result of one rule.
 #[derive(Clone, Debug, Serialize)]
 pub struct Finding {
     pub rule: &'static str,
-    /// How many things were held against it.
+    /// How many items were checked.
     pub looked_at: usize,
+    /// A description of each violation.
     pub broken: Vec<String>,
 }
 
-/// Holds a history against all rules.
+/// Checks a history against all rules.
 pub fn check(history: &History, limits: &Limits) -> Vec<Finding> {
     vec![
-        answers(history, limits),
-        effects(history),
+        responses(history, limits),
+        executions(history),
         outcomes(history),
-        refusals(history),
+        rejections(history),
         drains(history, limits),
-        colds(history, limits),
-        bounds(history, limits),
+        warm_ups(history, limits),
+        resources(history, limits),
         Finding { rule: "no crash", looked_at: history.instance_ends.len(), broken: history.crashes.clone() },
         Finding {
-            rule: "no cry",
+            rule: "no forbidden log lines",
             looked_at: history.queries.len(),
             broken: history.forbidden_log_lines.clone(),
         },
     ]
 }
 
-/// Queries whose gatherer was killed before it answered: until another takes them over, they are lost.
+/// Counts the queries whose instance was killed before it responded. They are lost unless another instance takes
+/// them over.
 pub fn lost_queries(history: &History) -> usize {
-    history.queries.iter().filter(|asked| is_lost(history, asked)).count()
+    history.queries.iter().filter(|query| is_lost(history, query)).count()
 }
 
-fn is_lost(history: &History, asked: &RecordedQuery) -> bool {
-    let broken = matches!(asked.results[..], [] | [(_, ClientResult::Broken(_))]);
-    let until = asked.results.first().map_or(u64::MAX, |(at, _)| *at);
-    let killed = |(at, process): &(u64, String)| *process == asked.instance && *at <= until;
-    broken && history.instance_ends.iter().any(|end| killed(end) && end.0 + 1_000_000 >= asked.at)
+/// Returns whether the instance was killed before it responded, or up to a second before the query was sent to it.
+fn is_lost(history: &History, query: &RecordedQuery) -> bool {
+    let unanswered = matches!(query.results[..], [] | [(_, ClientResult::Broken(_))]);
+    let answered_at = query.results.first().map_or(u64::MAX, |(at, _)| *at);
+    let killed = |(at, instance): &(u64, String)| *instance == query.instance && *at <= answered_at;
+    unanswered && history.instance_ends.iter().any(|end| killed(end) && end.0 + 1_000_000 >= query.at)
 }
 
-fn answers(history: &History, limits: &Limits) -> Finding {
-    let judge = |asked: &RecordedQuery| {
-        if is_lost(history, asked) {
+/// Every query gets exactly one response, with an allowed status and in time.
+fn responses(history: &History, limits: &Limits) -> Finding {
+    let violation = |query: &RecordedQuery| {
+        if is_lost(history, query) {
             return None;
         }
-        // A halted process answers once it goes on.
-        let halted: u64 = history
+        // A stopped instance responds after it continues.
+        let paused: u64 = history
             .pauses
             .iter()
-            .filter(|(from, to, process)| {
-                *process == asked.instance && *to >= asked.at && *from <= asked.at + asked.timeout
+            .filter(|(from, to, instance)| {
+                *instance == query.instance && *to >= query.at && *from <= query.at + query.timeout
             })
             .map(|(from, to, _)| to - from)
             .sum();
-        let until = asked.at + asked.timeout + limits.slack + halted;
-        match &asked.results[..] {
-            [(at, ClientResult::Answer(200 | 429 | 502 | 503 | 504))] if *at <= until => None,
+        let deadline = query.at + query.timeout + limits.slack + paused;
+        match &query.results[..] {
+            [(at, ClientResult::Answer(200 | 429 | 502 | 503 | 504))] if *at <= deadline => None,
             [(at, ClientResult::Answer(status @ (200 | 429 | 502 | 503 | 504)))] => Some(format!(
-                "{} was answered {status} by {}, {} us late",
-                asked.id,
-                asked.instance,
-                at - until
+                "{} got status {status} from {}, {} us late",
+                query.id,
+                query.instance,
+                at - deadline
             )),
-            [(_, end)] => Some(format!("{} of {} ended with {end:?}", asked.id, asked.instance)),
-            [] => Some(format!("{} of {} was never answered", asked.id, asked.instance)),
-            more => Some(format!("{} was answered {} times", asked.id, more.len())),
+            [(_, result)] => Some(format!("{} sent to {} ended with {result:?}", query.id, query.instance)),
+            [] => Some(format!("{} sent to {} got no response", query.id, query.instance)),
+            more => Some(format!("{} got {} responses", query.id, more.len())),
         }
     };
-    let broken = history.queries.iter().filter_map(judge).collect();
+    let broken = history.queries.iter().filter_map(violation).collect();
     Finding { rule: "one answer in time", looked_at: history.queries.len(), broken }
 }
 
-fn effects(history: &History) -> Finding {
-    let effects: BTreeSet<&str> =
+/// No part of a non-idempotent query is executed twice.
+fn executions(history: &History) -> Finding {
+    let queries: BTreeSet<&str> =
         history.queries.iter().filter(|a| a.non_idempotent).map(|a| &*a.id).collect();
-    let mut runs: BTreeMap<(&str, u32), Vec<&ReceivedPart>> = BTreeMap::new();
-    for run in history.received_parts.iter().filter(|run| effects.contains(&*run.id)) {
-        runs.entry((&run.id, run.shard)).or_default().push(run);
+    let mut executions: BTreeMap<(&str, u32), Vec<&ReceivedPart>> = BTreeMap::new();
+    for part in history.received_parts.iter().filter(|part| queries.contains(&*part.id)) {
+        executions.entry((&part.id, part.shard)).or_default().push(part);
     }
-    let twice = runs.iter().filter(|(_, runs)| runs.len() > 1).map(|((id, shard), runs)| {
-        let by: Vec<String> = runs.iter().map(|run| format!("{} at {}", run.instance, run.at)).collect();
-        format!("part {shard} of {id} ran {} times: {}", runs.len(), by.join(", "))
+    let repeated = executions.iter().filter(|(_, parts)| parts.len() > 1).map(|((id, shard), parts)| {
+        let by: Vec<String> = parts.iter().map(|part| format!("{} at {}", part.instance, part.at)).collect();
+        format!("part {shard} of {id} was executed {} times: {}", parts.len(), by.join(", "))
     });
-    Finding { rule: "an effect once", looked_at: effects.len(), broken: twice.collect() }
+    Finding { rule: "at most one execution", looked_at: queries.len(), broken: repeated.collect() }
 }
 
-/// Everybody who asks for an id is told the same: refusals and unknown ends are none.
+/// Every request for an id gets the same outcome. Rejections and unknown outcomes do not count.
 fn outcomes(history: &History) -> Finding {
-    let mut told: BTreeMap<&str, BTreeSet<(u16, &str)>> = BTreeMap::new();
-    for asked in history.queries.iter().filter(|asked| asked.non_idempotent) {
-        if let [(_, ClientResult::Answer(status @ (200 | 502)))] = asked.results[..] {
-            told.entry(&asked.id).or_default().insert((status, &asked.response_body));
+    let mut outcomes: BTreeMap<&str, BTreeSet<(u16, &str)>> = BTreeMap::new();
+    for query in history.queries.iter().filter(|query| query.non_idempotent) {
+        if let [(_, ClientResult::Answer(status @ (200 | 502)))] = query.results[..] {
+            outcomes.entry(&query.id).or_default().insert((status, &query.response_body));
         }
     }
-    let two = told.iter().filter(|(_, told)| told.len() > 1);
-    let broken = two.map(|(id, told)| format!("{id} was told {told:?}")).collect();
-    Finding { rule: "one outcome", looked_at: told.len(), broken }
+    let differing = outcomes.iter().filter(|(_, outcomes)| outcomes.len() > 1);
+    let broken = differing.map(|(id, outcomes)| format!("{id} has the outcomes {outcomes:?}")).collect();
+    Finding { rule: "one outcome", looked_at: outcomes.len(), broken }
 }
 
-/// Who was told that a hold was refused may ask for it under another id: nothing of it ran, or ever runs, unless
-/// somebody asked for this one again later.
-fn refusals(history: &History) -> Finding {
-    let refused = |asked: &&RecordedQuery| {
-        asked.non_idempotent && matches!(asked.results[..], [(_, ClientResult::Answer(503))])
+/// A rejected non-idempotent query is never executed, neither before nor after the rejection, unless the same id is
+/// sent again later. The client relies on this when it sends the query under another id.
+fn rejections(history: &History) -> Finding {
+    let is_rejected = |query: &&RecordedQuery| {
+        query.non_idempotent && matches!(query.results[..], [(_, ClientResult::Answer(503))])
     };
-    let mut runs: BTreeMap<&str, Vec<&ReceivedPart>> = BTreeMap::new();
-    for run in &history.received_parts {
-        runs.entry(&run.id).or_default().push(run);
+    let mut parts: BTreeMap<&str, Vec<&ReceivedPart>> = BTreeMap::new();
+    for part in &history.received_parts {
+        parts.entry(&part.id).or_default().push(part);
     }
-    let mut last: BTreeMap<&str, u64> = BTreeMap::new();
-    for asked in &history.queries {
-        let latest = last.entry(&asked.id).or_default();
-        *latest = (*latest).max(asked.at);
+    let mut last_sent: BTreeMap<&str, u64> = BTreeMap::new();
+    for query in &history.queries {
+        let latest = last_sent.entry(&query.id).or_default();
+        *latest = (*latest).max(query.at);
     }
-    let refused: Vec<&RecordedQuery> = history.queries.iter().filter(refused).collect();
-    let ran = refused.iter().filter(|asked| last.get(&*asked.id) == Some(&asked.at)).filter_map(|asked| {
-        let run = runs.get(&*asked.id)?.first()?;
-        Some(format!("{} was told by {} that nothing ran; {} ran it", asked.id, asked.instance, run.instance))
-    });
-    Finding { rule: "what is refused never ran", looked_at: refused.len(), broken: ran.collect() }
+    let rejected: Vec<&RecordedQuery> = history.queries.iter().filter(is_rejected).collect();
+    let executed =
+        rejected.iter().filter(|query| last_sent.get(&*query.id) == Some(&query.at)).filter_map(|query| {
+            let part = parts.get(&*query.id)?.first()?;
+            Some(format!(
+                "{} was rejected by {} as not executed; {} executed it",
+                query.id, query.instance, part.instance
+            ))
+        });
+    Finding { rule: "rejected not executed", looked_at: rejected.len(), broken: executed.collect() }
 }
 
-/// How many holds were asked, by id.
+/// Counts the non-idempotent queries that were sent, by id.
 pub fn non_idempotent_queries(history: &History) -> usize {
     history
         .queries
         .iter()
-        .filter(|asked| asked.non_idempotent)
-        .map(|asked| &*asked.id)
+        .filter(|query| query.non_idempotent)
+        .map(|query| &*query.id)
         .collect::<BTreeSet<_>>()
         .len()
 }
 
-/// What became of holds whose first gatherer was lost before it answered.
+/// Counts non-idempotent queries whose first instance was lost before it responded.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct TakeoverCounts {
-    /// RecordedQuery again elsewhere.
+    /// Sent again to another instance.
     pub again: usize,
-    /// Told how they ended.
+    /// Of these, answered with a definite outcome.
     pub known: usize,
-    /// Of these, served.
+    /// Of those, executed and answered.
     pub served: usize,
-    /// Of these, told that nothing ran.
+    /// Of those, rejected as not executed.
     pub refused: usize,
 }
 
+/// Counts what happened to the non-idempotent queries that were lost with their instance.
 pub fn takeovers(history: &History) -> TakeoverCounts {
     let lost: BTreeSet<&str> =
         history.queries.iter().filter(|a| a.non_idempotent && is_lost(history, a)).map(|a| &*a.id).collect();
-    let mut ends: BTreeMap<&str, BTreeSet<u16>> = BTreeMap::new();
-    for asked in history.queries.iter().filter(|a| lost.contains(&*a.id) && !is_lost(history, a)) {
-        let told = ends.entry(&asked.id).or_default();
-        if let [(_, ClientResult::Answer(status))] = asked.results[..] {
-            told.insert(status);
+    let mut statuses_by_id: BTreeMap<&str, BTreeSet<u16>> = BTreeMap::new();
+    for query in history.queries.iter().filter(|a| lost.contains(&*a.id) && !is_lost(history, a)) {
+        let statuses = statuses_by_id.entry(&query.id).or_default();
+        if let [(_, ClientResult::Answer(status))] = query.results[..] {
+            statuses.insert(status);
         }
     }
-    let with = |statuses: &[u16]| {
-        ends.values().filter(|told| statuses.iter().any(|status| told.contains(status))).count()
+    let count_with = |statuses: &[u16]| {
+        let has_any = |seen: &&BTreeSet<u16>| statuses.iter().any(|status| seen.contains(status));
+        statuses_by_id.values().filter(has_any).count()
     };
     TakeoverCounts {
-        again: ends.len(),
-        known: with(&[200, 502, 503]),
-        served: with(&[200]),
-        refused: with(&[503]),
+        again: statuses_by_id.len(),
+        known: count_with(&[200, 502, 503]),
+        served: count_with(&[200]),
+        refused: count_with(&[503]),
     }
 }
 
-/// How long after the end of a hold's first gatherer another one's first frame for it reached a host, for holds that
-/// the first one never sent.
+/// Returns the times from the end of a query's first instance to the first part that another instance sent to a
+/// backend for it, in microseconds, for non-idempotent queries of which the first instance sent nothing.
 pub fn takeover_times(history: &History) -> Vec<u64> {
-    let mut runs: BTreeMap<&str, &ReceivedPart> = BTreeMap::new();
-    for run in &history.received_parts {
-        let first = runs.entry(&run.id).or_insert(run);
-        if run.at < first.at {
-            *first = run;
+    let mut first_parts: BTreeMap<&str, &ReceivedPart> = BTreeMap::new();
+    for part in &history.received_parts {
+        let first = first_parts.entry(&part.id).or_insert(part);
+        if part.at < first.at {
+            *first = part;
         }
     }
     let mut seen = BTreeSet::new();
     let lost =
         history.queries.iter().filter(|a| a.non_idempotent && seen.insert(&*a.id) && is_lost(history, a));
-    let times = lost.filter_map(|asked| {
-        let ends = history.instance_ends.iter().filter(|(at, by)| *by == asked.instance && *at >= asked.at);
-        let end = ends.map(|(at, _)| *at).min()?;
-        let run = runs.get(&*asked.id)?;
-        (run.instance != asked.instance).then(|| run.at.saturating_sub(end))
+    let times = lost.filter_map(|query| {
+        let instance_ends =
+            history.instance_ends.iter().filter(|(at, by)| *by == query.instance && *at >= query.at);
+        let end = instance_ends.map(|(at, _)| *at).min()?;
+        let part = first_parts.get(&*query.id)?;
+        (part.instance != query.instance).then(|| part.at.saturating_sub(end))
     });
     times.collect()
 }
 
+/// A draining backend receives no parts from an instance that has known of the drain for `limits.drain`.
 fn drains(history: &History, limits: &Limits) -> Finding {
-    let late = history.drains.iter().filter_map(|(told, process, host)| {
-        let until = told + limits.drain;
-        let late = |run: &&ReceivedPart| run.instance == *process && run.backend == *host && run.at > until;
+    let late = history.drains.iter().filter_map(|(reported, instance, backend)| {
+        let until = reported + limits.drain;
+        let late = |part: &&ReceivedPart| part.instance == *instance && part.backend == *backend && part.at > until;
         let late: Vec<&ReceivedPart> = history.received_parts.iter().filter(late).collect();
         let first = late.first()?;
-        let after = first.at - told;
+        let after = first.at - reported;
         Some(format!(
-            "{process} sent {} parts to host {host}, the first {after} us after it was told to drain",
+            "{instance} sent {} parts to backend {backend}, the first {after} us after discovery reported that it drains",
             late.len()
         ))
     });
-    Finding { rule: "drains kept", looked_at: history.drains.len(), broken: late.collect() }
+    Finding { rule: "drains respected", looked_at: history.drains.len(), broken: late.collect() }
 }
 
-fn colds(history: &History, limits: &Limits) -> Finding {
-    let pushed = history.cold_starts.iter().filter_map(|(at, host)| {
-        let cold = at..&(at + limits.warm);
-        let runs =
-            history.received_parts.iter().filter(|run| run.backend == *host && cold.contains(&&run.at));
-        let mut runs: Vec<u64> = runs.map(|run| run.at).collect();
-        runs.sort_unstable();
+/// A warming-up backend receives a limited number of parts in any second.
+fn warm_ups(history: &History, limits: &Limits) -> Finding {
+    let overloaded = history.cold_starts.iter().filter_map(|(at, backend)| {
+        let warm_up = at..&(at + limits.warm);
+        let parts = history.received_parts.iter();
+        let parts = parts.filter(|part| part.backend == *backend && warm_up.contains(&&part.at));
+        let mut times: Vec<u64> = parts.map(|part| part.at).collect();
+        times.sort_unstable();
         let window = |(first, at): (usize, &u64)| {
-            runs[first..].iter().take_while(|later| **later < at + 1_000_000).count()
+            times[first..].iter().take_while(|later| **later < at + 1_000_000).count()
         };
-        let most = runs.iter().enumerate().map(window).max().unwrap_or(0);
-        (most > limits.cold)
-            .then(|| format!("cold host {host} was sent {most} parts in a second, {} at most", limits.cold))
+        let most = times.iter().enumerate().map(window).max().unwrap_or(0);
+        (most > limits.cold).then(|| {
+            format!("warming-up backend {backend} received {most} parts in a second, limit {}", limits.cold)
+        })
     });
-    Finding { rule: "cold hosts spared", looked_at: history.cold_starts.len(), broken: pushed.collect() }
+    Finding {
+        rule: "warm-up limits respected",
+        looked_at: history.cold_starts.len(),
+        broken: overloaded.collect(),
+    }
 }
 
-fn bounds(history: &History, limits: &Limits) -> Finding {
+/// No instance exceeds its limits of memory and descriptors.
+fn resources(history: &History, limits: &Limits) -> Finding {
     let mut broken = BTreeSet::new();
-    for Sample { instance: process, memory, descriptors } in &history.samples {
+    for Sample { instance, memory, descriptors } in &history.samples {
         if *memory > limits.memory {
-            broken.insert(format!("{process} held more than {} bytes", limits.memory));
+            broken.insert(format!("{instance} used more than {} bytes", limits.memory));
         }
         if *descriptors > limits.descriptors {
-            broken.insert(format!("{process} held more than {} descriptors", limits.descriptors));
+            broken.insert(format!("{instance} used more than {} descriptors", limits.descriptors));
         }
     }
     let broken = broken.into_iter().collect();
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -457,7 +457,7 @@
             ["send", "stop"] => {
                 self.program.signal(libc::SIGSTOP);
                 let stat = format!("/proc/{}/stat", self.program.child.id());
-                while !std::fs::read_to_string(&stat).expect("a process").contains(") T ") {}
+                while !std::fs::read_to_string(&stat).expect("the process runs").contains(") T ") {}
             }
             ["send", "cont"] => self.program.signal(libc::SIGCONT),
             ["send", "term"] => self.program.signal(libc::SIGTERM),
--- a/crates/testkit/src/manual_peers.rs
+++ b/crates/testkit/src/manual_peers.rs
@@ -395,7 +395,7 @@
         self.program.signal(libc::SIGSTOP);
         let stat = format!("/proc/{}/stat", self.program.child.id());
         let deadline = Instant::now() + TEST_TIMEOUT;
-        while !std::fs::read_to_string(&stat).expect("a process").contains(") T ") {
+        while !std::fs::read_to_string(&stat).expect("the process runs").contains(") T ") {
             assert!(Instant::now() < deadline, "the program does not stop");
             std::thread::sleep(Duration::from_millis(1));
         }
@@ -413,7 +413,8 @@
 
     /// Returns whether no bytes, FINs or resets are in transit to the program, according to `/proc/net/tcp`.
     fn all_delivered(&self) -> bool {
-        let fds = std::fs::read_dir(format!("/proc/{}/fd", self.program.child.id())).expect("a process");
+        let fds =
+            std::fs::read_dir(format!("/proc/{}/fd", self.program.child.id())).expect("the process runs");
         let links = fds.filter_map(|fd| std::fs::read_link(fd.ok()?.path()).ok());
         let sockets: Vec<String> = links.map(|link| link.to_string_lossy().into_owned()).collect();
         let table = std::fs::read_to_string("/proc/net/tcp").expect("the connection table");
@@ -453,7 +454,7 @@
 
     /// Returns how many descriptors the program holds.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.program.child.id())).expect("a process").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.program.child.id())).expect("the process runs").count()
     }
 
     /// Waits until the program holds at most this many descriptors.
