--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,8 +1,9 @@
-//! Trials of several real processes of the program, with faults between them.
+//! Fault injection trials with several real processes of the program.
 //!
-//! A [`plan`] says how many processes there are, what happens and what has to come of it; a [`trial`] plays it
-//! with real processes, joined through relays, with stand-in hosts, discovery and clients; a [`verdict`] says
-//! which rules were kept. [`timeline`] reads the processes' logs, [`measure`] takes figures.
+//! A [`plan`] describes the instances, the faults and the expected results. A [`trial`] runs it on a [`fleet`]: real
+//! processes, linked through relays, with simulated backends, discovery and clients. A [`verdict`] reports which rules
+//! were kept. [`timeline`] interprets the instances' logs, [`storm`] runs many random plans, and [`measure`] takes
+//! measurements.
 
 pub mod fleet;
 pub mod measure;
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -1,4 +1,5 @@
-//! Figures: how soon a loss is known, what an idle fleet sends, false doubts, and what the section costs.
+//! Measurements: failure detection times, the traffic of an idle cluster, false suspicions, and the cost per query of
+//! running in a cluster.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -8,199 +9,225 @@
 use mallowgauge_testkit::fault_injection::clients;
 use mallowgauge_testkit::fault_injection::relay::Fault;
 
-use crate::fleet::{Fleet, Setup};
+use crate::fleet::{ClusterConfig, TestCluster};
 use crate::plan::Held;
 
-/// What is measured.
+/// Options of the `measure` subcommand.
 #[derive(clap::Args, Clone, Debug)]
 pub struct Options {
-    /// Sizes of the fleet.
+    /// Cluster sizes.
     #[arg(long, value_delimiter = ',', default_value = "3,5,9")]
     sizes: Vec<usize>,
-    /// Losses of each kind.
+    /// Number of losses of each kind.
     #[arg(long, default_value_t = 20)]
     rounds: usize,
-    /// Seconds for which nothing happens, for what an idle fleet sends.
+    /// Seconds over which the traffic of the idle cluster is measured.
     #[arg(long, default_value_t = 10)]
     idle: u64,
-    /// Seconds with all cores busy, for false doubts.
+    /// Seconds with all cores busy, over which false suspicions are counted.
     #[arg(long, default_value_t = 30)]
     busy: u64,
 }
 
-/// What is compared.
+/// Options of the `cost` subcommand.
 #[derive(clap::Args, Clone, Debug)]
 pub struct CostOptions {
-    /// Pairs of runs, one with and one without the section.
+    /// Number of rounds; each runs every deployment once.
     #[arg(long, default_value_t = 7)]
     rounds: usize,
     /// Queries in each run.
     #[arg(long, default_value_t = 2000)]
     queries: u64,
-    /// Clients that ask at a time, each one query after the other.
+    /// Number of concurrent clients; each sends one query after the other.
     #[arg(long, default_value_t = 1)]
     clients: u64,
 }
 
-/// What is set up in a process whose cost is taken.
+/// Deployment whose cost is measured.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
-    Alone,
-    Linked,
-    TakeoverAdapter,
+enum DeploymentMode {
+    Standalone,
+    Clustered,
+    ClusteredWithTakeover,
 }
 
-const WAYS: [Way; 3] = [Way::Alone, Way::Linked, Way::TakeoverAdapter];
+/// Modes in the order of the columns that [`cost`] prints.
+const DEPLOYMENT_MODES: [DeploymentMode; 3] =
+    [DeploymentMode::Standalone, DeploymentMode::Clustered, DeploymentMode::ClusteredWithTakeover];
 
-fn setup(processes: usize, way: Way) -> Setup {
-    Setup {
-        processes,
-        hosts: 3,
+fn cluster_config(instances: usize, mode: DeploymentMode) -> ClusterConfig {
+    ClusterConfig {
+        instances,
+        backends: 3,
         descriptors: 512,
-        held_to: 512,
+        enforced_descriptors: 512,
         memory_mb: 64,
-        versions: vec![1; processes],
-        linked: way != Way::Alone,
-        handover: way == Way::TakeoverAdapter,
+        list_versions: vec![1; instances],
+        clustered: mode != DeploymentMode::Standalone,
+        takeover: mode == DeploymentMode::ClusteredWithTakeover,
         seed: 11,
     }
 }
 
-fn unix() -> u64 {
+/// Returns the current Unix time in microseconds.
+fn unix_micros() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
 
-async fn all_linked(fleet: &Fleet) -> Result<(), String> {
-    let names = fleet.names.clone();
-    let linked = fleet.logs.until(|t| {
+/// Waits until all instances are linked to each other and consider each other alive.
+async fn wait_until_linked(cluster: &TestCluster) -> Result<(), String> {
+    let names = cluster.names.clone();
+    let linked = cluster.logs.wait_until(|timeline| {
         let pairs = names.iter().flat_map(|a| names.iter().map(move |b| (a, b)));
-        pairs.filter(|(a, b)| a != b).all(|(a, b)| t.linked(a, b) && t.held(a, b) == Some(Held::Alive))
+        pairs
+            .filter(|(a, b)| a != b)
+            .all(|(a, b)| timeline.is_linked(a, b) && timeline.peer_state(a, b) == Some(Held::Alive))
     });
     if linked.await {
         Ok(())
     } else {
-        Err("the fleet did not come together".to_owned())
+        Err("the instances did not all link to each other".to_owned())
     }
 }
 
-/// How soon the others held somebody to be so, from a moment on.
-async fn times(
-    fleet: &Fleet,
+/// Records how long each other instance took to log the state, or a worse one, for the lost instance.
+async fn record_detection_times(
+    cluster: &TestCluster,
     lost: usize,
     since: u64,
-    held: Held,
-    into: &mut Histogram<u64>,
+    state: Held,
+    times: &mut Histogram<u64>,
 ) -> Result<(), String> {
-    let name = fleet.names[lost].clone();
-    let others = fleet.names.len() - 1;
-    let mut seen = Vec::new();
-    let all = fleet.logs.until(|timeline| {
-        seen.clear();
-        for by in fleet.names.iter().filter(|by| **by != name) {
-            // Who learns of a loss when it counts as a loss already was never told of the doubt.
-            let first = timeline.sightings.iter().find(|s| {
-                s.by == *by && s.of == name && s.time >= since && s.held >= held && s.held != Held::Left
+    let name = cluster.names[lost].clone();
+    let others = cluster.names.len() - 1;
+    let mut detection_times = Vec::new();
+    let all_detected = cluster.logs.wait_until(|timeline| {
+        detection_times.clear();
+        for observer in cluster.names.iter().filter(|observer| **observer != name) {
+            // An instance that learns of the loss after the peer is declared dead never logs it as suspect.
+            let first = timeline.observed_states.iter().find(|change| {
+                change.observer == *observer
+                    && change.peer == name
+                    && change.time >= since
+                    && change.state >= state
+                    && change.state != Held::Left
             });
-            seen.extend(first.map(|s| s.time - since));
+            detection_times.extend(first.map(|change| change.time - since));
         }
-        seen.len() == others
+        detection_times.len() == others
     });
-    if !all.await {
-        return Err(format!("{name} was not held to be {} by all", held.word()));
+    if !all_detected.await {
+        return Err(format!("not all instances reported {name} as {}", state.log_name()));
     }
-    seen.iter().for_each(|&time| into.saturating_record(time));
+    detection_times.iter().for_each(|&time| times.saturating_record(time));
     Ok(())
 }
 
-pub(crate) fn row(what: &str, histogram: &Histogram<u64>) -> String {
-    let ms = |q: f64| histogram.value_at_quantile(q) as f64 / 1000.0;
+/// Formats quantiles of a histogram of microseconds as a row of a table.
+pub(crate) fn summary_row(title: &str, histogram: &Histogram<u64>) -> String {
+    let millis = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1000.0;
     format!(
-        "{what:<28} p50 {:>8.1} ms   p99 {:>8.1} ms   max {:>8.1} ms   of {}",
-        ms(0.5),
-        ms(0.99),
+        "{title:<28} p50 {:>8.1} ms   p99 {:>8.1} ms   max {:>8.1} ms   of {}",
+        millis(0.5),
+        millis(0.99),
         histogram.max() as f64 / 1000.0,
         histogram.len()
     )
 }
 
-pub(crate) fn histogram() -> Result<Histogram<u64>, String> {
+/// Creates a histogram for times from 1 microsecond to 2 minutes.
+pub(crate) fn new_histogram() -> Result<Histogram<u64>, String> {
     Histogram::new_with_bounds(1, 120_000_000, 3).map_err(|e| e.to_string())
 }
 
-/// Takes the figures of a fleet and prints them.
+/// Measures clusters of the given sizes and prints the results.
 ///
 /// # Errors
-/// The fleet did not start, or did not come together again.
+/// Returns an error if a cluster does not start, or its instances do not link to each other again after a loss.
 pub async fn run(options: &Options) -> Result<(), String> {
     for &size in &options.sizes {
-        println!("{size} processes");
-        let mut fleet = Fleet::start(setup(size, Way::Linked)).await.map_err(|e| e.to_string())?;
-        all_linked(&fleet).await?;
-        idle(&fleet, options.idle).await;
-        let (mut doubted, mut gone) =
-            ([histogram()?, histogram()?, histogram()?], [histogram()?, histogram()?, histogram()?]);
+        println!("{size} instances");
+        let mut cluster = TestCluster::start(cluster_config(size, DeploymentMode::Clustered))
+            .await
+            .map_err(|e| e.to_string())?;
+        wait_until_linked(&cluster).await?;
+        measure_idle_traffic(&cluster, options.idle).await;
+        let (mut to_suspect, mut to_dead) = (
+            [new_histogram()?, new_histogram()?, new_histogram()?],
+            [new_histogram()?, new_histogram()?, new_histogram()?],
+        );
         for round in 0..options.rounds {
-            for (kind, (doubted, gone)) in doubted.iter_mut().zip(&mut gone).enumerate() {
+            for (kind, (to_suspect, to_dead)) in to_suspect.iter_mut().zip(&mut to_dead).enumerate() {
                 let lost = (round + kind) % size;
-                let since = unix();
+                let since = unix_micros();
                 match kind {
-                    0 => fleet.process(lost).into_iter().for_each(|p| p.signal(libc::SIGKILL)),
-                    1 => fleet.process(lost).into_iter().for_each(|p| p.signal(libc::SIGSTOP)),
-                    _ => cut(&fleet, lost, true),
+                    0 => {
+                        cluster.instance(lost).into_iter().for_each(|instance| instance.signal(libc::SIGKILL))
+                    }
+                    1 => {
+                        cluster.instance(lost).into_iter().for_each(|instance| instance.signal(libc::SIGSTOP))
+                    }
+                    _ => set_isolated(&cluster, lost, true),
                 }
-                times(&fleet, lost, since, Held::Doubted, doubted).await?;
-                times(&fleet, lost, since, Held::Gone, gone).await?;
+                record_detection_times(&cluster, lost, since, Held::Doubted, to_suspect).await?;
+                record_detection_times(&cluster, lost, since, Held::Gone, to_dead).await?;
                 match kind {
                     0 => {
-                        if let Some(mut process) = fleet.processes[lost].take() {
-                            process.child.wait().await.map_err(|e| e.to_string())?;
+                        if let Some(mut instance) = cluster.instances[lost].take() {
+                            instance.child.wait().await.map_err(|e| e.to_string())?;
                         }
-                        fleet.launch(lost).await.map_err(|e| e.to_string())?;
+                        cluster.start_instance(lost).await.map_err(|e| e.to_string())?;
+                    }
+                    1 => {
+                        cluster.instance(lost).into_iter().for_each(|instance| instance.signal(libc::SIGCONT))
                     }
-                    1 => fleet.process(lost).into_iter().for_each(|p| p.signal(libc::SIGCONT)),
-                    _ => cut(&fleet, lost, false),
+                    _ => set_isolated(&cluster, lost, false),
                 }
-                all_linked(&fleet).await?;
-                // Strain that came of it is over before the next loss.
+                wait_until_linked(&cluster).await?;
+                // Lets the load that the loss caused pass before the next one.
                 tokio::time::sleep(Duration::from_millis(500)).await;
             }
         }
-        for (kind, (doubted, gone)) in ["kill", "stop", "cut"].iter().zip(doubted.iter().zip(&gone)) {
-            println!("  {}", row(&format!("{kind} to doubted"), doubted));
-            println!("  {}", row(&format!("{kind} to gone"), gone));
+        for (kind, (to_suspect, to_dead)) in
+            ["kill", "stop", "cut"].iter().zip(to_suspect.iter().zip(&to_dead))
+        {
+            println!("  {}", summary_row(&format!("{kind} to suspect"), to_suspect));
+            println!("  {}", summary_row(&format!("{kind} to dead"), to_dead));
         }
-        busy(&fleet, options.busy).await;
+        measure_false_suspicions(&cluster, options.busy).await;
     }
     Ok(())
 }
 
-fn cut(fleet: &Fleet, lost: usize, cut: bool) {
-    let fault = Fault { cut, ..Fault::default() };
-    for other in (0..fleet.names.len()).filter(|other| *other != lost) {
-        fleet.relays.set_fault(lost, other, &fault);
-        fleet.relays.set_fault(other, lost, &fault);
+/// Cuts all links of an instance in both directions, or restores them.
+fn set_isolated(cluster: &TestCluster, lost: usize, isolated: bool) {
+    let fault = Fault { cut: isolated, ..Fault::default() };
+    for other in (0..cluster.names.len()).filter(|other| *other != lost) {
+        cluster.relays.set_fault(lost, other, &fault);
+        cluster.relays.set_fault(other, lost, &fault);
     }
 }
 
-/// What a fleet sends to which nothing happens.
-async fn idle(fleet: &Fleet, seconds: u64) {
-    let sent = || -> Vec<(u64, u64)> { (0..fleet.names.len()).map(|at| fleet.relays.sent(at)).collect() };
+/// Measures the traffic between the instances of an idle cluster.
+async fn measure_idle_traffic(cluster: &TestCluster, seconds: u64) {
+    let sent =
+        || -> Vec<(u64, u64)> { (0..cluster.names.len()).map(|index| cluster.relays.sent(index)).collect() };
     tokio::time::sleep(Duration::from_secs(2)).await;
     let before = sent();
     tokio::time::sleep(Duration::from_secs(seconds)).await;
     let after = sent();
-    let each = (fleet.names.len() as u64 * seconds) as f64;
+    let instance_seconds = (cluster.names.len() as u64 * seconds) as f64;
     let messages: u64 = after.iter().zip(&before).map(|(a, b)| a.0 - b.0).sum();
     let bytes: u64 = after.iter().zip(&before).map(|(a, b)| a.1 - b.1).sum();
-    let (messages, bytes) = (messages as f64 / each, bytes as f64 / each);
-    println!("  idle: {messages:.1} messages and {bytes:.0} bytes a second a process, sent");
+    let (messages, bytes) = (messages as f64 / instance_seconds, bytes as f64 / instance_seconds);
+    println!("  idle: {messages:.1} messages and {bytes:.0} bytes sent per second and instance");
 }
 
-/// Doubts of processes that are there, while every core has something else to do.
-async fn busy(fleet: &Fleet, seconds: u64) {
+/// Counts suspicions of running instances while every core is busy with other work.
+async fn measure_false_suspicions(cluster: &TestCluster, seconds: u64) {
     let stop = Arc::new(AtomicBool::new(false));
     let cores = std::thread::available_parallelism().map_or(4, std::num::NonZero::get);
-    let burners: Vec<_> = (0..2 * cores)
+    let busy_threads: Vec<_> = (0..2 * cores)
         .map(|_| {
             let stop = stop.clone();
             std::thread::spawn(move || {
@@ -211,15 +238,17 @@
             })
         })
         .collect();
-    let before = fleet.logs.timeline().sightings.len();
+    let before = cluster.logs.timeline().observed_states.len();
     tokio::time::sleep(Duration::from_secs(seconds)).await;
     stop.store(true, Ordering::Relaxed);
-    burners.into_iter().for_each(|burner| drop(burner.join()));
-    let timeline = fleet.logs.timeline();
-    let count = |held: Held| timeline.sightings[before..].iter().filter(|s| s.held == held).count();
+    busy_threads.into_iter().for_each(|thread| drop(thread.join()));
+    let timeline = cluster.logs.timeline();
+    let count = |state: Held| {
+        timeline.observed_states[before..].iter().filter(|change| change.state == state).count()
+    };
     let hours = seconds as f64 / 3600.0;
     println!(
-        "  busy ({} threads on {cores} cores, {seconds} s): {} doubted, {} gone, {:.0} false doubts an hour over all",
+        "  busy ({} threads on {cores} cores, {seconds} s): {} suspect, {} dead, {:.0} false suspicions per hour in the whole cluster",
         2 * cores,
         count(Held::Doubted),
         count(Held::Gone),
@@ -227,131 +256,138 @@
     );
 }
 
-/// What a process has used: CPU in nanoseconds, reads and writes, times it gave up its core, memory.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, Default)]
-struct Use {
-    cpu: u64,
-    calls: u64,
-    waits: u64,
-    memory: u64,
+struct Usage {
+    cpu_ns: u64,
+    /// Read and write system calls.
+    io_calls: u64,
+    voluntary_switches: u64,
+    memory_kb: u64,
 }
 
-fn used(pid: u32) -> Option<Use> {
-    let read = |what: &str| std::fs::read_to_string(format!("/proc/{pid}/{what}")).ok();
+fn usage(pid: u32) -> Option<Usage> {
+    let read = |file: &str| std::fs::read_to_string(format!("/proc/{pid}/{file}")).ok();
     let field = |text: &str, key: &str| -> Option<u64> {
         let line = text.lines().find(|line| line.starts_with(key))?;
         line.split_whitespace().nth(1)?.parse().ok()
     };
     let (io, status) = (read("io")?, read("status")?);
-    Some(Use {
-        cpu: read("schedstat")?.split_whitespace().next()?.parse().ok()?,
-        calls: field(&io, "syscr:")? + field(&io, "syscw:")?,
-        waits: field(&status, "voluntary_ctxt_switches:")?,
-        memory: field(&status, "VmRSS:")?,
+    Some(Usage {
+        cpu_ns: read("schedstat")?.split_whitespace().next()?.parse().ok()?,
+        io_calls: field(&io, "syscr:")? + field(&io, "syscw:")?,
+        voluntary_switches: field(&status, "voluntary_ctxt_switches:")?,
+        memory_kb: field(&status, "VmRSS:")?,
     })
 }
 
-/// What is told of a run: the figures of a query, and times of holds and searches.
-const FIGURES: [&str; 6] = [
-    "CPU a query, us",
-    "reads and writes a query",
-    "waits a query",
+/// Metrics of a run: averages per query, memory, and median response times.
+const METRICS: [&str; 6] = [
+    "CPU per query, us",
+    "reads/writes per query",
+    "waits per query",
     "memory, KB",
-    "a search, median, us",
-    "a hold, median, us",
+    "idempotent, median, us",
+    "non-idempotent, median, us",
 ];
 
-/// Asks all queries and gives back how long searches and holds took.
-async fn ask_all(fleet: &Fleet, options: &CostOptions) -> Result<[Vec<f64>; 2], String> {
-    let addr = fleet.process(0).ok_or("no process")?.http;
+/// Sends all queries. Returns the response times of idempotent and of non-idempotent queries, in microseconds.
+async fn run_queries(cluster: &TestCluster, options: &CostOptions) -> Result<[Vec<f64>; 2], String> {
+    let addr = cluster.instance(0).ok_or("the first instance is not running")?.http;
     let mut tasks = tokio::task::JoinSet::new();
     for client in 0..options.clients.max(1) {
-        let (notes, count, step) = (fleet.notes.clone(), options.queries, options.clients.max(1) as usize);
+        let (recorder, count, step) =
+            (cluster.recorder.clone(), options.queries, options.clients.max(1) as usize);
         tasks.spawn(async move {
-            let mut took = [Vec::new(), Vec::new()];
+            let mut times = [Vec::new(), Vec::new()];
             for number in (client..count).step_by(step) {
-                let (query, effect) = clients::query(format!("c-{number}"), number, 3_000_000);
-                let report = query.kind == "sales-report";
-                let began = std::time::Instant::now();
-                let status = clients::send_query(addr, "n1".to_owned(), query, effect, notes.clone()).await;
-                if status == Some(200) && !report {
-                    took[usize::from(effect)].push(began.elapsed().as_micros() as f64);
+                let (query, non_idempotent) = clients::query(format!("c-{number}"), number, 3_000_000);
+                let is_report = query.kind == "sales-report";
+                let started = std::time::Instant::now();
+                let status =
+                    clients::send_query(addr, "n1".to_owned(), query, non_idempotent, recorder.clone()).await;
+                if status == Some(200) && !is_report {
+                    times[usize::from(non_idempotent)].push(started.elapsed().as_micros() as f64);
                 }
             }
-            took
+            times
         });
     }
     let mut all = [Vec::new(), Vec::new()];
-    while let Some(took) = tasks.join_next().await {
-        let took = took.map_err(|e| e.to_string())?;
-        for (all, took) in all.iter_mut().zip(took) {
-            all.extend(took);
+    while let Some(times) = tasks.join_next().await {
+        let times = times.map_err(|e| e.to_string())?;
+        for (all, times) in all.iter_mut().zip(times) {
+            all.extend(times);
         }
     }
     Ok(all)
 }
 
-/// The middle one; 0 of none.
+/// Returns the median (the upper one of an even number of values), or 0 without values.
 fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or_default()
 }
 
-/// One run of a process set up this way.
-async fn run_of(way: Way, options: &CostOptions) -> Result<[f64; 6], String> {
-    let fleet = Fleet::start(setup(3, way)).await.map_err(|e| e.to_string())?;
-    if way != Way::Alone {
-        all_linked(&fleet).await?;
+/// Runs a cluster in the given mode once and returns the [`METRICS`] of its first instance.
+async fn measure_once(mode: DeploymentMode, options: &CostOptions) -> Result<[f64; 6], String> {
+    let cluster = TestCluster::start(cluster_config(3, mode)).await.map_err(|e| e.to_string())?;
+    if mode != DeploymentMode::Standalone {
+        wait_until_linked(&cluster).await?;
     }
-    // Keepers that all started at once give no word before that.
-    let rest = if way == Way::TakeoverAdapter { 2 * crate::fleet::LIFE_MS } else { 0 };
-    tokio::time::sleep(Duration::from_millis(500 + rest)).await;
-    let pid = fleet.process(0).and_then(|process| process.child.id()).ok_or("no process")?;
-    let before = used(pid).ok_or("no figures")?;
-    let [searches, holds] = ask_all(&fleet, options).await?;
-    let after = used(pid).ok_or("no figures")?;
-    let each = |before: u64, after: u64| (after - before) as f64 / options.queries as f64;
+    // All instances start at once, and their acceptors do not reply before this time has passed.
+    let startup_ms =
+        if mode == DeploymentMode::ClusteredWithTakeover { 2 * crate::fleet::RETRY_LIFETIME_MS } else { 0 };
+    tokio::time::sleep(Duration::from_millis(500 + startup_ms)).await;
+    let pid = cluster
+        .instance(0)
+        .and_then(|instance| instance.child.id())
+        .ok_or("the first instance is not running")?;
+    let before = usage(pid).ok_or("resource usage of the process is not readable")?;
+    let [idempotent_times, non_idempotent_times] = run_queries(&cluster, options).await?;
+    let after = usage(pid).ok_or("resource usage of the process is not readable")?;
+    let per_query = |before: u64, after: u64| (after - before) as f64 / options.queries as f64;
     Ok([
-        each(before.cpu, after.cpu) / 1000.0,
-        each(before.calls, after.calls),
-        each(before.waits, after.waits),
-        after.memory as f64,
-        median(searches),
-        median(holds),
+        per_query(before.cpu_ns, after.cpu_ns) / 1000.0,
+        per_query(before.io_calls, after.io_calls),
+        per_query(before.voluntary_switches, after.voluntary_switches),
+        after.memory_kb as f64,
+        median(idempotent_times),
+        median(non_idempotent_times),
     ])
 }
 
-/// Compares one process without the section, with it, and with the takeover as well, run in turn.
+/// Compares an instance without the section `fleet`, with it, and with takeover enabled as well.
 ///
 /// # Errors
-/// A fleet did not start.
+/// Returns an error if a cluster does not start.
 pub async fn cost(options: &CostOptions) -> Result<(), String> {
     let mut rounds: Vec<[[f64; 6]; 3]> = Vec::new();
     for round in 0..options.rounds {
-        let mut came = [[0.0; 6]; 3];
-        // Which goes first changes, so that none has the warmer machine.
-        for turn in 0..WAYS.len() {
-            let at = (turn + round) % WAYS.len();
-            came[at] = run_of(WAYS[at], options).await?;
+        let mut round_metrics = [[0.0; 6]; 3];
+        // The order rotates, so that no mode always runs on the warmer machine.
+        for offset in 0..DEPLOYMENT_MODES.len() {
+            let index = (offset + round) % DEPLOYMENT_MODES.len();
+            round_metrics[index] = measure_once(DEPLOYMENT_MODES[index], options).await?;
         }
-        rounds.push(came);
+        rounds.push(round_metrics);
     }
     println!(
-        "one of three processes, {} queries by {} clients, {} rounds; differences are medians over the rounds",
+        "one of three instances, {} queries by {} clients, {} rounds; differences are medians over the rounds",
         options.queries, options.clients, options.rounds
     );
-    for (at, what) in FIGURES.iter().enumerate() {
-        let of = |way: usize| median(rounds.iter().map(|round| round[way][at]).collect());
-        let more = |way: usize| {
-            100.0 * median(rounds.iter().map(|round| round[way][at] / round[0][at] - 1.0).collect())
+    for (metric, title) in METRICS.iter().enumerate() {
+        let value = |mode: usize| median(rounds.iter().map(|round| round[mode][metric]).collect());
+        let increase_percent = |mode: usize| {
+            100.0 * median(rounds.iter().map(|round| round[mode][metric] / round[0][metric] - 1.0).collect())
         };
         println!(
-            "  {what:<26} alone {:>9.2}   linked {:>9.2} ({:+.1}%)   handover {:>9.2} ({:+.1}%)",
-            of(0),
-            of(1),
-            more(1),
-            of(2),
-            more(2)
+            "  {title:<26} standalone {:>9.2}   clustered {:>9.2} ({:+.1}%)   takeover {:>9.2} ({:+.1}%)",
+            value(0),
+            value(1),
+            increase_percent(1),
+            value(2),
+            increase_percent(2)
         );
     }
     Ok(())
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -1,4 +1,4 @@
-//! Decides what a trial does: plans, their checks, plans from a seed, and what may be left out of one that fails.
+//! Trial plans: their format and validation, random plans from a seed, and the reduction of failing plans.
 //!
 //! A plan is a JSON file; `mallowgauge-lab fleet schema` prints its schema.
 
@@ -9,63 +9,64 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// A trial, from start to verdict.
+/// Describes a trial.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// What is tried, in a few words.
+    /// Short description of the trial.
     pub name: String,
-    /// How many processes there are; they are called n1, n2, ...
+    /// Number of instances; they are named n1, n2, ...
     pub processes: usize,
-    /// How many hosts there are; each holds all shards.
-    #[serde(default = "usual_hosts")]
+    /// Number of backends; each serves all shards.
+    #[serde(default = "default_backends")]
     pub hosts: usize,
-    /// Queries a second, for each process.
-    #[serde(default = "usual_load")]
+    /// Queries per second for each instance.
+    #[serde(default = "default_load")]
     pub load: u32,
-    /// How long a host takes for a part.
-    #[serde(default = "usual_work")]
+    /// Service time of a backend for a part, in milliseconds.
+    #[serde(default = "default_service_time_ms")]
     pub work_ms: u64,
-    /// The limits that each process is told and has.
+    /// Resource limits of each instance.
     #[serde(default)]
     pub limits: Limits,
-    /// Processes whose list has another version than 1.
+    /// Instances whose peer list has a version other than 1.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub lists: Vec<List>,
-    /// Holds are taken over by another gatherer, and clients whose gatherer was lost ask for theirs again.
+    /// Whether non-idempotent queries are taken over by another instance; clients whose instance was lost then retry
+    /// them.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub handover: bool,
-    /// What is wrong on purpose, so that a rule has something to catch.
+    /// Fault injected on purpose, which one of the rules has to detect.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub planted: Option<Planted>,
-    /// What happens, one after the other.
+    /// Steps, run in order.
     pub steps: Vec<Step>,
 }
 
-fn usual_hosts() -> usize {
+fn default_backends() -> usize {
     3
 }
 
-fn usual_work() -> u64 {
+fn default_service_time_ms() -> u64 {
     2
 }
 
-fn usual_load() -> u32 {
+fn default_load() -> u32 {
     10
 }
 
-/// What a process is told that it may use.
+/// Resource limits of an instance, and how many parts a warming-up backend may get.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// File descriptors that it is told it may hold.
+    /// File descriptor limit in the instance's configuration.
     pub descriptors: u32,
-    /// File descriptors that the system holds it to, where these are fewer.
+    /// File descriptor limit that the system enforces, if lower.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub held_to: Option<u32>,
-    /// Megabytes, which the verdict holds it to.
+    /// Memory limit in megabytes, checked by the verdict.
     pub memory_mb: u32,
-    /// Parts that a cold host may get from all processes together in a second.
+    /// Parts that a warming-up backend may get per second from all instances together.
     pub cold_parts: usize,
 }
 
@@ -75,62 +76,62 @@
     }
 }
 
-/// A process's own version of the list.
+/// Version of one instance's peer list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct List {
-    /// Whose.
+    /// Name of the instance.
     pub process: String,
-    /// Its version.
+    /// Version of its peer list.
     pub version: u64,
 }
 
-/// Something that is wrong on purpose.
+/// A fault injected so that a rule has to detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Planted {
-    /// Hosts run each part twice.
+    /// Backends execute each part twice.
     DoubleRuns,
-    /// Discovery is held to have told of drains and starts, and did not.
+    /// Discovery records drains and backend starts as reported but does not report them.
     MuteDiscovery,
-    /// One answer in fifty is passed to its client twice.
+    /// One response in fifty reaches its client twice.
     DoubleAnswers,
-    /// One answer in fifty never reaches its client.
+    /// One response in fifty never reaches its client.
     LostAnswers,
-    /// A process is killed, and the trial does not know.
+    /// An instance is killed without a record in the history.
     SecretKill,
-    /// The verdict allows each process a sixty-fourth of the descriptors that it was told.
+    /// The verdict allows each instance 1/64 of its configured descriptors.
     TightLimits,
 }
 
-/// Some of the processes.
+/// Selects instances by name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(untagged)]
 pub enum Who {
     /// One name, or "all".
     One(String),
-    /// Names.
+    /// Several names.
     Some(Vec<String>),
 }
 
-/// How a member may be held to be.
+/// Membership state of a peer as seen by another instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Held {
-    /// It was heard.
+    /// The peer responds.
     Alive,
-    /// It was not reached.
+    /// The peer did not respond to probes (suspect).
     Doubted,
-    /// It did not refute.
+    /// The peer did not refute the suspicion (dead).
     Gone,
-    /// It said that it ends.
+    /// The peer announced its shutdown.
     Left,
 }
 
 impl Held {
-    /// The word for this state in the log of a process.
+    /// Returns the name of this state in an instance's log.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn log_name(self) -> &'static str {
         match self {
             Self::Alive => "alive",
             Self::Doubted => "suspect",
@@ -140,40 +141,40 @@
     }
 }
 
-/// What some hold of others.
+/// The membership state that observers have for peers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct View {
-    /// Who holds it.
+    /// Observers.
     pub at: Who,
-    /// Of whom.
+    /// Peers.
     pub of: Who,
-    /// What.
+    /// State of the peers.
     pub held: Held,
 }
 
-/// A fault on what goes from some to others.
+/// A fault on the links from some instances to others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Between {
-    /// Whose sending.
+    /// Senders.
     pub from: Who,
-    /// To whom.
+    /// Receivers.
     pub to: Who,
-    /// The way back as well.
+    /// Whether the fault applies to both directions.
     #[serde(default)]
     pub both: bool,
-    /// What happens to it.
+    /// Fault to inject.
     pub fault: Fault,
 }
 
-/// A line in a log.
+/// Text to find in the logs of instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Line {
-    /// Whose log.
+    /// Instances whose logs are searched.
     pub at: Who,
-    /// What the line holds.
+    /// Text that a line contains.
     pub text: String,
 }
 
@@ -181,97 +182,98 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Stranger {
-    /// Who is bothered.
+    /// Instance that the peer connects to.
     pub to: String,
-    /// In whose name, where the act needs one.
+    /// Name that the peer claims, where the behavior needs one.
     pub name: String,
-    /// What it does.
+    /// Behavior of the peer.
     pub act: Misbehavior,
-    /// For so long at most.
+    /// Maximum duration in milliseconds.
     pub ms: u64,
-    /// Whether the process has to close the connection by itself.
+    /// Whether the instance is required to close the connection.
     #[serde(default)]
     pub closed: bool,
 }
 
-/// What happens next.
+/// A step of a plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Step {
-    /// SIGKILL.
+    /// Kills instances with SIGKILL.
     Kill(Who),
-    /// SIGSTOP.
+    /// Stops instances with SIGSTOP.
     Stop(Who),
-    /// SIGCONT.
+    /// Resumes stopped instances with SIGCONT.
     Continue(Who),
-    /// SIGTERM; the process has to end by itself, with 0.
+    /// Terminates instances with SIGTERM; each has to exit with status 0.
     Terminate(Who),
-    /// Started anew, under its name, after it has ended.
+    /// Restarts ended instances under their names.
     Restart(Who),
-    /// Another process under the same name, while the first one lives.
+    /// Starts a duplicate instance under the name of a running one.
     Double(String),
-    /// The second process of that name is killed.
+    /// Kills the duplicate instance of a name.
     KillDouble(String),
-    /// A fault on links.
+    /// Injects a fault on links.
     Fault(Between),
-    /// No faults on links any more.
+    /// Removes all link faults.
     Heal,
-    /// Waits until some hold others to be so.
+    /// Waits until the observers have the given state for the peers.
     Await(View),
-    /// Waits until all of these are linked with each other.
+    /// Waits until all of these instances are linked to each other.
     Linked(Who),
-    /// Waits for a line in logs, since the last mark.
+    /// Waits until a line logged since the last mark contains a text.
     Logged(Line),
-    /// No such line was written since the last mark.
+    /// Checks that no line logged since the last mark contains a text.
     NotLogged(Line),
-    /// Nobody of these held that of those since the last mark.
+    /// Checks that no observer logged the state for a peer since the last mark.
     Never(View),
-    /// From here on counts what `never`, `logged` and `not_logged` look at.
+    /// Sets the mark from which `never`, `logged` and `not_logged` search.
     Mark,
-    /// Lets time pass.
+    /// Waits for a number of milliseconds.
     PassMs(u64),
-    /// A host begins to drain.
+    /// Starts draining a backend.
     Drain(usize),
-    /// A host has just started.
+    /// Reports a backend as just started, so that it is warming up.
     Cold(usize),
-    /// Discovery goes down, or up.
+    /// Takes discovery down, or up again.
     DiscoveryDown(bool),
-    /// A peer that misbehaves.
+    /// Starts a misbehaving peer.
     Stranger(Stranger),
-    /// So many clients connect to each of these and say nothing.
+    /// Opens idle client connections to each of these instances.
     Crowd {
-        /// To whom.
+        /// Instances to connect to.
         to: Who,
-        /// How many.
+        /// Connections to each instance.
         clients: usize,
     },
-    /// The crowds leave.
+    /// Closes all idle client connections.
     CrowdLeaves,
-    /// Waits until so many more queries were answered.
+    /// Waits until this many more queries were answered.
     Answered(usize),
 }
 
 impl Plan {
-    /// The processes' names.
+    /// Returns the names of the instances.
     #[must_use]
     pub fn names(&self) -> Vec<String> {
-        (1..=self.processes).map(|at| format!("n{at}")).collect()
+        (1..=self.processes).map(|number| format!("n{number}")).collect()
     }
 
-    /// Reads a plan and checks it.
+    /// Parses and checks a plan.
     ///
     /// # Errors
-    /// What is wrong, and where.
+    /// Returns the first syntax error or invalid value, with its position.
     pub fn read(text: &str) -> Result<Self, String> {
         let plan: Self = serde_json::from_str(text).map_err(|e| e.to_string())?;
         plan.check()?;
         Ok(plan)
     }
 
-    /// Whether all that a plan names is there and its steps can follow each other.
+    /// Checks that all named instances and backends exist, that values are in range and that the order of the steps is
+    /// possible.
     ///
     /// # Errors
-    /// The first thing that is wrong.
+    /// Returns the first invalid value or step.
     pub fn check(&self) -> Result<(), String> {
         if !(1..=16).contains(&self.processes) {
             return Err(format!("processes is {}, not 1 to 16", self.processes));
@@ -286,83 +288,84 @@
             return Err(format!("load is {}, not up to 500", self.load));
         }
         for List { process, .. } in &self.lists {
-            self.places(&Who::One(process.clone())).map_err(|e| format!("lists: {e}"))?;
+            self.indices(&Who::One(process.clone())).map_err(|e| format!("lists: {e}"))?;
         }
-        let mut state = Lives::default();
-        for (at, step) in self.steps.iter().enumerate() {
-            self.check_step(step, &mut state).map_err(|e| format!("steps[{at}]: {e}"))?;
+        let mut states = InstanceStates::default();
+        for (index, step) in self.steps.iter().enumerate() {
+            self.check_step(step, &mut states).map_err(|e| format!("steps[{index}]: {e}"))?;
         }
         Ok(())
     }
 
-    fn check_step(&self, step: &Step, lives: &mut Lives) -> Result<(), String> {
-        let places = |who: &Who| self.places(who);
+    /// Checks a step against the states that the steps before it left, and updates them.
+    fn check_step(&self, step: &Step, states: &mut InstanceStates) -> Result<(), String> {
+        let indices = |who: &Who| self.indices(who);
         match step {
             Step::Kill(who) | Step::Terminate(who) => {
-                for at in places(who)? {
-                    if !lives.ended.insert(at) {
-                        return Err(format!("n{} has ended already", at + 1));
+                for index in indices(who)? {
+                    if !states.ended.insert(index) {
+                        return Err(format!("n{} has ended already", index + 1));
                     }
-                    if matches!(step, Step::Terminate(_)) && lives.halted.contains(&at) {
-                        return Err(format!("n{} is halted and cannot end by itself", at + 1));
+                    if matches!(step, Step::Terminate(_)) && states.stopped.contains(&index) {
+                        return Err(format!("n{} is halted and cannot end by itself", index + 1));
                     }
-                    lives.halted.remove(&at);
+                    states.stopped.remove(&index);
                 }
             }
             Step::Stop(who) => {
-                for at in places(who)? {
-                    if lives.ended.contains(&at) || !lives.halted.insert(at) {
-                        return Err(format!("n{} does not run", at + 1));
+                for index in indices(who)? {
+                    if states.ended.contains(&index) || !states.stopped.insert(index) {
+                        return Err(format!("n{} does not run", index + 1));
                     }
                 }
             }
             Step::Continue(who) => {
-                for at in places(who)? {
-                    if !lives.halted.remove(&at) {
-                        return Err(format!("n{} is not halted", at + 1));
+                for index in indices(who)? {
+                    if !states.stopped.remove(&index) {
+                        return Err(format!("n{} is not halted", index + 1));
                     }
                 }
             }
             Step::Restart(who) => {
-                for at in places(who)? {
-                    if !lives.ended.remove(&at) {
-                        return Err(format!("n{} has not ended", at + 1));
+                for index in indices(who)? {
+                    if !states.ended.remove(&index) {
+                        return Err(format!("n{} has not ended", index + 1));
                     }
                 }
             }
             Step::Double(name) => {
-                places(&Who::One(name.clone()))?;
-                if !lives.doubled.insert(name.clone()) {
+                indices(&Who::One(name.clone()))?;
+                if !states.duplicated.insert(name.clone()) {
                     return Err(format!("{name} has a double already"));
                 }
             }
-            Step::KillDouble(name) if !lives.doubled.remove(name) => {
+            Step::KillDouble(name) if !states.duplicated.remove(name) => {
                 return Err(format!("{name} has no double"));
             }
             Step::Fault(Between { from, to, fault, .. }) => {
-                places(from)?;
-                places(to)?;
-                let share = 0.0..=1.0;
-                if !share.contains(&fault.lose) || !share.contains(&fault.twice) {
+                indices(from)?;
+                indices(to)?;
+                let probability = 0.0..=1.0;
+                if !probability.contains(&fault.lose) || !probability.contains(&fault.twice) {
                     return Err("lose or twice is not a share from 0 to 1".to_owned());
                 }
             }
             Step::Await(view) | Step::Never(view) => {
-                places(&view.at)?;
-                places(&view.of)?;
+                indices(&view.at)?;
+                indices(&view.of)?;
             }
-            Step::Linked(who) => drop(places(who)?),
-            Step::Logged(line) | Step::NotLogged(line) => drop(places(&line.at)?),
+            Step::Linked(who) => drop(indices(who)?),
+            Step::Logged(line) | Step::NotLogged(line) => drop(indices(&line.at)?),
             Step::PassMs(ms) if *ms > 60_000 => return Err("more than a minute".to_owned()),
             Step::Drain(host) | Step::Cold(host) if *host >= self.hosts => {
                 return Err(format!("there is no host {host}"));
             }
             Step::Stranger(Stranger { to, name, .. }) => {
-                places(&Who::One(to.clone()))?;
-                places(&Who::One(name.clone()))?;
+                indices(&Who::One(to.clone()))?;
+                indices(&Who::One(name.clone()))?;
             }
             Step::Crowd { to, clients } => {
-                places(to)?;
+                indices(to)?;
                 if *clients > 2000 {
                     return Err("more than 2000 clients".to_owned());
                 }
@@ -372,121 +375,123 @@
         Ok(())
     }
 
-    /// The places of those named.
+    /// Returns the indices of the selected instances.
     ///
     /// # Errors
-    /// A name that no process has.
-    pub fn places(&self, who: &Who) -> Result<Vec<usize>, String> {
+    /// Returns an error for a name that no instance has.
+    pub fn indices(&self, who: &Who) -> Result<Vec<usize>, String> {
         let names = self.names();
-        let place = |name: &String| {
-            let found = names.iter().position(|known| known == name);
-            found.ok_or_else(|| format!("no process {name:?}; there are n1 to n{}", self.processes))
+        let index_of = |name: &String| {
+            let index = names.iter().position(|known| known == name);
+            index.ok_or_else(|| format!("no process {name:?}; there are n1 to n{}", self.processes))
         };
         match who {
             Who::One(all) if all == "all" => Ok((0..self.processes).collect()),
-            Who::One(name) => Ok(vec![place(name)?]),
-            Who::Some(names) => names.iter().map(place).collect(),
+            Who::One(name) => Ok(vec![index_of(name)?]),
+            Who::Some(names) => names.iter().map(index_of).collect(),
         }
     }
 
-    /// A plan with faults drawn by a seed, which ends with all of them mended and everybody back.
+    /// Returns a plan with random faults from a seed. At the end all faults are removed and all instances run again.
     #[must_use]
     pub fn random(seed: u64, processes: usize, handover: bool) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut lives = Lives::default();
+        let mut states = InstanceStates::default();
         let mut steps = vec![Step::Linked(all())];
         if handover {
-            // All started at once: keepers give no word before that.
-            steps.push(Step::PassMs(2 * crate::fleet::LIFE_MS + 500));
+            // All instances start at once, and their acceptors do not reply before this time has passed.
+            steps.push(Step::PassMs(2 * crate::fleet::RETRY_LIFETIME_MS + 500));
         }
-        let one = |at: usize| Who::One(format!("n{}", at + 1));
-        let mut faulty = false;
+        let one = |index: usize| Who::One(format!("n{}", index + 1));
+        let mut links_faulty = false;
         for _ in 0..rng.usize(4..=9) {
-            let at = rng.usize(0..processes);
-            let running = !lives.ended.contains(&at) && !lives.halted.contains(&at);
+            let index = rng.usize(0..processes);
+            let running = !states.ended.contains(&index) && !states.stopped.contains(&index);
             match rng.u32(0..10) {
                 0 if running => {
-                    lives.ended.insert(at);
-                    steps.push(Step::Kill(one(at)));
+                    states.ended.insert(index);
+                    steps.push(Step::Kill(one(index)));
                 }
                 1 if running => {
-                    lives.halted.insert(at);
-                    steps.push(Step::Stop(one(at)));
+                    states.stopped.insert(index);
+                    steps.push(Step::Stop(one(index)));
                 }
                 2 if running => {
-                    lives.ended.insert(at);
-                    steps.push(Step::Terminate(one(at)));
+                    states.ended.insert(index);
+                    steps.push(Step::Terminate(one(index)));
                 }
-                0..=2 if lives.halted.remove(&at) => steps.push(Step::Continue(one(at))),
-                0..=2 if lives.ended.remove(&at) => steps.push(Step::Restart(one(at))),
-                3 if faulty => {
-                    faulty = false;
+                0..=2 if states.stopped.remove(&index) => steps.push(Step::Continue(one(index))),
+                0..=2 if states.ended.remove(&index) => steps.push(Step::Restart(one(index))),
+                3 if links_faulty => {
+                    links_faulty = false;
                     steps.push(Step::Heal);
                 }
                 4 => steps.push(Step::DiscoveryDown(rng.bool())),
                 _ => {
-                    faulty = true;
+                    links_faulty = true;
                     steps.push(Step::Fault(random_fault(&mut rng, processes)));
                 }
             }
             steps.push(Step::PassMs(rng.u64(20..800)));
         }
         steps.extend([Step::Heal, Step::DiscoveryDown(false)]);
-        let back =
-            |places: &BTreeSet<usize>| Who::Some(places.iter().map(|at| format!("n{}", at + 1)).collect());
-        if !lives.halted.is_empty() {
-            steps.push(Step::Continue(back(&lives.halted)));
+        let selection = |indices: &BTreeSet<usize>| {
+            Who::Some(indices.iter().map(|index| format!("n{}", index + 1)).collect())
+        };
+        if !states.stopped.is_empty() {
+            steps.push(Step::Continue(selection(&states.stopped)));
         }
-        if !lives.ended.is_empty() {
-            steps.push(Step::Restart(back(&lives.ended)));
+        if !states.ended.is_empty() {
+            steps.push(Step::Restart(selection(&states.ended)));
         }
-        // Everybody is found again, by everybody.
+        // Every instance is linked to every other one again and considers it alive.
         steps.push(Step::Linked(all()));
         steps.push(Step::Await(View { at: all(), of: all(), held: Held::Alive }));
         steps.push(Step::Answered(20));
-        let work_ms = if handover { 30 } else { usual_work() };
-        Self { name: format!("seed {seed}"), work_ms, steps, ..Self::quiet(processes, handover) }
+        let work_ms = if handover { 30 } else { default_service_time_ms() };
+        Self { name: format!("seed {seed}"), work_ms, steps, ..Self::without_steps(processes, handover) }
     }
 
-    /// A plan that kills, halts and cuts off one process after the other, and now and then the one that takes over
-    /// as well, while holds are in work. Every fault is mended before the next, so that a majority is there.
+    /// Returns a plan that kills, stops and isolates one instance after the other, and sometimes also an instance that
+    /// may take over, while non-idempotent queries are open. Every fault ends before the next one, so that a majority
+    /// is available.
     #[must_use]
-    pub fn storm(seed: u64, processes: usize, faults: usize, handover: bool) -> Self {
+    pub fn repeated_faults(seed: u64, processes: usize, faults: usize, handover: bool) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut steps = vec![Step::Linked(all()), Step::PassMs(2 * crate::fleet::LIFE_MS + 500)];
-        let one = |at: usize| Who::One(format!("n{}", at + 1));
-        let mut done = 0;
-        while done < faults {
-            let at = rng.usize(0..processes);
-            let other = (at + rng.usize(1..processes)) % processes;
+        let mut steps = vec![Step::Linked(all()), Step::PassMs(2 * crate::fleet::RETRY_LIFETIME_MS + 500)];
+        let one = |index: usize| Who::One(format!("n{}", index + 1));
+        let mut fault_count = 0;
+        while fault_count < faults {
+            let index = rng.usize(0..processes);
+            let other = (index + rng.usize(1..processes)) % processes;
             match rng.u32(0..22) {
                 20.. => {
-                    // What it still does for its clients, nobody hears of, and then it is gone.
+                    // The isolated instance goes on serving its clients unseen by its peers, and is then killed.
                     let fault = Fault { cut: true, ..Fault::default() };
-                    steps.push(Step::Fault(Between { from: one(at), to: all(), both: true, fault }));
-                    steps.extend([Step::PassMs(rng.u64(30..200)), Step::Kill(one(at)), Step::Heal]);
-                    steps.push(Step::Restart(one(at)));
-                    done += 2;
+                    steps.push(Step::Fault(Between { from: one(index), to: all(), both: true, fault }));
+                    steps.extend([Step::PassMs(rng.u64(30..200)), Step::Kill(one(index)), Step::Heal]);
+                    steps.push(Step::Restart(one(index)));
+                    fault_count += 2;
                 }
                 0..=9 => {
-                    steps.extend([Step::Kill(one(at)), Step::PassMs(rng.u64(0..250))]);
-                    let mut lost = vec![at];
+                    steps.extend([Step::Kill(one(index)), Step::PassMs(rng.u64(0..250))]);
+                    let mut killed = vec![index];
                     if rng.u32(0..4) == 0 {
                         steps.extend([Step::Kill(one(other)), Step::PassMs(rng.u64(0..250))]);
-                        lost.push(other);
+                        killed.push(other);
                     }
-                    done += lost.len();
-                    steps.extend(lost.into_iter().map(|at| Step::Restart(one(at))));
+                    fault_count += killed.len();
+                    steps.extend(killed.into_iter().map(|index| Step::Restart(one(index))));
                 }
                 10..=14 => {
-                    // Shorter than anybody notices, or longer than it takes to be taken over.
+                    // Either too short for the peers to notice, or longer than a takeover takes.
                     let ms = if rng.bool() { rng.u64(20..300) } else { rng.u64(1200..2500) };
-                    steps.extend([Step::Stop(one(at)), Step::PassMs(ms), Step::Continue(one(at))]);
-                    done += 1;
+                    steps.extend([Step::Stop(one(index)), Step::PassMs(ms), Step::Continue(one(index))]);
+                    fault_count += 1;
                 }
                 _ => {
                     let to = if rng.bool() { all() } else { one(other) };
-                    let (from, both) = (one(at), rng.bool());
+                    let (from, both) = (one(index), rng.bool());
                     let fault = match rng.u32(0..4) {
                         0 | 1 => Fault { cut: true, ..Fault::default() },
                         2 => Fault { hold: true, ..Fault::default() },
@@ -494,25 +499,25 @@
                     };
                     steps.push(Step::Fault(Between { from, to, both, fault }));
                     steps.extend([Step::PassMs(rng.u64(100..1500)), Step::Heal]);
-                    done += 1;
+                    fault_count += 1;
                 }
             }
-            // Whoever was lost has to be a keeper again before the next.
+            // A lost instance has to be an acceptor again before the next fault.
             steps.extend([Step::Linked(all()), Step::PassMs(300)]);
         }
         steps.push(Step::Answered(20));
         let name = format!("storm {seed}{}", if handover { "" } else { " without handover" });
-        Self { name, load: 60, work_ms: 30, steps, ..Self::quiet(processes, handover) }
+        Self { name, load: 60, work_ms: 30, steps, ..Self::without_steps(processes, handover) }
     }
 
-    /// A plan in which nothing happens.
-    fn quiet(processes: usize, handover: bool) -> Self {
+    /// Returns a plan with default settings and no steps.
+    fn without_steps(processes: usize, handover: bool) -> Self {
         Self {
             name: String::new(),
             processes,
-            hosts: usual_hosts(),
-            load: usual_load(),
-            work_ms: usual_work(),
+            hosts: default_backends(),
+            load: default_load(),
+            work_ms: default_service_time_ms(),
             limits: Limits::default(),
             lists: Vec::new(),
             handover,
@@ -521,23 +526,23 @@
         }
     }
 
-    /// How many kills, halts and faults on links there are in it.
+    /// Returns the number of kill, stop and link fault steps.
     #[must_use]
-    pub fn faults(&self) -> usize {
-        let is = |step: &&Step| matches!(step, Step::Kill(_) | Step::Stop(_) | Step::Fault(_));
-        self.steps.iter().filter(is).count()
+    pub fn fault_count(&self) -> usize {
+        let is_fault = |step: &&Step| matches!(step, Step::Kill(_) | Step::Stop(_) | Step::Fault(_));
+        self.steps.iter().filter(is_fault).count()
     }
 
-    /// Plans with less in them, the largest cuts first, that still make sense.
+    /// Returns valid plans with fewer steps, the largest reductions first.
     #[must_use]
-    pub fn smaller(&self) -> Vec<Self> {
+    pub fn reductions(&self) -> Vec<Self> {
         let mut plans = Vec::new();
         let mut length = self.steps.len() / 2;
         while length > 0 {
             for from in (0..self.steps.len()).step_by(length) {
                 let mut plan = self.clone();
                 plan.steps.drain(from..(from + length).min(self.steps.len()));
-                plan.mend();
+                plan.remove_impossible_steps();
                 if plan.steps.len() < self.steps.len() && plan.check().is_ok() {
                     plans.push(plan);
                 }
@@ -547,14 +552,14 @@
         plans
     }
 
-    /// Drops steps that can no longer follow those before them.
-    fn mend(&mut self) {
-        let mut lives = Lives::default();
+    /// Removes steps that are not possible after the steps before them.
+    fn remove_impossible_steps(&mut self) {
+        let mut states = InstanceStates::default();
         let steps = std::mem::take(&mut self.steps);
         for step in steps {
-            let mut after = lives.clone();
-            if self.check_step(&step, &mut after).is_ok() {
-                lives = after;
+            let mut states_after = states.clone();
+            if self.check_step(&step, &mut states_after).is_ok() {
+                states = states_after;
                 self.steps.push(step);
             }
         }
@@ -565,37 +570,37 @@
     Who::One("all".to_owned())
 }
 
-/// A share up to a half that JSON gives back as it is.
-fn hundredths(rng: &mut fastrand::Rng) -> f64 {
+/// Draws a probability of at most 0.5, in hundredths, which JSON round-trips exactly.
+fn random_probability(rng: &mut fastrand::Rng) -> f64 {
     f64::from(rng.u32(0..=50)) / 100.0
 }
 
 fn random_fault(rng: &mut fastrand::Rng, processes: usize) -> Between {
-    let name = |at: usize| format!("n{}", at + 1);
-    let some = |rng: &mut fastrand::Rng| {
-        let mut places: Vec<usize> = (0..processes).collect();
-        rng.shuffle(&mut places);
+    let name = |index: usize| format!("n{}", index + 1);
+    let random_instances = |rng: &mut fastrand::Rng| {
+        let mut indices: Vec<usize> = (0..processes).collect();
+        rng.shuffle(&mut indices);
         let count = rng.usize(1..=processes.div_ceil(2));
-        Who::Some(places[..count].iter().map(|&at| name(at)).collect())
+        Who::Some(indices[..count].iter().map(|&index| name(index)).collect())
     };
-    let (from, to, both) = (some(rng), some(rng), rng.bool());
-    let none = Fault::default();
+    let (from, to, both) = (random_instances(rng), random_instances(rng), rng.bool());
+    let no_fault = Fault::default();
     let fault = match rng.u32(0..8) {
-        0 | 1 => Fault { cut: true, ..none },
-        2 => Fault { hold: true, ..none },
-        3 => Fault { delay_ms: rng.u64(1..400), ..none },
-        4 => Fault { jitter_ms: rng.u64(1..300), ..none },
-        5 => Fault { lose: hundredths(rng), twice: hundredths(rng), ..none },
-        6 => Fault { bytes_a_second: rng.u64(50..2000), ..none },
-        _ => Fault { reset_at: Some(rng.u64(0..500)), ..none },
+        0 | 1 => Fault { cut: true, ..no_fault },
+        2 => Fault { hold: true, ..no_fault },
+        3 => Fault { delay_ms: rng.u64(1..400), ..no_fault },
+        4 => Fault { jitter_ms: rng.u64(1..300), ..no_fault },
+        5 => Fault { lose: random_probability(rng), twice: random_probability(rng), ..no_fault },
+        6 => Fault { bytes_a_second: rng.u64(50..2000), ..no_fault },
+        _ => Fault { reset_at: Some(rng.u64(0..500)), ..no_fault },
     };
     Between { from, to, both, fault }
 }
 
-/// Which processes are there, as the steps go on.
+/// Which instances have ended, are stopped or have a duplicate, after the steps so far.
 #[derive(Clone, Debug, Default)]
-struct Lives {
+struct InstanceStates {
     ended: BTreeSet<usize>,
-    halted: BTreeSet<usize>,
-    doubled: BTreeSet<String>,
+    stopped: BTreeSet<usize>,
+    duplicated: BTreeSet<String>,
 }
--- a/crates/lab/src/storm.rs
+++ b/crates/lab/src/storm.rs
@@ -1,147 +1,149 @@
-//! Storms: one plan of many faults after the other, and what came of all of them together.
+//! Runs many random plans with repeated faults and sums up their results.
 
 use std::collections::BTreeMap;
 
 use mallowgauge_testkit::fault_injection::rules::TakeoverCounts;
 use tokio::task::JoinSet;
 
-use crate::measure::{histogram, row};
+use crate::measure::{new_histogram, summary_row};
 use crate::plan::Plan;
 use crate::trial;
 use crate::verdict::Verdict;
 
-/// What is played.
+/// Options of the `storm` subcommand.
 #[derive(clap::Args, Clone, Debug)]
 pub struct Options {
-    /// Kills, halts and cuts in all.
+    /// Minimum number of faults (kills, stops, link faults) over all plans.
     #[arg(long, default_value_t = 2000)]
     faults: usize,
-    /// In each plan.
+    /// Faults in each plan.
     #[arg(long, default_value_t = 50)]
     each: usize,
-    /// The first plan's seed.
+    /// Seed of the first plan.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many processes.
+    /// Number of instances.
     #[arg(long, default_value_t = 5)]
     processes: usize,
-    /// Plays so many at a time.
+    /// Number of plans to run in parallel.
     #[arg(long, default_value_t = 3)]
     jobs: usize,
-    /// Plays each plan once more without the takeover, in turn.
+    /// Runs each plan also without takeover, for comparison.
     #[arg(long)]
     compare: bool,
-    /// Writes the lines of all processes by time into this folder, one file a plan.
+    /// Writes the log lines of all instances, sorted by time, to this directory, one file per plan.
     #[arg(long)]
     timeline: Option<std::path::PathBuf>,
-    /// A fault is planted in the program: ends well once a rule was broken, and ill if none was.
+    /// The program has an injected fault: succeeds once a rule is broken, and fails if none is.
     #[arg(long)]
     caught: bool,
-    /// Goes on until so many holds were asked, too.
+    /// Also runs plans until this many non-idempotent queries were sent.
     #[arg(long, default_value_t = 0)]
     holds: usize,
 }
 
-/// What came of several plans.
+/// Totals over the results of several plans.
 #[derive(Default)]
-struct Sum {
+struct Totals {
     plans: usize,
     faults: usize,
-    asked: usize,
-    holds: usize,
-    lost: usize,
-    taken: TakeoverCounts,
-    adoptions: Vec<u64>,
-    looked_at: BTreeMap<&'static str, usize>,
-    failed: Vec<String>,
+    queries: usize,
+    non_idempotent_queries: usize,
+    lost_queries: usize,
+    takeovers: TakeoverCounts,
+    takeover_times_us: Vec<u64>,
+    checks: BTreeMap<&'static str, usize>,
+    failed_plans: Vec<String>,
 }
 
-impl Sum {
+impl Totals {
     fn add(&mut self, verdict: &Verdict) {
         self.plans += 1;
         self.faults += verdict.faults;
-        self.asked += verdict.asked;
-        self.holds += verdict.holds;
-        self.lost += verdict.lost;
+        self.queries += verdict.asked;
+        self.non_idempotent_queries += verdict.holds;
+        self.lost_queries += verdict.lost;
         let TakeoverCounts { again, known, served, refused } = verdict.taken_over;
-        self.taken.again += again;
-        self.taken.known += known;
-        self.taken.served += served;
-        self.taken.refused += refused;
-        self.adoptions.extend(&verdict.adoptions);
+        self.takeovers.again += again;
+        self.takeovers.known += known;
+        self.takeovers.served += served;
+        self.takeovers.refused += refused;
+        self.takeover_times_us.extend(&verdict.adoptions);
         for rule in &verdict.rules {
-            *self.looked_at.entry(rule.rule).or_default() += rule.looked_at;
+            *self.checks.entry(rule.rule).or_default() += rule.looked_at;
         }
         if !verdict.passed() {
-            self.failed.push(verdict.plan.clone());
+            self.failed_plans.push(verdict.plan.clone());
         }
     }
 
-    fn print(&self, what: &str) -> Result<(), String> {
-        let TakeoverCounts { again, known, served, refused } = self.taken;
+    fn print(&self, title: &str) -> Result<(), String> {
+        let TakeoverCounts { again, known, served, refused } = self.takeovers;
         println!(
-            "{what}: {} plans, {} faults, {} asks, {} holds, {} asks lost with their gatherer",
-            self.plans, self.faults, self.asked, self.holds, self.lost
+            "{title}: {} plans, {} faults, {} queries, {} non-idempotent, {} queries lost with their instance",
+            self.plans, self.faults, self.queries, self.non_idempotent_queries, self.lost_queries
         );
-        println!("  lost holds asked again {again}, told how they ended {known}: served {served}, never ran {refused}");
-        let mut times = histogram()?;
-        for time in &self.adoptions {
+        println!("  lost non-idempotent queries retried {again}, outcome known {known}: served {served}, not executed {refused}");
+        let mut times = new_histogram()?;
+        for time in &self.takeover_times_us {
             times.record(*time).map_err(|e| e.to_string())?;
         }
-        println!("  {}", row("end to another's first frame", &times));
-        for (rule, looked_at) in &self.looked_at {
-            println!("  {rule:<28} {looked_at} looked at");
+        println!("  {}", summary_row("end to first takeover frame", &times));
+        for (rule, checks) in &self.checks {
+            println!("  {rule:<28} {checks} checked");
         }
-        println!("  plans that failed: {:?}", self.failed);
+        println!("  plans that failed: {:?}", self.failed_plans);
         Ok(())
     }
 }
 
-/// Plays storms until there were faults and holds enough.
+/// Runs plans until enough faults were injected and enough non-idempotent queries sent.
+///
+/// Returns whether all plans passed; with the `caught` option, whether a rule was broken.
 ///
 /// # Errors
-/// The processes could not be started.
+/// Returns an error if the instances cannot be started.
 pub async fn run(options: &Options) -> Result<bool, String> {
-    let (mut with, mut without) = (Sum::default(), Sum::default());
+    let (mut with_takeover, mut without_takeover) = (Totals::default(), Totals::default());
     let mut tasks = JoinSet::new();
     let mut seed = options.seed;
-    let mut begun = 0;
+    let mut planned_faults = 0;
     loop {
-        while tasks.len() < options.jobs.max(1) && (begun < options.faults || with.holds < options.holds) {
-            let (processes, each, now) = (options.processes, options.each, seed);
-            (seed, begun) = (seed + 1, begun + each);
+        while tasks.len() < options.jobs.max(1)
+            && (planned_faults < options.faults || with_takeover.non_idempotent_queries < options.holds)
+        {
+            let (processes, each, plan_seed) = (options.processes, options.each, seed);
+            (seed, planned_faults) = (seed + 1, planned_faults + each);
             let compare = options.compare;
             tasks.spawn(async move {
-                let mut came = Vec::new();
-                // Which of the two goes first changes, so that neither has the warmer machine.
-                let ways = if now % 2 == 0 { [true, false] } else { [false, true] };
-                for handover in ways.into_iter().filter(|handover| *handover || compare) {
-                    came.push((
-                        handover,
-                        trial::run(&Plan::storm(now, processes, each, handover), now).await,
-                    ));
+                let mut outcomes = Vec::new();
+                // The order alternates, so that neither variant always runs on the warmer machine.
+                let variants = if plan_seed % 2 == 0 { [true, false] } else { [false, true] };
+                for takeover in variants.into_iter().filter(|takeover| *takeover || compare) {
+                    let plan = Plan::repeated_faults(plan_seed, processes, each, takeover);
+                    outcomes.push((takeover, trial::run(&plan, plan_seed).await));
                 }
-                came
+                outcomes
             });
         }
-        let Some(done) = tasks.join_next().await else { break };
-        for (handover, outcome) in done.map_err(|e| e.to_string())? {
+        let Some(finished) = tasks.join_next().await else { break };
+        for (takeover, outcome) in finished.map_err(|e| e.to_string())? {
             let outcome = outcome?;
             let verdict = &outcome.verdict;
             print!("{}", verdict.table());
-            if let Some(folder) = &options.timeline {
-                outcome.write(folder)?;
+            if let Some(directory) = &options.timeline {
+                outcome.write_timeline(directory)?;
             }
-            if options.caught && !verdict.broken().is_empty() {
-                println!("caught by: {}", verdict.broken().join(", "));
+            if options.caught && !verdict.broken_rules().is_empty() {
+                println!("caught by: {}", verdict.broken_rules().join(", "));
                 return Ok(true);
             }
-            if handover { &mut with } else { &mut without }.add(verdict);
+            if takeover { &mut with_takeover } else { &mut without_takeover }.add(verdict);
         }
     }
-    with.print("with handover")?;
+    with_takeover.print("with takeover")?;
     if options.compare {
-        without.print("without")?;
+        without_takeover.print("without takeover")?;
     }
-    Ok(!options.caught && with.failed.is_empty() && without.failed.is_empty())
+    Ok(!options.caught && with_takeover.failed_plans.is_empty() && without_takeover.failed_plans.is_empty())
 }
--- a/crates/lab/src/timeline.rs
+++ b/crates/lab/src/timeline.rs
@@ -1,4 +1,5 @@
-//! Decides what the processes' logs say of the fleet: lines in, views out.
+//! Derives the cluster's state from the instances' logs: which peers each instance is linked to, and the membership
+//! state it has for each.
 
 use std::collections::BTreeMap;
 
@@ -7,130 +8,140 @@
 
 use crate::plan::Held;
 
-/// A line of a process's log.
+/// A log line of an instance.
 #[derive(Clone, Debug, Serialize)]
 pub struct Entry {
-    /// When it was written, as the process says: Unix time in text.
+    /// Timestamp of the line, in UTC, as the instance wrote it.
     pub time: String,
-    /// Who wrote it.
+    /// Name of the instance.
     pub process: String,
-    /// Which life of it.
+    /// Incarnation of the instance.
     pub life: String,
-    /// How grave it is.
+    /// Log level.
     pub level: String,
-    /// Its words.
+    /// Message, or the whole line if it is not JSON.
     pub message: String,
-    /// The query that it is about, where it names one.
+    /// Id of the query that the line concerns.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub query: Option<String>,
 }
 
-/// What somebody's log said of a member.
+/// A change of a peer's membership state, as logged by an observer.
 #[derive(Clone, Debug)]
-pub struct Sighting {
-    /// Which line of all it was.
-    pub at: usize,
-    /// When, in microseconds of Unix time.
+pub struct ObservedState {
+    /// Index of the line in [`Timeline::entries`].
+    pub entry_index: usize,
+    /// Unix time in microseconds.
     pub time: u64,
-    /// Who says it.
-    pub by: String,
-    /// Of whom.
-    pub of: String,
-    /// What.
-    pub held: Held,
+    /// Instance that logged the change.
+    pub observer: String,
+    /// Peer whose state changed.
+    pub peer: String,
+    /// New state of the peer.
+    pub state: Held,
 }
 
-/// All lines so far, and what they amount to.
+/// All log lines so far and the state derived from them.
 #[derive(Debug, Default)]
 pub struct Timeline {
-    /// The lines, as they came.
+    /// Lines in order of arrival.
     pub entries: Vec<Entry>,
-    /// Each change of what somebody holds of another.
-    pub sightings: Vec<Sighting>,
-    held: BTreeMap<(String, String), Held>,
-    linked: BTreeMap<(String, String), bool>,
+    /// Changes of membership states, in order of arrival.
+    pub observed_states: Vec<ObservedState>,
+    peer_states: BTreeMap<(String, String), Held>,
+    links: BTreeMap<(String, String), bool>,
 }
 
-/// Microseconds of Unix time of `2026-12-01T22:40:54.123456Z`.
+/// Parses a timestamp such as `2026-12-01T22:40:54.123456Z` into microseconds of Unix time.
 #[must_use]
-pub fn micros(time: &str) -> Option<u64> {
+pub fn parse_timestamp(time: &str) -> Option<u64> {
     let number = |range: std::ops::Range<usize>| time.get(range)?.parse::<u64>().ok();
     let (year, month, day) = (number(0..4)?, number(5..7)?, number(8..10)?);
     let (hour, minute, second) = (number(11..13)?, number(14..16)?, number(17..19)?);
     let fraction = time.get(20..)?.trim_end_matches('Z');
     let fraction = format!("{fraction:0<6}").get(..6)?.parse::<u64>().ok()?;
-    // Days since 1970, counted in years that begin in March.
+    // Days since 1970. Years start in March here, so that the leap day is the last day of a year.
     let (y, m) = if month > 2 { (year, month - 3) } else { (year - 1, month + 9) };
     let days = y * 365 + y / 4 - y / 100 + y / 400 + (m * 153 + 2) / 5 + day - 1 - 719_468;
     Some((((days * 24 + hour) * 60 + minute) * 60 + second) * 1_000_000 + fraction)
 }
 
 impl Timeline {
-    /// A process started, or ended: what it held of others is over.
-    pub fn forget(&mut self, process: &str) {
-        self.held.retain(|(by, _), _| by != process);
-        self.linked.retain(|(by, of), _| by != process && of != process);
+    /// Removes the state derived from an instance's log, as the instance starts anew.
+    pub fn forget(&mut self, instance: &str) {
+        self.peer_states.retain(|(observer, _), _| observer != instance);
+        self.links.retain(|(observer, peer), _| observer != instance && peer != instance);
     }
 
-    /// Takes a line in.
-    pub fn line(&mut self, process: &str, text: &str) {
+    /// Adds a line and updates the derived state.
+    pub fn add_line(&mut self, instance: &str, text: &str) {
         let fields: Value = serde_json::from_str(text).unwrap_or_default();
         let field = |key: &str| fields.get(key).and_then(Value::as_str).map(str::to_owned);
         let life = fields.pointer("/span/life").and_then(Value::as_str).unwrap_or_default().to_owned();
         let entry = Entry {
             time: field("timestamp").unwrap_or_default(),
-            process: process.to_owned(),
+            process: instance.to_owned(),
             life,
             level: field("level").unwrap_or_default(),
             message: field("message").unwrap_or_else(|| text.to_owned()),
             query: field("query"),
         };
-        self.read(&entry);
+        self.update_state(&entry);
         self.entries.push(entry);
     }
 
-    fn read(&mut self, entry: &Entry) {
-        let by = || entry.process.clone();
+    fn update_state(&mut self, entry: &Entry) {
+        let observer = || entry.process.clone();
         if let Some(rest) = entry.message.strip_prefix("connection to peer ") {
-            let of = rest.split(' ').next().unwrap_or_default();
-            self.linked.insert((by(), of.to_owned()), false);
+            let peer = rest.split(' ').next().unwrap_or_default();
+            self.links.insert((observer(), peer.to_owned()), false);
         }
         let Some(rest) = entry.message.strip_prefix("peer ") else { return };
-        let Some((of, rest)) = rest.split_once(' ') else { return };
+        let Some((peer, rest)) = rest.split_once(' ') else { return };
         if rest.starts_with("connected, ") {
-            self.linked.insert((by(), of.to_owned()), true);
+            self.links.insert((observer(), peer.to_owned()), true);
         }
         let Some(rest) = rest.strip_prefix("is ") else { return };
-        let all = [Held::Alive, Held::Doubted, Held::Gone, Held::Left];
-        let held = all.into_iter().find(|held| rest.starts_with(&format!("{},", held.word())));
-        if let Some(held) = held {
-            self.held.insert((by(), of.to_owned()), held);
-            let (at, time) = (self.entries.len(), micros(&entry.time).unwrap_or_default());
-            self.sightings.push(Sighting { at, time, by: by(), of: of.to_owned(), held });
+        let states = [Held::Alive, Held::Doubted, Held::Gone, Held::Left];
+        let state = states.into_iter().find(|state| rest.starts_with(&format!("{},", state.log_name())));
+        if let Some(state) = state {
+            self.peer_states.insert((observer(), peer.to_owned()), state);
+            self.observed_states.push(ObservedState {
+                entry_index: self.entries.len(),
+                time: parse_timestamp(&entry.time).unwrap_or_default(),
+                observer: observer(),
+                peer: peer.to_owned(),
+                state,
+            });
         }
     }
 
-    /// What one holds of another now.
+    /// Returns the membership state that the observer last logged for the peer.
     #[must_use]
-    pub fn held(&self, by: &str, of: &str) -> Option<Held> {
-        self.held.get(&(by.to_owned(), of.to_owned())).copied()
+    pub fn peer_state(&self, observer: &str, peer: &str) -> Option<Held> {
+        self.peer_states.get(&(observer.to_owned(), peer.to_owned())).copied()
     }
 
-    /// Whether one says that it is linked to the other.
+    /// Whether the observer's log says that it is linked to the peer.
     #[must_use]
-    pub fn linked(&self, by: &str, of: &str) -> bool {
-        self.linked.get(&(by.to_owned(), of.to_owned())).copied().unwrap_or(false)
+    pub fn is_linked(&self, observer: &str, peer: &str) -> bool {
+        self.links.get(&(observer.to_owned(), peer.to_owned())).copied().unwrap_or(false)
     }
 
-    /// Lines since the mark that hold such a text.
-    pub fn lines<'a>(&'a self, since: usize, by: &'a str, text: &'a str) -> impl Iterator<Item = &'a Entry> {
+    /// Returns an instance's lines that contain a text, from an index in [`Timeline::entries`] on.
+    pub fn lines_containing<'a>(
+        &'a self,
+        since: usize,
+        instance: &'a str,
+        text: &'a str,
+    ) -> impl Iterator<Item = &'a Entry> {
         let since = since.min(self.entries.len());
-        self.entries[since..].iter().filter(move |e| e.process == by && e.message.contains(text))
+        self.entries[since..].iter().filter(move |e| e.process == instance && e.message.contains(text))
     }
 
-    /// All lines by the time at which they were written.
+    /// Returns all lines in order of their timestamps.
     #[must_use]
-    pub fn merged(&self) -> Vec<&Entry> {
+    pub fn sorted_by_time(&self) -> Vec<&Entry> {
         let mut all: Vec<&Entry> = self.entries.iter().collect();
         all.sort_by(|a, b| a.time.cmp(&b.time));
         all
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -1,4 +1,4 @@
-//! Plays a plan with real processes and holds what came of it against the rules.
+//! Runs a plan with real processes and checks the recorded history against the rules.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,406 +8,434 @@
 
 use mallowgauge_testkit::fault_injection::misbehaving_peers::{self, PeerIdentity};
 use mallowgauge_testkit::fault_injection::rules::{self, ClientResult, Sample};
-use mallowgauge_testkit::fault_injection::{clients, lock_ignoring_poison};
+use mallowgauge_testkit::fault_injection::{clients, lock_ignoring_poison, Recorder};
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-use crate::fleet::{Fleet, Setup, PATIENCE};
-use crate::plan::{Between, Line, Plan, Planted, Step, Stranger, View, Who};
-use crate::timeline::Entry;
+use crate::fleet::{ClusterConfig, TestCluster, WAIT_TIMEOUT};
+use crate::plan::{Between, Held, Line, Plan, Planted, Step, Stranger, View, Who};
+use crate::timeline::{Entry, Timeline};
 use crate::verdict::Verdict;
 
-/// Clients wait for so long.
-const WAIT: u64 = 3_000_000;
-/// An answer may be so much later than its time before it counts as late: the machine may be busy.
-const SLACK: u64 = 5_000_000;
-/// The protocol's 250 ms and its 50 ms for sockets, and as much again as a busy machine may need.
-const DRAIN: u64 = 600_000;
-/// A host counts as cold for so long.
-const WARM: u64 = 5_000_000;
+/// Timeout of a client, in microseconds.
+const CLIENT_TIMEOUT_US: u64 = 3_000_000;
+/// Tolerance for responses after the client's timeout, in microseconds; the machine may be busy.
+const RESPONSE_TOLERANCE_US: u64 = 5_000_000;
+/// Time after which no new part may go to a draining backend, in microseconds: the protocol's 250 ms and 50 ms for
+/// sockets, doubled for a busy machine.
+const DRAIN_TOLERANCE_US: u64 = 600_000;
+/// Time for which a started backend counts as warming up, in microseconds.
+const WARM_UP_US: u64 = 5_000_000;
 
-/// A trial's outcome, and all that was logged.
+/// The verdict of a trial and all log lines.
 pub struct Outcome {
     /// The verdict.
     pub verdict: Verdict,
-    /// All lines by time.
+    /// Log lines of all instances, sorted by time.
     pub timeline: Vec<Entry>,
 }
 
 impl Outcome {
-    /// Writes all lines by time into a folder, as a file with the plan's name.
+    /// Writes the timeline to a file with the plan's name in a directory, one JSON object per line.
     ///
     /// # Errors
-    /// The folder or the file cannot be written.
-    pub fn write(&self, folder: &std::path::Path) -> Result<(), String> {
-        std::fs::create_dir_all(folder).map_err(|e| e.to_string())?;
+    /// Returns an error if the directory or the file cannot be written.
+    pub fn write_timeline(&self, directory: &std::path::Path) -> Result<(), String> {
+        std::fs::create_dir_all(directory).map_err(|e| e.to_string())?;
         let mut lines = String::new();
         for entry in &self.timeline {
             lines += &serde_json::to_string(entry).map_err(|e| e.to_string())?;
             lines.push('\n');
         }
-        let file = self.verdict.plan.replace(|c: char| !c.is_alphanumeric(), "-") + ".jsonl";
-        std::fs::write(folder.join(file), lines).map_err(|e| e.to_string())
+        let file_name = self.verdict.plan.replace(|c: char| !c.is_alphanumeric(), "-") + ".jsonl";
+        std::fs::write(directory.join(file_name), lines).map_err(|e| e.to_string())
     }
 }
 
-/// Plays a plan.
+/// Runs a plan.
 ///
 /// # Errors
-/// The processes or what stands round them could not be started.
+/// Returns an error if the cluster cannot be started.
 pub async fn run(plan: &Plan, seed: u64) -> Result<Outcome, String> {
-    let began = std::time::Instant::now();
-    let mut versions = vec![1; plan.processes];
+    let started = std::time::Instant::now();
+    let mut list_versions = vec![1; plan.processes];
     for list in &plan.lists {
-        for at in plan.places(&Who::One(list.process.clone()))? {
-            versions[at] = list.version;
+        for index in plan.indices(&Who::One(list.process.clone()))? {
+            list_versions[index] = list.version;
         }
     }
-    let tight = plan.planted == Some(Planted::TightLimits);
-    let setup = Setup {
-        processes: plan.processes,
-        hosts: plan.hosts,
+    let limits_tightened = plan.planted == Some(Planted::TightLimits);
+    let config = ClusterConfig {
+        instances: plan.processes,
+        backends: plan.hosts,
         descriptors: plan.limits.descriptors,
-        held_to: plan.limits.held_to.unwrap_or(plan.limits.descriptors),
+        enforced_descriptors: plan.limits.held_to.unwrap_or(plan.limits.descriptors),
         memory_mb: plan.limits.memory_mb,
-        versions,
-        linked: true,
-        handover: plan.handover,
+        list_versions,
+        clustered: true,
+        takeover: plan.handover,
         seed,
     };
-    let fleet = Fleet::start(setup).await.map_err(|e| e.to_string())?;
-    let work = Duration::from_millis(plan.work_ms);
-    fleet.hosts.iter().for_each(|host| host.update(|manner| manner.service_time = work));
+    let cluster = TestCluster::start(config).await.map_err(|e| e.to_string())?;
+    let service_time = Duration::from_millis(plan.work_ms);
+    cluster
+        .backends
+        .iter()
+        .for_each(|backend| backend.update(|behavior| behavior.service_time = service_time));
     if plan.planted == Some(Planted::DoubleRuns) {
-        fleet.hosts.iter().for_each(|host| host.update(|manner| manner.executes_twice = true));
+        cluster.backends.iter().for_each(|backend| backend.update(|behavior| behavior.executes_twice = true));
     }
     if plan.planted == Some(Planted::MuteDiscovery) {
-        fleet.discovery.update(|state| state.suppress_updates = true);
+        cluster.discovery.update(|state| state.suppress_updates = true);
     }
     let mut trial = Trial {
-        load: Load::start(&fleet, plan),
-        watch: Arc::default(),
+        load: LoadGenerator::start(&cluster, plan),
+        running_pids: Arc::default(),
         plan,
-        fleet,
+        cluster,
         mark: 0,
-        failed: Vec::new(),
-        halted: BTreeMap::new(),
+        failures: Vec::new(),
+        stopped_since: BTreeMap::new(),
         ended: BTreeSet::new(),
-        crowd: Vec::new(),
-        strangers: Vec::new(),
+        idle_clients: Vec::new(),
+        misbehaving_peers: Vec::new(),
     };
-    let sampler = trial.sample();
+    let sampler = trial.start_sampling();
     if plan.planted == Some(Planted::SecretKill) {
-        let secret = trial.fleet.process(0).and_then(|process| process.child.id());
-        let process = secret.map(|pid| pid.to_string()).unwrap_or_default();
-        let _ = std::process::Command::new("kill").args(["-9", &process]).status();
+        let pid = trial.cluster.instance(0).and_then(|instance| instance.child.id());
+        let pid = pid.map(|pid| pid.to_string()).unwrap_or_default();
+        let _ = std::process::Command::new("kill").args(["-9", &pid]).status();
     }
-    for (at, step) in plan.steps.iter().enumerate() {
-        if let Err(why) = trial.step(step).await {
-            let words = serde_json::to_string(step).unwrap_or_default();
-            trial.failed.push(format!("step {at} {words}: {why}"));
+    for (index, step) in plan.steps.iter().enumerate() {
+        if let Err(error) = trial.run_step(step).await {
+            let text = serde_json::to_string(step).unwrap_or_default();
+            trial.failures.push(format!("step {index} {text}: {error}"));
             break;
         }
-        trial.notice();
+        trial.update_running_pids();
     }
     trial.finish().await;
     sampler.abort();
-    let timeline: Vec<Entry> = trial.fleet.logs.timeline().merged().into_iter().cloned().collect();
-    let mut history = std::mem::take(&mut *trial.fleet.notes.history());
-    history.forbidden_log_lines = cries(&timeline);
+    let timeline: Vec<Entry> = trial.cluster.logs.timeline().sorted_by_time().into_iter().cloned().collect();
+    let mut history = std::mem::take(&mut *trial.cluster.recorder.history());
+    history.forbidden_log_lines = unexpected_lines(&timeline);
     let limits = rules::Limits {
-        slack: SLACK,
-        drain: DRAIN,
+        slack: RESPONSE_TOLERANCE_US,
+        drain: DRAIN_TOLERANCE_US,
         cold: plan.limits.cold_parts,
-        warm: WARM,
+        warm: WARM_UP_US,
         memory: u64::from(plan.limits.memory_mb) << 20,
-        descriptors: u64::from(plan.limits.descriptors) / if tight { 64 } else { 1 },
+        descriptors: u64::from(plan.limits.descriptors) / if limits_tightened { 64 } else { 1 },
     };
-    let mut answers = BTreeMap::new();
-    for asked in &history.queries {
-        if let [(_, ClientResult::Answer(status))] = asked.results[..] {
-            *answers.entry(status).or_default() += 1;
+    let mut responses = BTreeMap::new();
+    for query in &history.queries {
+        if let [(_, ClientResult::Answer(status))] = query.results[..] {
+            *responses.entry(status).or_default() += 1;
         }
     }
     let verdict = Verdict {
         plan: plan.name.clone(),
-        failed: trial.failed.clone(),
+        failed: trial.failures.clone(),
         rules: rules::check(&history, &limits),
         asked: history.queries.len(),
         holds: rules::non_idempotent_queries(&history),
-        faults: plan.faults(),
+        faults: plan.fault_count(),
         lost: rules::lost_queries(&history),
         taken_over: rules::takeovers(&history),
         adoptions: rules::takeover_times(&history),
-        answers,
-        seconds: began.elapsed().as_secs_f64(),
+        answers: responses,
+        seconds: started.elapsed().as_secs_f64(),
     };
     Ok(Outcome { verdict, timeline })
 }
 
-/// Lines that a sound process never writes.
-fn cries(timeline: &[Entry]) -> Vec<String> {
-    let cry = |entry: &&Entry| {
-        let usurped = entry.message.starts_with("another instance is ");
-        entry.message.contains("panicked") || (entry.level == "ERROR" && !usurped)
+/// Returns log lines that an instance must never write: panics, and errors other than the loss of its name to another
+/// instance.
+fn unexpected_lines(timeline: &[Entry]) -> Vec<String> {
+    let is_unexpected = |entry: &&Entry| {
+        let lost_its_name = entry.message.starts_with("another instance is ");
+        entry.message.contains("panicked") || (entry.level == "ERROR" && !lost_its_name)
     };
-    timeline.iter().filter(cry).map(|entry| format!("{}: {}", entry.process, entry.message)).collect()
+    timeline
+        .iter()
+        .filter(is_unexpected)
+        .map(|entry| format!("{}: {}", entry.process, entry.message))
+        .collect()
 }
 
+/// A trial in progress.
 struct Trial<'a> {
     plan: &'a Plan,
-    fleet: Fleet,
-    load: Load,
-    /// The ids of the processes that run, for samples.
-    watch: Arc<Mutex<Vec<(String, u32)>>>,
+    cluster: TestCluster,
+    load: LoadGenerator,
+    /// Names and process ids of the running instances, for resource samples.
+    running_pids: Arc<Mutex<Vec<(String, u32)>>>,
+    /// Index in the timeline's entries from which steps search log lines.
     mark: usize,
-    failed: Vec<String>,
-    halted: BTreeMap<usize, u64>,
+    failures: Vec<String>,
+    /// Stopped instances by index, with the time of their stop.
+    stopped_since: BTreeMap<usize, u64>,
     ended: BTreeSet<usize>,
-    crowd: Vec<TcpStream>,
-    strangers: Vec<(Stranger, JoinHandle<std::io::Result<Option<usize>>>)>,
+    idle_clients: Vec<TcpStream>,
+    misbehaving_peers: Vec<(Stranger, JoinHandle<std::io::Result<Option<usize>>>)>,
 }
 
 impl Trial<'_> {
-    fn places(&self, who: &Who) -> Result<Vec<usize>, String> {
-        self.plan.places(who)
+    fn indices(&self, who: &Who) -> Result<Vec<usize>, String> {
+        self.plan.indices(who)
     }
 
-    fn name(&self, at: usize) -> String {
-        self.fleet.names[at].clone()
+    fn name(&self, index: usize) -> String {
+        self.cluster.names[index].clone()
     }
 
-    fn signal(&self, at: usize, signal: libc::c_int) {
-        self.fleet.process(at).into_iter().for_each(|process| process.signal(signal));
+    fn signal(&self, index: usize, signal: libc::c_int) {
+        self.cluster.instance(index).into_iter().for_each(|instance| instance.signal(signal));
     }
 
-    async fn step(&mut self, step: &Step) -> Result<(), String> {
+    async fn run_step(&mut self, step: &Step) -> Result<(), String> {
         match step {
             Step::Kill(who) => {
-                for at in self.places(who)? {
-                    let name = self.name(at);
-                    self.go_on(at);
-                    self.ended.insert(at);
-                    self.load.off(at);
-                    let now = self.fleet.notes.now();
-                    self.fleet.notes.history().instance_ends.push((now, name));
-                    self.signal(at, libc::SIGKILL);
-                    self.gone(at).await?;
+                for index in self.indices(who)? {
+                    let name = self.name(index);
+                    self.record_resume(index);
+                    self.ended.insert(index);
+                    self.load.remove_target(index);
+                    let now = self.cluster.recorder.now();
+                    self.cluster.recorder.history().instance_ends.push((now, name));
+                    self.signal(index, libc::SIGKILL);
+                    self.wait_for_exit(index).await?;
                 }
             }
             Step::Stop(who) => {
-                for at in self.places(who)? {
-                    self.halted.insert(at, self.fleet.notes.now());
-                    self.load.off(at);
-                    self.signal(at, libc::SIGSTOP);
+                for index in self.indices(who)? {
+                    self.stopped_since.insert(index, self.cluster.recorder.now());
+                    self.load.remove_target(index);
+                    self.signal(index, libc::SIGSTOP);
                 }
             }
             Step::Continue(who) => {
-                for at in self.places(who)? {
-                    self.signal(at, libc::SIGCONT);
-                    self.go_on(at);
-                    self.load.on(at, self.fleet.process(at).map(|process| process.http));
+                for index in self.indices(who)? {
+                    self.signal(index, libc::SIGCONT);
+                    self.record_resume(index);
+                    self.load.set_target(index, self.cluster.instance(index).map(|instance| instance.http));
                 }
             }
             Step::Terminate(who) => {
-                let places = self.places(who)?;
-                for &at in &places {
-                    self.ended.insert(at);
-                    self.load.off(at);
-                    self.signal(at, libc::SIGTERM);
+                let indices = self.indices(who)?;
+                for &index in &indices {
+                    self.ended.insert(index);
+                    self.load.remove_target(index);
+                    self.signal(index, libc::SIGTERM);
                 }
-                for at in places {
-                    let code = self.gone(at).await?;
+                for index in indices {
+                    let code = self.wait_for_exit(index).await?;
                     if code != Some(0) {
-                        return Err(format!("n{} ended with {code:?}", at + 1));
+                        return Err(format!("n{} exited with status {code:?}, not 0", index + 1));
                     }
                 }
             }
             Step::Restart(who) => {
-                for at in self.places(who)? {
-                    self.ended.remove(&at);
-                    self.fleet.launch(at).await.map_err(|e| e.to_string())?;
-                    self.load.on(at, self.fleet.process(at).map(|process| process.http));
+                for index in self.indices(who)? {
+                    self.ended.remove(&index);
+                    self.cluster.start_instance(index).await.map_err(|e| e.to_string())?;
+                    self.load.set_target(index, self.cluster.instance(index).map(|instance| instance.http));
                 }
             }
             Step::Double(name) => {
-                for at in self.places(&Who::One(name.clone()))? {
-                    self.fleet.double(at).await.map_err(|e| e.to_string())?;
+                for index in self.indices(&Who::One(name.clone()))? {
+                    self.cluster.start_duplicate(index).await.map_err(|e| e.to_string())?;
                 }
             }
             Step::KillDouble(name) => {
-                let at = self.fleet.doubles.iter().position(|(of, _)| of == name).ok_or("no double")?;
-                let (of, mut process) = self.fleet.doubles.remove(at);
-                process.child.kill().await.map_err(|e| e.to_string())?;
-                // The relays lead to the first one again.
-                for place in self.places(&Who::One(of))? {
-                    let addr = self.fleet.process(place).and_then(|process| process.peers);
-                    addr.into_iter().for_each(|addr| self.fleet.relays.set_target(place, addr));
+                let position = self.cluster.duplicates.iter().position(|(of, _)| of == name);
+                let (name, mut duplicate) =
+                    self.cluster.duplicates.remove(position.ok_or("no duplicate instance")?);
+                duplicate.child.kill().await.map_err(|e| e.to_string())?;
+                // Directs the relays to the first instance again.
+                for index in self.indices(&Who::One(name))? {
+                    let addr = self.cluster.instance(index).and_then(|instance| instance.peers);
+                    addr.into_iter().for_each(|addr| self.cluster.relays.set_target(index, addr));
                 }
             }
-            Step::Fault(between) => self.fault(between)?,
-            Step::Heal => self.fleet.relays.heal(),
-            Step::Await(view) => return self.view(view).await,
-            Step::Linked(who) => return self.linked(who).await,
+            Step::Fault(between) => self.set_link_fault(between)?,
+            Step::Heal => self.cluster.relays.heal(),
+            Step::Await(view) => return self.wait_for_states(view).await,
+            Step::Linked(who) => return self.wait_for_links(who).await,
             Step::Logged(Line { at, text }) => {
                 let (names, mark) = (self.names(at)?, self.mark);
-                let all = |t: &crate::timeline::Timeline| {
-                    names.iter().all(|name| t.lines(mark, name, text).next().is_some())
+                let all_logged = |timeline: &Timeline| {
+                    names.iter().all(|name| timeline.lines_containing(mark, name, text).next().is_some())
                 };
-                if !self.fleet.logs.until(all).await {
-                    return Err("no such line".to_owned());
+                if !self.cluster.logs.wait_until(all_logged).await {
+                    return Err("no matching log line".to_owned());
                 }
             }
             Step::NotLogged(Line { at, text }) => {
-                let timeline = self.fleet.logs.timeline();
+                let timeline = self.cluster.logs.timeline();
                 for name in self.names(at)? {
-                    if let Some(entry) = timeline.lines(self.mark, &name, text).next() {
-                        return Err(format!("{name} wrote: {}", entry.message));
+                    if let Some(entry) = timeline.lines_containing(self.mark, &name, text).next() {
+                        return Err(format!("{name} logged: {}", entry.message));
                     }
                 }
             }
             Step::Never(View { at, of, held }) => {
-                let (by, of) = (self.names(at)?, self.names(of)?);
-                let timeline = self.fleet.logs.timeline();
-                let seen = timeline.sightings.iter().find(|seen| {
-                    seen.at >= self.mark
-                        && seen.held == *held
-                        && by.contains(&seen.by)
-                        && of.contains(&seen.of)
+                let (observers, peers) = (self.names(at)?, self.names(of)?);
+                let timeline = self.cluster.logs.timeline();
+                let change = timeline.observed_states.iter().find(|change| {
+                    change.entry_index >= self.mark
+                        && change.state == *held
+                        && observers.contains(&change.observer)
+                        && peers.contains(&change.peer)
                 });
-                if let Some(seen) = seen {
-                    return Err(format!("{} held {} to be {}", seen.by, seen.of, held.word()));
+                if let Some(change) = change {
+                    let state = held.log_name();
+                    return Err(format!("{} reported {} as {state}", change.observer, change.peer));
                 }
             }
-            Step::Mark => self.mark = self.fleet.logs.timeline().entries.len(),
+            Step::Mark => self.mark = self.cluster.logs.timeline().entries.len(),
             Step::PassMs(ms) => tokio::time::sleep(Duration::from_millis(*ms)).await,
             Step::Drain(host) => {
-                self.fleet.discovery.update(|state| state.backends[*host].state = "leaving");
-                self.fleet.hosts[*host].update(|manner| manner.draining = true);
+                self.cluster.discovery.update(|state| state.backends[*host].state = "leaving");
+                self.cluster.backends[*host].update(|behavior| behavior.draining = true);
             }
             Step::Cold(host) => {
                 let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-                let at = self.fleet.notes.now();
-                self.fleet.notes.history().cold_starts.push((at, *host));
-                let started = now.as_millis() as u64;
-                self.fleet.discovery.update(|state| state.backends[*host].started_at_ms = started);
+                let recorded_at = self.cluster.recorder.now();
+                self.cluster.recorder.history().cold_starts.push((recorded_at, *host));
+                let started_at_ms = now.as_millis() as u64;
+                self.cluster.discovery.update(|state| state.backends[*host].started_at_ms = started_at_ms);
             }
-            Step::DiscoveryDown(down) => self.fleet.discovery.update(|state| state.down = *down),
-            Step::Stranger(stranger) => self.stranger(stranger)?,
+            Step::DiscoveryDown(down) => self.cluster.discovery.update(|state| state.down = *down),
+            Step::Stranger(stranger) => self.start_misbehaving_peer(stranger)?,
             Step::Crowd { to, clients } => {
-                for at in self.places(to)? {
-                    let Some(addr) = self.fleet.process(at).map(|process| process.http) else { continue };
+                for index in self.indices(to)? {
+                    let Some(addr) = self.cluster.instance(index).map(|instance| instance.http) else {
+                        continue;
+                    };
                     for _ in 0..*clients {
-                        self.crowd.extend(TcpStream::connect(addr).await);
+                        self.idle_clients.extend(TcpStream::connect(addr).await);
                     }
                 }
             }
-            Step::CrowdLeaves => self.crowd.clear(),
+            Step::CrowdLeaves => self.idle_clients.clear(),
             Step::Answered(count) => {
                 let answered = &self.load.answered;
-                let until = answered.load(Ordering::Relaxed) + count;
-                if !self.fleet.logs.until(|_| answered.load(Ordering::Relaxed) >= until).await {
-                    return Err("too few answers".to_owned());
+                let target = answered.load(Ordering::Relaxed) + count;
+                if !self.cluster.logs.wait_until(|_| answered.load(Ordering::Relaxed) >= target).await {
+                    return Err("too few queries answered in time".to_owned());
                 }
             }
         }
         Ok(())
     }
 
-    /// Which processes run now is for samples to know.
-    fn notice(&self) {
-        let ids = (0..self.plan.processes).filter_map(|at| {
-            let id = self.fleet.process(at)?.child.id()?;
-            Some((self.name(at), id))
+    /// Updates the process ids that are sampled.
+    fn update_running_pids(&self) {
+        let pids = (0..self.plan.processes).filter_map(|index| {
+            let pid = self.cluster.instance(index)?.child.id()?;
+            Some((self.name(index), pid))
         });
-        *lock_ignoring_poison(&self.watch) = ids.collect();
+        *lock_ignoring_poison(&self.running_pids) = pids.collect();
     }
 
     fn names(&self, who: &Who) -> Result<Vec<String>, String> {
-        Ok(self.places(who)?.into_iter().map(|at| self.name(at)).collect())
+        Ok(self.indices(who)?.into_iter().map(|index| self.name(index)).collect())
     }
 
-    /// A process that was halted is not any more.
-    fn go_on(&mut self, at: usize) {
-        if let Some(from) = self.halted.remove(&at) {
-            let (to, name) = (self.fleet.notes.now(), self.name(at));
-            self.fleet.notes.history().pauses.push((from, to, name));
+    /// Records the pause of a stopped instance as ended; does nothing for other instances.
+    fn record_resume(&mut self, index: usize) {
+        if let Some(from) = self.stopped_since.remove(&index) {
+            let (to, name) = (self.cluster.recorder.now(), self.name(index));
+            self.cluster.recorder.history().pauses.push((from, to, name));
         }
     }
 
-    /// Waits for the end of a process.
-    async fn gone(&mut self, at: usize) -> Result<Option<i32>, String> {
-        let Some(mut process) = self.fleet.processes[at].take() else { return Ok(None) };
-        let ended = tokio::time::timeout(PATIENCE, process.child.wait()).await;
-        let status = ended.map_err(|_| format!("n{} did not end", at + 1))?;
+    /// Waits until an instance exits and returns its exit status; `None` after a signal or if it does not run.
+    async fn wait_for_exit(&mut self, index: usize) -> Result<Option<i32>, String> {
+        let Some(mut instance) = self.cluster.instances[index].take() else { return Ok(None) };
+        let exited = tokio::time::timeout(WAIT_TIMEOUT, instance.child.wait()).await;
+        let status = exited.map_err(|_| format!("n{} did not exit in time", index + 1))?;
         Ok(status.map_err(|e| e.to_string())?.code())
     }
 
-    fn fault(&self, Between { from, to, both, fault }: &Between) -> Result<(), String> {
-        let (from, to) = (self.places(from)?, self.places(to)?);
-        for (&a, &b) in from.iter().flat_map(|a| to.iter().map(move |b| (a, b))).filter(|(a, b)| a != b) {
-            self.fleet.relays.set_fault(a, b, fault);
+    fn set_link_fault(&self, Between { from, to, both, fault }: &Between) -> Result<(), String> {
+        let (from, to) = (self.indices(from)?, self.indices(to)?);
+        let pairs = from.iter().flat_map(|sender| to.iter().map(move |receiver| (sender, receiver)));
+        for (&sender, &receiver) in pairs.filter(|(sender, receiver)| sender != receiver) {
+            self.cluster.relays.set_fault(sender, receiver, fault);
             if *both {
-                self.fleet.relays.set_fault(b, a, fault);
+                self.cluster.relays.set_fault(receiver, sender, fault);
             }
         }
         Ok(())
     }
 
-    async fn view(&self, View { at, of, held }: &View) -> Result<(), String> {
-        let (by, of) = (self.names(at)?, self.names(of)?);
-        let pairs: Vec<(&String, &String)> =
-            by.iter().flat_map(|by| of.iter().map(move |of| (by, of))).filter(|(by, of)| by != of).collect();
-        let holds =
-            |t: &crate::timeline::Timeline| pairs.iter().all(|(by, of)| t.held(by, of) == Some(*held));
-        if self.fleet.logs.until(holds).await {
+    async fn wait_for_states(&self, View { at, of, held }: &View) -> Result<(), String> {
+        let (observers, peers) = (self.names(at)?, self.names(of)?);
+        let pairs: Vec<(&String, &String)> = observers
+            .iter()
+            .flat_map(|observer| peers.iter().map(move |peer| (observer, peer)))
+            .filter(|(observer, peer)| observer != peer)
+            .collect();
+        let all_agree = |timeline: &Timeline| {
+            pairs.iter().all(|(observer, peer)| timeline.peer_state(observer, peer) == Some(*held))
+        };
+        if self.cluster.logs.wait_until(all_agree).await {
             return Ok(());
         }
-        let timeline = self.fleet.logs.timeline();
-        let other = pairs.iter().filter(|(by, of)| timeline.held(by, of) != Some(*held));
-        let other: Vec<String> =
-            other.map(|(by, of)| format!("{by} holds {of} to be {:?}", timeline.held(by, of))).collect();
-        Err(other.join(", "))
+        let timeline = self.cluster.logs.timeline();
+        let state_name = |state: Option<Held>| state.map_or("unknown", Held::log_name);
+        let others =
+            pairs.iter().filter(|(observer, peer)| timeline.peer_state(observer, peer) != Some(*held));
+        let others: Vec<String> = others
+            .map(|(observer, peer)| {
+                format!("{observer} reports {peer} as {}", state_name(timeline.peer_state(observer, peer)))
+            })
+            .collect();
+        Err(others.join(", "))
     }
 
-    async fn linked(&self, who: &Who) -> Result<(), String> {
+    async fn wait_for_links(&self, who: &Who) -> Result<(), String> {
         let names = self.names(who)?;
         let pairs: Vec<(&String, &String)> =
             names.iter().flat_map(|a| names.iter().map(move |b| (a, b))).filter(|(a, b)| a != b).collect();
-        let all = |t: &crate::timeline::Timeline| pairs.iter().all(|(a, b)| t.linked(a, b));
-        if self.fleet.logs.until(all).await {
+        let all_linked = |timeline: &Timeline| pairs.iter().all(|(a, b)| timeline.is_linked(a, b));
+        if self.cluster.logs.wait_until(all_linked).await {
             return Ok(());
         }
-        let timeline = self.fleet.logs.timeline();
-        let apart = pairs.iter().filter(|(a, b)| !timeline.linked(a, b));
-        Err(apart.map(|(a, b)| format!("{a} is not linked to {b}")).collect::<Vec<_>>().join(", "))
+        let timeline = self.cluster.logs.timeline();
+        let missing = pairs.iter().filter(|(a, b)| !timeline.is_linked(a, b));
+        Err(missing.map(|(a, b)| format!("{a} is not linked to {b}")).collect::<Vec<_>>().join(", "))
     }
 
-    fn stranger(&mut self, stranger: &Stranger) -> Result<(), String> {
-        let at = *self.places(&Who::One(stranger.to.clone()))?.first().ok_or("nobody")?;
-        let addr = self.fleet.process(at).and_then(|process| process.peers).ok_or("it does not run")?;
-        let guise = PeerIdentity {
-            names: self.fleet.names.clone(),
+    fn start_misbehaving_peer(&mut self, stranger: &Stranger) -> Result<(), String> {
+        let index = *self.indices(&Who::One(stranger.to.clone()))?.first().ok_or("no instance selected")?;
+        let instance = self.cluster.instance(index);
+        let addr = instance.and_then(|instance| instance.peers).ok_or("the instance does not run")?;
+        let identity = PeerIdentity {
+            names: self.cluster.names.clone(),
             list_version: 1,
             name: stranger.name.clone(),
             target_name: stranger.to.clone(),
         };
-        let (act, most) = (stranger.act, Duration::from_millis(stranger.ms));
-        let play = tokio::spawn(async move { misbehaving_peers::run(addr, act, &guise, most).await });
-        self.strangers.push((stranger.clone(), play));
+        let (behavior, limit) = (stranger.act, Duration::from_millis(stranger.ms));
+        let task =
+            tokio::spawn(async move { misbehaving_peers::run(addr, behavior, &identity, limit).await });
+        self.misbehaving_peers.push((stranger.clone(), task));
         Ok(())
     }
 
-    /// Takes samples of what the processes use, until it is aborted.
-    fn sample(&self) -> JoinHandle<()> {
-        self.notice();
-        let (watch, notes) = (self.watch.clone(), self.fleet.notes.clone());
+    /// Starts a task that records the instances' resource usage until it is aborted.
+    fn start_sampling(&self) -> JoinHandle<()> {
+        self.update_running_pids();
+        let (running_pids, recorder) = (self.running_pids.clone(), self.cluster.recorder.clone());
         tokio::spawn(async move {
             loop {
-                let ids = lock_ignoring_poison(&watch).clone();
-                for (process, id) in ids {
-                    if let Some((memory, descriptors)) = crate::fleet::uses(id) {
-                        notes.history().samples.push(Sample { instance: process, memory, descriptors });
+                let pids = lock_ignoring_poison(&running_pids).clone();
+                for (instance, pid) in pids {
+                    if let Some((memory, descriptors)) = crate::fleet::resource_usage(pid) {
+                        recorder.history().samples.push(Sample { instance, memory, descriptors });
                     }
                 }
                 tokio::time::sleep(Duration::from_millis(50)).await;
@@ -415,45 +443,48 @@
         })
     }
 
-    /// Ends the load, waits for every answer, and ends the processes.
+    /// Stops the load, waits for every response, and terminates the instances.
     async fn finish(&mut self) {
         self.load.stop();
-        let halted: Vec<usize> = self.halted.keys().copied().collect();
-        for at in halted {
-            self.signal(at, libc::SIGCONT);
-            self.go_on(at);
+        let stopped: Vec<usize> = self.stopped_since.keys().copied().collect();
+        for index in stopped {
+            self.signal(index, libc::SIGCONT);
+            self.record_resume(index);
         }
-        self.crowd.clear();
-        for (stranger, play) in std::mem::take(&mut self.strangers) {
-            let came = play.await;
-            if let (true, Ok(Ok(None))) = (stranger.closed, &came) {
-                self.failed.push(format!("{:?} to {} was never closed", stranger.act, stranger.to));
+        self.idle_clients.clear();
+        for (stranger, task) in std::mem::take(&mut self.misbehaving_peers) {
+            let result = task.await;
+            if let (true, Ok(Ok(None))) = (stranger.closed, &result) {
+                self.failures
+                    .push(format!("{:?}: {} did not close the connection", stranger.act, stranger.to));
             }
         }
-        self.load.settle().await;
-        lock_ignoring_poison(&self.watch).clear();
-        let running: Vec<usize> = (0..self.plan.processes).filter(|at| !self.ended.contains(at)).collect();
-        for &at in &running {
-            self.signal(at, libc::SIGTERM);
+        self.load.wait_for_open_queries().await;
+        lock_ignoring_poison(&self.running_pids).clear();
+        let running: Vec<usize> =
+            (0..self.plan.processes).filter(|index| !self.ended.contains(index)).collect();
+        for &index in &running {
+            self.signal(index, libc::SIGTERM);
         }
-        for (_, mut process) in std::mem::take(&mut self.fleet.doubles) {
-            drop(process.child.kill().await);
+        for (_, mut duplicate) in std::mem::take(&mut self.cluster.duplicates) {
+            drop(duplicate.child.kill().await);
         }
-        for at in running {
-            match self.gone(at).await {
+        for index in running {
+            match self.wait_for_exit(index).await {
                 Ok(Some(0)) => {}
                 Ok(code) => {
-                    let words = format!("n{} ended with {code:?}", at + 1);
-                    self.fleet.notes.history().crashes.push(words);
+                    let crash = format!("n{} exited with status {code:?}, not 0", index + 1);
+                    self.cluster.recorder.history().crashes.push(crash);
                 }
-                Err(why) => self.fleet.notes.history().crashes.push(why),
+                Err(error) => self.cluster.recorder.history().crashes.push(error),
             }
         }
     }
 }
 
-/// Clients that ask all the time.
-struct Load {
+/// Clients that send queries to every instance at a steady rate.
+struct LoadGenerator {
+    /// Client addresses by instance index; `None` while an instance gets no queries.
     addresses: Arc<Mutex<Vec<Option<SocketAddr>>>>,
     stopped: Arc<AtomicBool>,
     answered: Arc<AtomicUsize>,
@@ -461,9 +492,10 @@
     tasks: Vec<JoinHandle<()>>,
 }
 
-impl Load {
-    fn start(fleet: &Fleet, plan: &Plan) -> Self {
-        let addresses = (0..plan.processes).map(|at| fleet.process(at).map(|process| process.http));
+impl LoadGenerator {
+    fn start(cluster: &TestCluster, plan: &Plan) -> Self {
+        let addresses =
+            (0..plan.processes).map(|index| cluster.instance(index).map(|instance| instance.http));
         let mut load = Self {
             addresses: Arc::new(Mutex::new(addresses.collect())),
             stopped: Arc::default(),
@@ -471,33 +503,36 @@
             open: Arc::default(),
             tasks: Vec::new(),
         };
-        for at in 0..if plan.load > 0 { plan.processes } else { 0 } {
+        for index in 0..if plan.load > 0 { plan.processes } else { 0 } {
             let (addresses, stopped) = (load.addresses.clone(), load.stopped.clone());
             let (answered, open) = (load.answered.clone(), load.open.clone());
-            let (name, notes, logs) = (fleet.names[at].clone(), fleet.notes.clone(), fleet.logs.clone());
-            let pause = Duration::from_micros(1_000_000 / u64::from(plan.load));
-            let (planted, again, names) = (plan.planted, plan.handover, fleet.names.clone());
+            let (name, recorder, logs) =
+                (cluster.names[index].clone(), cluster.recorder.clone(), cluster.logs.clone());
+            let interval = Duration::from_micros(1_000_000 / u64::from(plan.load));
+            let (planted, takeover, names) = (plan.planted, plan.handover, cluster.names.clone());
             load.tasks.push(tokio::spawn(async move {
-                let mut number = at as u64;
+                let mut number = index as u64;
                 while !stopped.load(Ordering::Relaxed) {
-                    tokio::time::sleep(pause).await;
-                    let Some(addr) = lock_ignoring_poison(&addresses)[at] else { continue };
+                    tokio::time::sleep(interval).await;
+                    let Some(addr) = lock_ignoring_poison(&addresses)[index] else { continue };
                     number += 1;
-                    let (query, effect) = clients::query(format!("{name}-{number:06}"), number, WAIT);
+                    let (query, non_idempotent) =
+                        clients::query(format!("{name}-{number:06}"), number, CLIENT_TIMEOUT_US);
                     open.fetch_add(1, Ordering::Relaxed);
                     let (answered, open, logs) = (answered.clone(), open.clone(), logs.clone());
-                    let (name, notes) = (name.clone(), notes.clone());
+                    let (name, recorder) = (name.clone(), recorder.clone());
                     let (addresses, names) = (addresses.clone(), names.clone());
                     tokio::spawn(async move {
                         let id = query.id.clone();
-                        let began = notes.now();
-                        let mut said =
-                            clients::send_query(addr, name, query.clone(), effect, notes.clone()).await;
-                        // A client that does not know how its hold ended asks for it again, at others in turn,
-                        // for as long as its id may be asked.
-                        let mut next = at;
-                        while effect && again && matches!(said, None | Some(504)) {
-                            if notes.now() > began + crate::fleet::LIFE_MS * 900 {
+                        let sent_at = recorder.now();
+                        let mut status =
+                            clients::send_query(addr, name, query.clone(), non_idempotent, recorder.clone())
+                                .await;
+                        // A client that does not know the outcome of its non-idempotent query retries it at the
+                        // other instances in turn, for 90 % of the time in which its id may be retried.
+                        let mut next = index;
+                        while non_idempotent && takeover && matches!(status, None | Some(504)) {
+                            if recorder.now() > sent_at + crate::fleet::RETRY_LIFETIME_MS * 900 {
                                 break;
                             }
                             next = (next + 1) % names.len();
@@ -506,38 +541,40 @@
                                 tokio::time::sleep(Duration::from_millis(20)).await;
                                 continue;
                             };
-                            let ask = |at: usize, addr| {
-                                let (name, notes) = (names[at].clone(), notes.clone());
-                                clients::send_query_marked(addr, name, query.clone(), (true, true), notes)
+                            let retry_at = |index: usize, addr| {
+                                let (name, recorder) = (names[index].clone(), recorder.clone());
+                                clients::send_query_marked(addr, name, query.clone(), (true, true), recorder)
                             };
-                            // Some ask two at once, who may both be about to take it over.
+                            // Some clients retry at two instances at once, both of which may start a takeover.
                             let third = (next + 1) % names.len();
-                            let also = lock_ignoring_poison(&addresses)[third].filter(|_| number % 4 == 2);
-                            said = match also {
-                                Some(also) => {
-                                    let (one, other) = tokio::join!(ask(next, addr), ask(third, also));
-                                    one.filter(|status| *status != 504).or(other)
+                            let second_addr =
+                                lock_ignoring_poison(&addresses)[third].filter(|_| number % 4 == 2);
+                            status = match second_addr {
+                                Some(second_addr) => {
+                                    let (first, second) =
+                                        tokio::join!(retry_at(next, addr), retry_at(third, second_addr));
+                                    first.filter(|status| *status != 504).or(second)
                                 }
-                                None => ask(next, addr).await,
+                                None => retry_at(next, addr).await,
                             };
                         }
-                        // Some ask for what they were told already, elsewhere: it has to be the same.
-                        if again && number % 10 == 7 && matches!(said, Some(200 | 502)) {
+                        // Some clients repeat a finished query at another instance; the outcome has to be the same.
+                        if takeover && number % 10 == 7 && matches!(status, Some(200 | 502)) {
                             tokio::time::sleep(Duration::from_millis(400)).await;
                             let next = (next + 1) % names.len();
                             let addr = lock_ignoring_poison(&addresses)[next];
                             if let Some(addr) = addr {
-                                let (name, notes) = (names[next].clone(), notes.clone());
-                                clients::send_query_marked(addr, name, query.clone(), (true, true), notes)
+                                let (name, recorder) = (names[next].clone(), recorder.clone());
+                                clients::send_query_marked(addr, name, query.clone(), (true, true), recorder)
                                     .await;
                             }
                         }
                         if number % 50 == 7 {
-                            spoil(planted, &id, &notes);
+                            inject_result_fault(planted, &id, &recorder);
                         }
                         answered.fetch_add(1, Ordering::Relaxed);
                         open.fetch_sub(1, Ordering::Relaxed);
-                        logs.nudge();
+                        logs.notify();
                     });
                 }
             }));
@@ -545,37 +582,39 @@
         load
     }
 
-    fn off(&self, at: usize) {
-        lock_ignoring_poison(&self.addresses)[at] = None;
+    /// Stops sending queries to an instance.
+    fn remove_target(&self, index: usize) {
+        lock_ignoring_poison(&self.addresses)[index] = None;
     }
 
-    fn on(&self, at: usize, addr: Option<SocketAddr>) {
-        lock_ignoring_poison(&self.addresses)[at] = addr;
+    /// Sends queries for an instance to this address.
+    fn set_target(&self, index: usize, addr: Option<SocketAddr>) {
+        lock_ignoring_poison(&self.addresses)[index] = addr;
     }
 
     fn stop(&self) {
         self.stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Waits until every query has ended, one way or another.
-    async fn settle(&mut self) {
+    /// Waits until every open query has finished, for at most [`WAIT_TIMEOUT`].
+    async fn wait_for_open_queries(&mut self) {
         for task in self.tasks.drain(..) {
             let _ = task.await;
         }
-        let until = tokio::time::Instant::now() + PATIENCE;
-        while self.open.load(Ordering::Relaxed) > 0 && tokio::time::Instant::now() < until {
+        let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
+        while self.open.load(Ordering::Relaxed) > 0 && tokio::time::Instant::now() < deadline {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
 }
 
-/// Something between the program and its client that a plan planted.
-fn spoil(planted: Option<Planted>, id: &str, notes: &mallowgauge_testkit::fault_injection::Recorder) {
-    let mut history = notes.history();
-    let Some(asked) = history.queries.iter_mut().find(|asked| asked.id == id) else { return };
+/// Duplicates or removes the recorded results of a query, if the plan injects such a fault.
+fn inject_result_fault(planted: Option<Planted>, id: &str, recorder: &Recorder) {
+    let mut history = recorder.history();
+    let Some(query) = history.queries.iter_mut().find(|query| query.id == id) else { return };
     match planted {
-        Some(Planted::DoubleAnswers) => asked.results.extend(asked.results.clone()),
-        Some(Planted::LostAnswers) => asked.results.clear(),
+        Some(Planted::DoubleAnswers) => query.results.extend(query.results.clone()),
+        Some(Planted::LostAnswers) => query.results.clear(),
         _ => {}
     }
 }
--- a/crates/lab/src/verdict.rs
+++ b/crates/lab/src/verdict.rs
@@ -1,76 +1,78 @@
-//! What came of a trial, for people and for machines.
+//! The result of a trial, as a table and as JSON.
 
 use std::fmt::Write;
 
 use mallowgauge_testkit::fault_injection::rules::{Finding, TakeoverCounts};
 use serde::Serialize;
 
-/// The outcome of a trial.
+/// The result of a trial.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
-    /// The plan's name.
+    /// Name of the plan.
     pub plan: String,
-    /// Steps whose outcome did not come, or that could not be done.
+    /// Steps that failed or timed out, and misbehaving peers whose connection was not closed.
     pub failed: Vec<String>,
-    /// The rules.
+    /// Finding for each rule.
     pub rules: Vec<Finding>,
-    /// Queries asked.
+    /// Number of queries that clients sent.
     pub asked: usize,
-    /// Holds among them, by id.
+    /// Number of non-idempotent queries among them, by id.
     pub holds: usize,
-    /// Kills, halts and faults on links.
+    /// Number of kill, stop and link fault steps.
     pub faults: usize,
-    /// Queries whose gatherer was killed before it answered.
+    /// Number of queries whose instance was killed before it responded.
     pub lost: usize,
-    /// What became of the holds among them.
+    /// Outcomes of the non-idempotent queries among them.
     pub taken_over: TakeoverCounts,
-    /// Microseconds from the end of a hold's gatherer to another one's first frame for it.
+    /// Microseconds from the end of a non-idempotent query's instance to the first frame that another instance sent
+    /// for it.
     pub adoptions: Vec<u64>,
-    /// Answers, by status.
+    /// Number of responses by status.
     pub answers: std::collections::BTreeMap<u16, usize>,
-    /// Seconds that it took.
+    /// Duration of the trial in seconds.
     pub seconds: f64,
 }
 
 impl Verdict {
-    /// Every step came out and no rule was broken.
+    /// Whether every step succeeded and no rule was broken.
     #[must_use]
     pub fn passed(&self) -> bool {
         self.failed.is_empty() && self.rules.iter().all(|rule| rule.broken.is_empty())
     }
 
-    /// The rules that were broken, by name.
+    /// Returns the names of the broken rules.
     #[must_use]
-    pub fn broken(&self) -> Vec<&'static str> {
+    pub fn broken_rules(&self) -> Vec<&'static str> {
         self.rules.iter().filter(|rule| !rule.broken.is_empty()).map(|rule| rule.rule).collect()
     }
 
-    /// A table for people.
+    /// Formats the result as a table.
     #[must_use]
     pub fn table(&self) -> String {
         let mut out = String::new();
-        let word = if self.passed() { "PASSED" } else { "FAILED" };
-        let _ = writeln!(out, "{word}  {}  ({:.1} s)", self.plan, self.seconds);
-        let answers: Vec<String> = self.answers.iter().map(|(status, n)| format!("{status}: {n}")).collect();
+        let status = if self.passed() { "PASSED" } else { "FAILED" };
+        let _ = writeln!(out, "{status}  {}  ({:.1} s)", self.plan, self.seconds);
+        let responses: Vec<String> =
+            self.answers.iter().map(|(status, count)| format!("{status}: {count}")).collect();
         let _ = writeln!(
             out,
-            "  queries {}, lost with their gatherer {}, answers {}",
+            "  queries {}, lost with their instance {}, responses {}",
             self.asked,
             self.lost,
-            answers.join(", ")
+            responses.join(", ")
         );
         let TakeoverCounts { again, known, served, refused } = self.taken_over;
         if again > 0 {
             let _ = writeln!(
                 out,
-                "  lost holds asked again {again}, told how they ended {known}: served {served}, never ran {refused}"
+                "  lost non-idempotent queries retried {again}, outcome known {known}: served {served}, not executed {refused}"
             );
         }
         for Finding { rule, looked_at, broken } in &self.rules {
             let state = if broken.is_empty() { "kept" } else { "BROKEN" };
-            let _ = writeln!(out, "  {rule:<24} {looked_at:>7} looked at  {state}");
-            for one in broken.iter().take(5) {
-                let _ = writeln!(out, "      {one}");
+            let _ = writeln!(out, "  {rule:<24} {looked_at:>7} checked  {state}");
+            for violation in broken.iter().take(5) {
+                let _ = writeln!(out, "      {violation}");
             }
             if broken.len() > 5 {
                 let _ = writeln!(out, "      and {} more", broken.len() - 5);
--- a/crates/lab/tests/trial.rs
+++ b/crates/lab/tests/trial.rs
@@ -1,4 +1,4 @@
-//! Several real processes with faults between them: short plans, and each rule seen to fail.
+//! Short trials with several real processes and link faults between them, and checks that each rule can fail.
 
 use std::path::Path;
 
@@ -7,58 +7,58 @@
 use mallowgauge_lab::trial;
 use mallowgauge_lab::verdict::Verdict;
 
-fn file(name: &str) -> Plan {
+fn plan_file(name: &str) -> Plan {
     let path = format!("{}/../../trials/{name}.json", env!("CARGO_MANIFEST_DIR"));
     Plan::read(&std::fs::read_to_string(path).expect("a plan file")).expect("a plan")
 }
 
-fn play(plan: &Plan) -> Verdict {
+fn run(plan: &Plan) -> Verdict {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
     runtime.block_on(trial::run(plan, 1)).expect("a trial").verdict
 }
 
-fn passes(plan: &Plan) {
-    let verdict = play(plan);
+fn assert_passes(plan: &Plan) {
+    let verdict = run(plan);
     assert!(verdict.passed(), "{}", verdict.table());
     assert!(verdict.rules.iter().any(|rule| rule.looked_at > 0));
 }
 
 #[test]
-fn all_come_together_after_a_common_restart() {
-    passes(&file("all-restarted"));
+fn all_instances_link_again_after_a_simultaneous_restart() {
+    assert_passes(&plan_file("all-restarted"));
 }
 
 #[test]
-fn a_process_is_back_at_once_under_its_name() {
-    passes(&file("back-at-once"));
+fn an_instance_that_restarts_at_once_rejoins_under_its_name() {
+    assert_passes(&plan_file("back-at-once"));
 }
 
 #[test]
-fn two_processes_with_one_name() {
-    passes(&file("namesakes"));
+fn two_instances_with_one_name() {
+    assert_passes(&plan_file("namesakes"));
 }
 
 #[test]
-fn lists_of_two_versions_are_not_mixed() {
-    passes(&file("two-lists"));
+fn instances_with_different_peer_list_versions_do_not_link() {
+    assert_passes(&plan_file("two-lists"));
 }
 
 #[test]
-fn a_loss_is_known_while_discovery_is_down() {
-    passes(&file("no-discovery"));
+fn a_lost_instance_is_detected_while_discovery_is_down() {
+    assert_passes(&plan_file("no-discovery"));
 }
 
 #[test]
-fn storms_make_sense() {
+fn plans_with_repeated_faults_are_valid() {
     for seed in 0..100 {
-        let plan = Plan::storm(seed, 5, 20, true);
-        plan.check().expect("a plan that makes sense");
-        assert!(plan.faults() >= 20);
+        let plan = Plan::repeated_faults(seed, 5, 20, true);
+        plan.check().expect("a valid plan");
+        assert!(plan.fault_count() >= 20);
     }
 }
 
-/// A short plan with something wrong on purpose; which rules it breaks.
-fn broken(planted: Planted, steps: Vec<Step>) -> String {
+/// Runs a short plan with an injected fault and returns the names of the broken rules.
+fn broken_rules(planted: Planted, steps: Vec<Step>) -> String {
     let plan = Plan {
         name: format!("{planted:?}"),
         processes: 2,
@@ -71,31 +71,31 @@
         planted: Some(planted),
         steps,
     };
-    plan.check().expect("a plan that makes sense");
-    let verdict = play(&plan);
+    plan.check().expect("a valid plan");
+    let verdict = run(&plan);
     assert!(!verdict.passed(), "{}", verdict.table());
-    verdict.broken().join(", ")
+    verdict.broken_rules().join(", ")
 }
 
-// Each rule is seen to fail: one that cannot be broken proves nothing.
+// Guards against rules that pass whatever happens: each rule has to report the fault that breaks it.
 #[test]
-fn each_rule_catches_what_was_planted() {
+fn each_rule_detects_its_injected_fault() {
     let answered = || vec![Step::Answered(60)];
-    assert_eq!(broken(Planted::DoubleRuns, answered()), "an effect once");
-    assert_eq!(broken(Planted::DoubleAnswers, answered()), "one answer in time");
-    assert_eq!(broken(Planted::LostAnswers, answered()), "one answer in time");
-    assert_eq!(broken(Planted::TightLimits, answered()), "memory and descriptors");
+    assert_eq!(broken_rules(Planted::DoubleRuns, answered()), "an effect once");
+    assert_eq!(broken_rules(Planted::DoubleAnswers, answered()), "one answer in time");
+    assert_eq!(broken_rules(Planted::LostAnswers, answered()), "one answer in time");
+    assert_eq!(broken_rules(Planted::TightLimits, answered()), "memory and descriptors");
     let drains = vec![Step::Answered(20), Step::Drain(0), Step::PassMs(1500)];
-    assert_eq!(broken(Planted::MuteDiscovery, drains), "drains kept");
+    assert_eq!(broken_rules(Planted::MuteDiscovery, drains), "drains kept");
     let cold = vec![Step::Answered(20), Step::Cold(0), Step::PassMs(1500)];
-    assert_eq!(broken(Planted::MuteDiscovery, cold), "cold hosts spared");
-    let killed = broken(Planted::SecretKill, vec![Step::PassMs(500)]);
+    assert_eq!(broken_rules(Planted::MuteDiscovery, cold), "cold hosts spared");
+    let killed = broken_rules(Planted::SecretKill, vec![Step::PassMs(500)]);
     assert!(killed.contains("no crash"), "{killed}");
 }
 
 #[test]
-fn a_step_that_does_not_come_out_fails_the_trial() {
-    let mut plan = file("all-restarted");
+fn a_failed_step_fails_the_trial() {
+    let mut plan = plan_file("all-restarted");
     plan.steps = vec![
         Step::Linked(Who::One("all".to_owned())),
         Step::Mark,
@@ -109,30 +109,30 @@
             text: "phase".to_owned(),
         }),
     ];
-    let verdict = play(&plan);
+    let verdict = run(&plan);
     assert_eq!(verdict.failed.len(), 1, "{}", verdict.table());
     assert!(verdict.failed[0].starts_with("step 4 "), "{:?}", verdict.failed);
 }
 
 #[test]
-fn plans_are_checked() {
-    let bad = |processes: u32, steps: &str| {
+fn invalid_plans_are_rejected() {
+    let error = |processes: u32, steps: &str| {
         let text = format!(r#"{{"name": "x", "processes": {processes}, "steps": [{steps}]}}"#);
-        Plan::read(&text).expect_err("something wrong")
+        Plan::read(&text).expect_err("an invalid plan")
     };
-    let said = [
-        bad(0, ""),
-        bad(3, r#"{"kill": "n4"}"#),
-        bad(3, r#"{"kill": "n1"}, {"kill": "n1"}"#),
-        bad(3, r#"{"restart": "n1"}"#),
-        bad(3, r#"{"continue": ["n1"]}"#),
-        bad(3, r#"{"stop": "n1"}, {"terminate": "n1"}"#),
-        bad(3, r#"{"drain": 3}"#),
-        bad(3, r#"{"kill_double": "n1"}"#),
-        bad(3, r#"{"fault": {"from": "n1", "to": "n2", "fault": {"lose": 2}}}"#),
-        bad(3, r#"{"fly": "n1"}"#).split(',').next().expect("words").to_owned(),
+    let errors = [
+        error(0, ""),
+        error(3, r#"{"kill": "n4"}"#),
+        error(3, r#"{"kill": "n1"}, {"kill": "n1"}"#),
+        error(3, r#"{"restart": "n1"}"#),
+        error(3, r#"{"continue": ["n1"]}"#),
+        error(3, r#"{"stop": "n1"}, {"terminate": "n1"}"#),
+        error(3, r#"{"drain": 3}"#),
+        error(3, r#"{"kill_double": "n1"}"#),
+        error(3, r#"{"fault": {"from": "n1", "to": "n2", "fault": {"lose": 2}}}"#),
+        error(3, r#"{"fly": "n1"}"#).split(',').next().expect("an error text").to_owned(),
     ];
-    assert_snapshot!(said.join("\n"), @r#"
+    assert_snapshot!(errors.join("\n"), @r#"
     processes is 0, not 1 to 16
     steps[0]: no process "n4"; there are n1 to n3
     steps[1]: n1 has ended already
@@ -147,25 +147,25 @@
 }
 
 #[test]
-fn plans_of_seeds_make_sense_and_so_do_smaller_ones() {
+fn random_plans_and_their_reductions_are_valid() {
     for seed in 0..300 {
         let plan = Plan::random(seed, 5, seed % 2 == 0);
-        plan.check().expect("a plan that makes sense");
+        plan.check().expect("a valid plan");
         assert_eq!(Plan::random(seed, 5, seed % 2 == 0), plan, "the same each time");
         let text = serde_json::to_string(&plan).expect("JSON");
         assert_eq!(Plan::read(&text), Ok(plan.clone()));
-        for smaller in plan.smaller() {
-            assert!(smaller.steps.len() < plan.steps.len());
-            smaller.check().expect("a plan that makes sense");
+        for reduced in plan.reductions() {
+            assert!(reduced.steps.len() < plan.steps.len());
+            reduced.check().expect("a valid plan");
         }
     }
 }
 
 #[test]
-fn all_plan_files_make_sense() {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../trials");
+fn all_plan_files_are_valid() {
+    let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../trials");
     let mut count = 0;
-    for entry in std::fs::read_dir(folder).expect("a folder") {
+    for entry in std::fs::read_dir(directory).expect("a directory") {
         let path = entry.expect("an entry").path();
         let text = std::fs::read_to_string(&path).expect("a file");
         Plan::read(&text).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
@@ -175,10 +175,10 @@
 }
 
 #[test]
-fn times_in_logs_are_read() {
-    let micros = mallowgauge_lab::timeline::micros;
-    assert_eq!(micros("1970-01-01T00:00:00.000001Z"), Some(1));
-    assert_eq!(micros("2000-02-29T12:00:00.5Z"), Some(951_825_600_500_000));
-    assert_eq!(micros("2026-12-01T22:40:54.123456Z"), Some(1_796_164_854_123_456));
-    assert_eq!(micros("soon"), None);
+fn log_timestamps_are_parsed() {
+    let parse_timestamp = mallowgauge_lab::timeline::parse_timestamp;
+    assert_eq!(parse_timestamp("1970-01-01T00:00:00.000001Z"), Some(1));
+    assert_eq!(parse_timestamp("2000-02-29T12:00:00.5Z"), Some(951_825_600_500_000));
+    assert_eq!(parse_timestamp("2026-12-01T22:40:54.123456Z"), Some(1_796_164_854_123_456));
+    assert_eq!(parse_timestamp("soon"), None);
 }
