--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -32,8 +32,7 @@
     /// Instances whose peer list has a version other than 1.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub lists: Vec<List>,
-    /// Whether non-idempotent queries are taken over by another instance; clients whose instance was lost then retry
-    /// them.
+    /// Whether non-idempotent queries are taken over by another instance, and retried by clients of lost instances.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub handover: bool,
     /// Fault injected on purpose, which one of the rules has to detect.
@@ -231,9 +230,9 @@
     Mark,
     /// Waits for a number of milliseconds.
     PassMs(u64),
-    /// Starts draining a backend.
+    /// Starts draining a backend, given by its index from 0.
     Drain(usize),
-    /// Reports a backend as just started, so that it is warming up.
+    /// Reports a backend, given by its index from 0, as just started, so that it is warming up.
     Cold(usize),
     /// Takes discovery down, or up again.
     DiscoveryDown(bool),
@@ -304,10 +303,10 @@
             Step::Kill(who) | Step::Terminate(who) => {
                 for index in indices(who)? {
                     if !states.ended.insert(index) {
-                        return Err(format!("n{} has ended already", index + 1));
+                        return Err(format!("n{} has already ended", index + 1));
                     }
                     if matches!(step, Step::Terminate(_)) && states.stopped.contains(&index) {
-                        return Err(format!("n{} is halted and cannot end by itself", index + 1));
+                        return Err(format!("n{} is stopped and cannot terminate", index + 1));
                     }
                     states.stopped.remove(&index);
                 }
@@ -315,14 +314,14 @@
             Step::Stop(who) => {
                 for index in indices(who)? {
                     if states.ended.contains(&index) || !states.stopped.insert(index) {
-                        return Err(format!("n{} does not run", index + 1));
+                        return Err(format!("n{} is not running", index + 1));
                     }
                 }
             }
             Step::Continue(who) => {
                 for index in indices(who)? {
                     if !states.stopped.remove(&index) {
-                        return Err(format!("n{} is not halted", index + 1));
+                        return Err(format!("n{} is not stopped", index + 1));
                     }
                 }
             }
@@ -336,18 +335,18 @@
             Step::Double(name) => {
                 indices(&Who::One(name.clone()))?;
                 if !states.duplicated.insert(name.clone()) {
-                    return Err(format!("{name} has a double already"));
+                    return Err(format!("{name} already has a duplicate instance"));
                 }
             }
             Step::KillDouble(name) if !states.duplicated.remove(name) => {
-                return Err(format!("{name} has no double"));
+                return Err(format!("{name} has no duplicate instance"));
             }
             Step::Fault(Between { from, to, fault, .. }) => {
                 indices(from)?;
                 indices(to)?;
                 let probability = 0.0..=1.0;
                 if !probability.contains(&fault.lose) || !probability.contains(&fault.twice) {
-                    return Err("lose or twice is not a share from 0 to 1".to_owned());
+                    return Err("lose or twice is not a probability from 0 to 1".to_owned());
                 }
             }
             Step::Await(view) | Step::Never(view) => {
@@ -356,9 +355,9 @@
             }
             Step::Linked(who) => drop(indices(who)?),
             Step::Logged(line) | Step::NotLogged(line) => drop(indices(&line.at)?),
-            Step::PassMs(ms) if *ms > 60_000 => return Err("more than a minute".to_owned()),
-            Step::Drain(host) | Step::Cold(host) if *host >= self.hosts => {
-                return Err(format!("there is no host {host}"));
+            Step::PassMs(ms) if *ms > 60_000 => return Err(format!("pass_ms is {ms}, not up to 60000")),
+            Step::Drain(backend) | Step::Cold(backend) if *backend >= self.hosts => {
+                return Err(format!("no backend {backend}; there are 0 to {}", self.hosts - 1));
             }
             Step::Stranger(Stranger { to, name, .. }) => {
                 indices(&Who::One(to.clone()))?;
@@ -367,7 +366,7 @@
             Step::Crowd { to, clients } => {
                 indices(to)?;
                 if *clients > 2000 {
-                    return Err("more than 2000 clients".to_owned());
+                    return Err(format!("clients is {clients}, not up to 2000"));
                 }
             }
             _ => {}
@@ -383,7 +382,7 @@
         let names = self.names();
         let index_of = |name: &String| {
             let index = names.iter().position(|known| known == name);
-            index.ok_or_else(|| format!("no process {name:?}; there are n1 to n{}", self.processes))
+            index.ok_or_else(|| format!("no instance {name:?}; there are n1 to n{}", self.processes))
         };
         match who {
             Who::One(all) if all == "all" => Ok((0..self.processes).collect()),
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -181,6 +181,7 @@
 }
 
 impl Trial<'_> {
+    /// Returns the indices of the selected instances.
     fn indices(&self, who: &Who) -> Result<Vec<usize>, String> {
         self.plan.indices(who)
     }
@@ -193,6 +194,7 @@
         self.cluster.instance(index).into_iter().for_each(|instance| instance.signal(signal));
     }
 
+    /// Runs a step and waits for its result; the error says why it failed.
     async fn run_step(&mut self, step: &Step) -> Result<(), String> {
         match step {
             Step::Kill(who) => {
@@ -295,19 +297,19 @@
             }
             Step::Mark => self.mark = self.cluster.logs.timeline().entries.len(),
             Step::PassMs(ms) => tokio::time::sleep(Duration::from_millis(*ms)).await,
-            Step::Drain(host) => {
-                self.cluster.discovery.update(|state| state.backends[*host].state = "leaving");
-                self.cluster.backends[*host].update(|behavior| behavior.draining = true);
+            Step::Drain(backend) => {
+                self.cluster.discovery.update(|state| state.backends[*backend].state = "leaving");
+                self.cluster.backends[*backend].update(|behavior| behavior.draining = true);
             }
-            Step::Cold(host) => {
+            Step::Cold(backend) => {
                 let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
                 let recorded_at = self.cluster.recorder.now();
-                self.cluster.recorder.history().cold_starts.push((recorded_at, *host));
+                self.cluster.recorder.history().cold_starts.push((recorded_at, *backend));
                 let started_at_ms = now.as_millis() as u64;
-                self.cluster.discovery.update(|state| state.backends[*host].started_at_ms = started_at_ms);
+                self.cluster.discovery.update(|state| state.backends[*backend].started_at_ms = started_at_ms);
             }
             Step::DiscoveryDown(down) => self.cluster.discovery.update(|state| state.down = *down),
-            Step::Stranger(stranger) => self.start_misbehaving_peer(stranger)?,
+            Step::Stranger(peer) => self.start_misbehaving_peer(peer)?,
             Step::Crowd { to, clients } => {
                 for index in self.indices(to)? {
                     let Some(addr) = self.cluster.instance(index).map(|instance| instance.http) else {
@@ -339,6 +341,7 @@
         *lock_ignoring_poison(&self.running_pids) = pids.collect();
     }
 
+    /// Returns the names of the selected instances.
     fn names(&self, who: &Who) -> Result<Vec<String>, String> {
         Ok(self.indices(who)?.into_iter().map(|index| self.name(index)).collect())
     }
@@ -359,6 +362,7 @@
         Ok(status.map_err(|e| e.to_string())?.code())
     }
 
+    /// Injects a fault on the links between the selected instances.
     fn set_link_fault(&self, Between { from, to, both, fault }: &Between) -> Result<(), String> {
         let (from, to) = (self.indices(from)?, self.indices(to)?);
         let pairs = from.iter().flat_map(|sender| to.iter().map(move |receiver| (sender, receiver)));
@@ -371,6 +375,7 @@
         Ok(())
     }
 
+    /// Waits until all observers have the given state for all peers; the error lists those that do not.
     async fn wait_for_states(&self, View { at, of, held }: &View) -> Result<(), String> {
         let (observers, peers) = (self.names(at)?, self.names(of)?);
         let pairs: Vec<(&String, &String)> = observers
@@ -396,6 +401,7 @@
         Err(others.join(", "))
     }
 
+    /// Waits until the selected instances are linked to each other; the error lists the missing links.
     async fn wait_for_links(&self, who: &Who) -> Result<(), String> {
         let names = self.names(who)?;
         let pairs: Vec<(&String, &String)> =
@@ -409,20 +415,20 @@
         Err(missing.map(|(a, b)| format!("{a} is not linked to {b}")).collect::<Vec<_>>().join(", "))
     }
 
-    fn start_misbehaving_peer(&mut self, stranger: &Stranger) -> Result<(), String> {
-        let index = *self.indices(&Who::One(stranger.to.clone()))?.first().ok_or("no instance selected")?;
+    fn start_misbehaving_peer(&mut self, peer: &Stranger) -> Result<(), String> {
+        let index = *self.indices(&Who::One(peer.to.clone()))?.first().ok_or("no instance selected")?;
         let instance = self.cluster.instance(index);
         let addr = instance.and_then(|instance| instance.peers).ok_or("the instance does not run")?;
         let identity = PeerIdentity {
             names: self.cluster.names.clone(),
             list_version: 1,
-            name: stranger.name.clone(),
-            target_name: stranger.to.clone(),
+            name: peer.name.clone(),
+            target_name: peer.to.clone(),
         };
-        let (behavior, limit) = (stranger.act, Duration::from_millis(stranger.ms));
+        let (behavior, limit) = (peer.act, Duration::from_millis(peer.ms));
         let task =
             tokio::spawn(async move { misbehaving_peers::run(addr, behavior, &identity, limit).await });
-        self.misbehaving_peers.push((stranger.clone(), task));
+        self.misbehaving_peers.push((peer.clone(), task));
         Ok(())
     }
 
@@ -452,11 +458,10 @@
             self.record_resume(index);
         }
         self.idle_clients.clear();
-        for (stranger, task) in std::mem::take(&mut self.misbehaving_peers) {
+        for (peer, task) in std::mem::take(&mut self.misbehaving_peers) {
             let result = task.await;
-            if let (true, Ok(Ok(None))) = (stranger.closed, &result) {
-                self.failures
-                    .push(format!("{:?}: {} did not close the connection", stranger.act, stranger.to));
+            if let (true, Ok(Ok(None))) = (peer.closed, &result) {
+                self.failures.push(format!("{:?}: {} did not close the connection", peer.act, peer.to));
             }
         }
         self.load.wait_for_open_queries().await;
--- a/crates/lab/tests/trial.rs
+++ b/crates/lab/tests/trial.rs
@@ -134,14 +134,14 @@
     ];
     assert_snapshot!(errors.join("\n"), @r#"
     processes is 0, not 1 to 16
-    steps[0]: no process "n4"; there are n1 to n3
-    steps[1]: n1 has ended already
+    steps[0]: no instance "n4"; there are n1 to n3
+    steps[1]: n1 has already ended
     steps[0]: n1 has not ended
-    steps[0]: n1 is not halted
-    steps[1]: n1 is halted and cannot end by itself
-    steps[0]: there is no host 3
-    steps[0]: n1 has no double
-    steps[0]: lose or twice is not a share from 0 to 1
+    steps[0]: n1 is not stopped
+    steps[1]: n1 is stopped and cannot terminate
+    steps[0]: no backend 3; there are 0 to 2
+    steps[0]: n1 has no duplicate instance
+    steps[0]: lose or twice is not a probability from 0 to 1
     unknown variant `fly`
     "#);
 }
