--- a/crates/router/src/backend.rs
+++ b/crates/router/src/backend.rs
@@ -9,7 +9,7 @@
 use crate::query::CallId;
 use crate::slow_start::{Candidate, RecentWork};
 
-/// One backend. Each rule keeps its part of the state in a type of its own module.
+/// State of one backend. Each rule defines the type of its part of the state in its module.
 #[derive(Debug, Default)]
 pub(crate) struct Backend {
     pub(crate) ring_position: u32,
--- a/crates/router/src/completion.rs
+++ b/crates/router/src/completion.rs
@@ -6,7 +6,8 @@
 //!   query whose late answer has no value ends there.
 //! - Shortly before its deadline it gets a partial answer, if one is allowed, or none.
 //! - If a part can no longer be answered and the rest is not enough for an answer, it ends at once.
-//! - Without an answer it is rejected if nothing of it can have taken effect, and failed otherwise.
+//! - Without an answer it is rejected if a retry is safe: no part was executed, or its parts may be repeated.
+//!   Otherwise it is failed.
 //!
 //! Planned queries are answered by the caller that planned them; they too end at their deadline.
 
@@ -46,9 +47,9 @@
 /// How a query ends without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unanswered {
-    /// Nothing of it has taken effect, or its effect may be repeated: the client may retry.
+    /// No part was executed, or its parts may be repeated: the client may safely retry.
     Rejected,
-    /// It may have taken effect.
+    /// A part that must not be repeated was possibly executed, or the answer of the first step has been given.
     Failed,
 }
 
@@ -140,8 +141,8 @@
     pub complete: bool,
 }
 
-/// Returns how a query without an answer ends: rejected, which promises that a retry does no harm, if that is
-/// true, and failed otherwise. In its second step it can no longer be rejected, since the answer of the first
+/// Returns how a query without an answer ends: rejected, which tells the client that a retry is safe, if that
+/// is true, and failed otherwise. In its second step it can no longer be rejected, since the answer of the first
 /// step has been given.
 pub(crate) fn unanswered<'a>(
     class: &Class,
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -181,7 +181,7 @@
         /// Advised delay before a retry; 0 for none.
         retry_after: Micros,
     },
-    /// Fail a query; it may have taken effect.
+    /// Fail a query; it was possibly executed.
     Fail {
         /// The query.
         query: QueryId,
--- a/crates/router/src/latency.rs
+++ b/crates/router/src/latency.rs
@@ -7,8 +7,8 @@
 /// Latency of a part that is assumed until its class has answers, as a fraction of the class's latency
 /// objective.
 const INITIAL_OBJECTIVE_FRACTION: f64 = 0.15;
-/// Gain of the base latency for an answer above it. The two gains differ so that it settles near the tenth
-/// percentile of the answers: these did not queue.
+/// Gain of the base latency for an answer above it. It is a tenth of [`BASE_LATENCY_FALL`], so that the base
+/// latency settles near the tenth percentile of the answers: these did not queue.
 const BASE_LATENCY_RISE: f64 = 0.02;
 /// Gain of the base latency for an answer below it.
 const BASE_LATENCY_FALL: f64 = 0.2;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -8,7 +8,7 @@
 //! | Which queries are rejected on arrival | [`admission`] |
 //! | Which backends hold a shard, and when the endpoint list is watched again | `endpoints` |
 //! | Which replica a part is sent to | `replica_selection` |
-//! | How much work a warming backend is sent | [`slow_start`] |
+//! | How much work a warming-up backend is sent | [`slow_start`] |
 //! | Which backends are ejected, and how they recover | [`outlier`] |
 //! | When a part is retried or hedged, and when never | [`retry`], [`overdue`] |
 //! | When a query ends, and with what result | [`completion`] |
--- a/crates/router/src/outlier.rs
+++ b/crates/router/src/outlier.rs
@@ -17,7 +17,7 @@
 const RECOVERED_THRESHOLD: f64 = 0.1;
 /// Number of grades of the failure score. Ejected backends in the same grade rank equally.
 const SCORE_GRADES: f64 = 8.0;
-/// Weight of an error or a failed connection, which leave little doubt.
+/// Weight of an error or a failed connection, which are almost certainly the fault of the backend.
 const STRONG_FAILURE_WEIGHT: f64 = 0.6;
 /// Weight of a timeout, a rejection by a full queue or a lost connection, which can also occur by chance.
 const WEAK_FAILURE_WEIGHT: f64 = 0.35;
@@ -30,9 +30,9 @@
 /// Minimum initial wait before a recovery attempt, as a fraction of the time in which this router sends
 /// something to every backend once. The longer of the two waits applies.
 const RECOVERY_WAIT_COVERAGE_FRACTION: f64 = 0.5;
-/// Maximum number of times that this wait doubles.
+/// Maximum number of times that the wait before a recovery attempt doubles.
 const MAX_RECOVERY_DOUBLINGS: u32 = 3;
-/// Used in place of the shortest latency objective if there is no class, in microseconds.
+/// Shortest latency objective that is assumed if there is no class, in microseconds.
 const DEFAULT_OBJECTIVE_US: Micros = 1_000_000;
 
 /// What an ended or overdue attempt indicates about its backend.
--- a/crates/router/src/overdue.rs
+++ b/crates/router/src/overdue.rs
@@ -11,7 +11,7 @@
 /// An attempt may be overdue once it takes longer than this multiple of the median latency of the last
 /// answers.
 const OVERDUE_MEDIAN_MULTIPLE: f64 = 3.0;
-/// Number of answers in the median: a few queries' worth, so that it follows a slowness of all backends.
+/// Number of answers in the median: those of a few queries, so that it soon rises if all backends are slow.
 const LATENCY_SAMPLES: usize = 33;
 /// An attempt is overdue only if this many attempts that were sent no earlier have been answered.
 const MIN_LATER_ANSWERS: usize = 3;
--- a/crates/router/src/query.rs
+++ b/crates/router/src/query.rs
@@ -45,7 +45,8 @@
     }
 }
 
-/// One part of an open query. It stays until its last attempt has ended, also past the end of its query.
+/// One part of an open query. It is retained until its last attempt has ended, also after the end of its
+/// query.
 #[derive(Debug, Default)]
 pub(crate) struct Part {
     pub(crate) query: QueryId,
--- a/crates/router/src/replica_selection.rs
+++ b/crates/router/src/replica_selection.rs
@@ -3,7 +3,7 @@
 //! The candidates are the ready backends that hold the shard, have no attempt of the part in flight, and may
 //! be sent one more part by the slow-start rule. They are ordered by these criteria, and the first is chosen:
 //! 1. healthy before ejected, and among ejected ones the lowest failure score;
-//! 2. not tried for this part before;
+//! 2. no earlier attempt of this part was sent to it;
 //! 3. fewest of this router's own calls (or parts, where a call carries only one) in flight;
 //! 4. in the router's own zone, if traffic between zones costs;
 //! 5. a hash of query, shard and backend, weighted by the capacity that a backend has while it warms up.
@@ -21,7 +21,7 @@
 struct Rank {
     /// See [`crate::outlier::BackendHealth::selection_penalty`].
     selection_penalty: u32,
-    already_tried: bool,
+    already_attempted: bool,
     in_flight: usize,
     other_zone: bool,
     tie_break: u64,
@@ -109,10 +109,10 @@
         };
         Rank {
             selection_penalty: backend.health.selection_penalty(),
-            already_tried: part.attempts.iter().any(|attempt| attempt.backend == id),
+            already_attempted: part.attempts.iter().any(|attempt| attempt.backend == id),
             in_flight,
-            // Only the first call of a batch to a backend counts as near: otherwise the neighbouring parts of
-            // a query would all go to the few near backends.
+            // Only the first call of a batch to a backend counts as in the own zone: otherwise
+            // neighbouring parts of a query would all go to the few backends of that zone.
             other_zone: self.prefer_own_zone && (in_batch || backend.zone != self.own_zone),
             tie_break,
         }
--- a/crates/router/src/retry.rs
+++ b/crates/router/src/retry.rs
@@ -23,7 +23,7 @@
 /// The attempts of a part, as [`RetryPolicy`] sees them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartHistory {
-    /// Whether a repeat of the part has an effect.
+    /// Effect of repeating the part.
     pub idempotency: Idempotency,
     /// Number of attempts so far.
     pub attempts: usize,
@@ -127,7 +127,7 @@
         self.limits.window
     }
 
-    /// Removes the retries that have left the window.
+    /// Removes the retries older than the window.
     pub fn advance(&mut self, now: Micros) {
         let from = now.saturating_sub(self.limits.window);
         self.recent_retries.retain(|&at| at >= from);
@@ -169,8 +169,8 @@
 }
 
 /// Returns whether a query seems to crash the backends that process it: several dropped the connection on its
-/// parts, and no part was answered. This may also match a harmless query whose backends failed for another
-/// reason; its client may retry.
+/// parts, and no part was answered. This may also match a query whose backends failed for another reason;
+/// its client may retry.
 pub(crate) fn is_poison_query<'a, P: Iterator<Item = &'a Part>>(parts: impl Fn() -> P) -> bool {
     let lost = |attempt: &&Attempt| attempt.outcome == Some(Outcome::ConnectionLost);
     let attempts = parts().flat_map(|part| &part.attempts).filter(lost);
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -26,8 +26,8 @@
 use crate::timers::{Timer, TimerQueue};
 use crate::traffic::Traffic;
 
-/// Decides how queries are routed. It sees only its own events, none of other routers. The default has no
-/// class and rejects every query.
+/// Decides how queries are routed. It handles only the events passed to it and does not communicate with
+/// other routers. The default has no class and rejects every query.
 #[derive(Debug)]
 pub struct Router {
     settings: Settings,
--- a/crates/router/src/router/sending.rs
+++ b/crates/router/src/router/sending.rs
@@ -12,7 +12,7 @@
 
 /// Minimum time left before the end of its query for a part to be sent, in microseconds.
 const MIN_TIME_LEFT_US: Micros = 5_000;
-/// Delay before another try to send a part that no backend could take, in microseconds.
+/// Delay after which a part that no backend could take is sent again, in microseconds.
 const RESEND_INTERVAL_US: Micros = 50_000;
 
 /// What to do with a part that is due to be sent.
@@ -21,7 +21,7 @@
     Skip,
     /// Fail the part: no further attempt is allowed.
     PartFailed,
-    /// Try again later: no backend can take it now, or the retry budget is used up.
+    /// Check again later: no backend can take it now, or the retry budget is used up.
     Wait,
     /// Send it to this backend.
     Send(BackendId),
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -93,7 +93,7 @@
     pub initial_capacity: f64,
     /// Longest time from its start until a backend has its full capacity.
     pub warm_up_time: Micros,
-    /// A warming backend fails if it is sent more work than this multiple of its current capacity within
+    /// A warming-up backend fails if it is sent more work than this multiple of its current capacity within
     /// `overload_window`.
     pub overload_multiple: f64,
     /// Window over which that work is counted.
@@ -131,7 +131,7 @@
     pub discovery: Discovery,
     /// The zone of this router, if there are zones.
     pub zone: Option<ZoneId>,
-    /// Whether traffic between zones costs.
+    /// Whether traffic between zones has a cost: if so, backends in the router's own zone are preferred.
     pub cross_zone_costs: bool,
 }
 
--- a/crates/router/src/slow_start.rs
+++ b/crates/router/src/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: how much work one of several routers sends to a warming backend.
+//! Slow start: how much work one of several routers sends to a warming-up backend.
 //!
 //! A backend starts at a fraction of its capacity and is assumed to gain the rest linearly over the warm-up
 //! time, the slowest warm-up that the deployment allows. Work beyond a multiple of its current capacity
@@ -13,18 +13,21 @@
 use crate::settings::{RuleSettings, Settings};
 use crate::traffic::Traffic;
 
-/// Used fraction of the work that a warming backend can handle; the rest covers random variation.
+/// Fraction that routers use of the work that a warming-up backend can handle; the rest covers random
+/// variation.
 const CAPACITY_USE: f64 = 0.8;
-/// Fraction of that work that draws aim for: they vary more than routers with a quota of whole parts.
+/// Like [`CAPACITY_USE`], for routers whose quota is less than one part and that decide by a draw: draws vary
+/// more than a quota of one or more parts.
 const DRAWN_CAPACITY_USE: f64 = 0.75;
-/// Fraction of all routers' work above which one router counts as busy and is held to its quota.
+/// Fraction of all routers' work above which one router counts as busy and is limited to its
+/// quota.
 const MAX_ROUTER_FRACTION: f64 = 0.25;
 /// Fraction of its quota that a newly started router uses: it does not know its traffic yet, and many routers
 /// may have started together.
 const NEW_ROUTER_FRACTION: f64 = 0.5;
 /// Lower bound of a backend's assumed capacity, as a fraction of its full capacity.
 const MIN_CAPACITY_FRACTION: f64 = 0.01;
-/// Used in place of a shard to hash a query as a whole.
+/// Used in place of a shard to hash a query without its parts.
 const DUMMY_SHARD: ShardId = ShardId(u32::MAX);
 
 /// Work that was sent to one backend within the overload window.
@@ -38,13 +41,13 @@
 }
 
 impl RecentWork {
-    /// Adds work, in microseconds, and removes what has left the window.
+    /// Adds work, in microseconds, and removes entries older than the window.
     pub fn record(&mut self, now: Micros, window: Micros, work: f64) {
         self.advance(now, window);
         self.0.push_back(SentWork { at: now, work });
     }
 
-    /// Removes what has left the window.
+    /// Removes entries older than the window.
     pub(crate) fn advance(&mut self, now: Micros, window: Micros) {
         self.0.retain(|sent| sent.at + window >= now);
     }
--- a/crates/router/src/timers.rs
+++ b/crates/router/src/timers.rs
@@ -14,7 +14,7 @@
     Deadline(QueryId),
     /// An attempt may be overdue.
     Overdue(PartId, u32),
-    /// A part that could not be sent is to be tried again.
+    /// A part that no backend could take is to be sent.
     Resend(PartId),
     /// The wait for a recovery attempt of an ejected backend is over.
     RecoveryAttempt(BackendId),
--- a/crates/router/src/traffic.rs
+++ b/crates/router/src/traffic.rs
@@ -28,7 +28,7 @@
         Self { window, first_event_at: None, arrivals, admitted_parts }
     }
 
-    /// Removes the arrivals that have left the window.
+    /// Removes the arrivals older than the window.
     pub fn advance(&mut self, now: Micros) {
         self.first_event_at.get_or_insert(now);
         let from = now.saturating_sub(self.window);
--- a/crates/router/tests/completion.rs
+++ b/crates/router/tests/completion.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn nothing_is_sent_after_the_final_answer() {
+fn nothing_is_sent_after_the_client_disconnects() {
     let mut driver = Driver::ready(idempotent_settings());
     let sent = sends(&driver.query(1, 0, &[0, 1]));
     driver.handle(vec![Event::ClientDisconnected(QueryId(1))]);
--- a/crates/router/tests/invariants.rs
+++ b/crates/router/tests/invariants.rs
@@ -4,7 +4,7 @@
 //! 1. Each query gets exactly one final answer, in time, and nothing is sent for it afterwards.
 //! 2. Nothing takes effect twice, and a non-idempotent query is rejected only if nothing of it was executed.
 //! 3. Only ready backends are sent parts.
-//! 4. A warming backend is not sent more than the router's quota of the work that it can handle.
+//! 4. A warming-up backend is not sent more than the router's quota of the work that it can handle.
 //! 5. No answer is below its class's minimum completeness, and only complete answers are marked complete.
 //! 6. Retries stay within the budget.
 
--- a/crates/router/tests/many_routers.rs
+++ b/crates/router/tests/many_routers.rs
@@ -161,7 +161,7 @@
     (simulation, started)
 }
 
-/// Guards against warming backends that stay idle while warm ones reject parts, because each router's quota
+/// Guards against warming-up backends that stay idle while warm ones reject parts, because each router's quota
 /// is less than a part.
 #[test]
 fn a_hundred_routers_use_the_capacity_of_a_warming_backend() {
@@ -173,7 +173,7 @@
     };
     // The mean warm-up fraction over the first 8 s is 0.36.
     let share = parts(true) / parts(false);
-    assert!((0.2..0.45).contains(&share), "a warming backend was sent {share} of a warm one's parts");
+    assert!((0.2..0.45).contains(&share), "a warming-up backend was sent {share} of a warm one's parts");
     for backend in (0..30).step_by(5) {
         let (worst, _) = simulation.worst_overload(BackendId(backend), started);
         assert!(worst < 3.0, "backend {backend} was sent {worst} times what it could do");
--- a/crates/router/tests/slow_start.rs
+++ b/crates/router/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Work that one router sends to a warming backend.
+//! Work that one router sends to a warming-up backend.
 
 mod common;
 
@@ -27,7 +27,7 @@
     assert_eq!(all, 20);
 }
 
-/// Guards against warming backends that are sent nothing because queueing at other backends inflates the
+/// Guards against warming-up backends that are sent nothing because queueing at other backends inflates the
 /// estimate of a part's work.
 #[test]
 fn queueing_at_other_backends_does_not_exclude_a_warming_backend() {
--- a/crates/router/tests/slow_start_bound.rs
+++ b/crates/router/tests/slow_start_bound.rs
@@ -1,4 +1,4 @@
-//! Upper bound of the work that all routers together send to a warming backend in any window, compared with
+//! Upper bound of the work that all routers together send to a warming-up backend in any window, compared with
 //! the work that it can handle according to the settings. Seeded; each router gets its events in batches, as
 //! in the server. The environment variable `COLD_SEEDS` sets the number of seeds per case (default 3).
 
@@ -143,7 +143,7 @@
     allowed: f64,
     /// `allowed` with a tolerance for random variation.
     bound: f64,
-    /// Work that all warming backends were sent, as a fraction of their capacity in that time.
+    /// Work that all warming-up backends were sent, as a fraction of their capacity in that time.
     used_fraction: f64,
 }
 
@@ -289,7 +289,7 @@
         let work = part_work + if opens_call { call_work } else { 0.0 };
         self.sent.push(Sent { at: now, backend, work, opens_call });
         let number = self.attempts.entry(part).or_default();
-        // A warming backend is slower in proportion to its capacity.
+        // A warming-up backend is slower in proportion to its capacity.
         let speed =
             self.started.get(&backend).map_or(1.0, |&started| capacity_fraction(now.saturating_sub(started)));
         let latency = ((part_work + call_work) * self.case.observed_multiple / speed) as Micros;
@@ -299,7 +299,7 @@
         self.due.entry((Self::batch_time(now + latency.max(1)), at)).or_default().push(completed);
     }
 
-    /// Slides a window over the work that all routers together sent to each warming backend.
+    /// Slides a window over the work that all routers together sent to each warming-up backend.
     fn worst_window(&self) -> WorstWindow {
         let calls = self.sent.iter().filter(|sent| sent.opens_call).count();
         let mean = self.sent.iter().map(|sent| sent.work).sum::<f64>() / calls as f64;
@@ -342,7 +342,7 @@
 }
 
 /// Runs a case in all scenarios, with another traffic distribution for each seed, and asserts that it stays
-/// within the bound. In each run, warming backends must be sent more than `min_used_fraction` of the work
+/// within the bound. In each run, warming-up backends must be sent more than `min_used_fraction` of the work
 /// that they can handle.
 fn assert_within_bound(name: &str, routers: usize, min_used_fraction: f64, change: impl Fn(&mut Case)) {
     let distributions = [Distribution::Tenth(4.0), Distribution::Tenth(20.0), Distribution::Half];
@@ -370,7 +370,7 @@
     assert!(over.is_empty(), "{name}, {routers} routers: {} of {runs} runs over: {over:#?}", over.len());
     assert!(
         least > min_used_fraction,
-        "{name}, {routers} routers: warming backends were sent {least} of the work that they can handle"
+        "{name}, {routers} routers: warming-up backends were sent {least} of the work that they can handle"
     );
 }
 
@@ -405,7 +405,7 @@
     assert_within_bound_for_all_router_counts("light", 0.1, |case| case.observed_multiple = 0.8);
 }
 
-/// A warming backend that appears to be twice as slow as it is hardly answers in time, so it is sent little.
+/// A warming-up backend that appears to be twice as slow as it is hardly answers in time, so it is sent little.
 #[test]
 fn warming_backends_are_not_overloaded_if_work_is_overestimated() {
     assert_within_bound_for_all_router_counts("heavy", 0.03, |case| case.observed_multiple = 2.0);
@@ -418,7 +418,7 @@
     });
 }
 
-/// A warming backend cannot meet such a short objective, so it is sent little, but not nothing. The routers'
+/// A warming-up backend cannot meet such a short objective, so it is sent little, but not nothing. The routers'
 /// initial estimate of the work is far too low.
 #[test]
 fn warming_backends_are_not_overloaded_if_the_objective_is_short_for_the_work() {
@@ -432,7 +432,7 @@
     assert_within_bound_for_all_router_counts("half", 0.1, |case| case.configured_routers *= 2);
 }
 
-/// Verifies the check itself: routers that each use the full capacity of a warming backend exceed the bound.
+/// Verifies the check itself: routers that each use the full capacity of a warming-up backend exceed the bound.
 #[test]
 fn routers_that_each_use_the_full_capacity_exceed_the_bound() {
     for routers in [20, 30, 300] {
