--- a/crates/core/src/connection_limits.rs
+++ b/crates/core/src/connection_limits.rs
@@ -13,8 +13,8 @@
 const RESERVED_DESCRIPTORS: usize = 16;
 /// Maximum number of connections to one backend.
 const MAX_CONNECTIONS_PER_BACKEND: usize = 8;
-/// Connections to one backend that are opened while all existing ones are busy, so that one that breaks takes
-/// few parts with it.
+/// Connections to one backend that are opened while all existing ones are busy, so that few parts fail if
+/// one breaks.
 const MAX_SPREAD_CONNECTIONS: usize = 4;
 
 /// The resources from which connection limits are derived.
@@ -22,7 +22,7 @@
 pub struct ConnectionResources {
     /// Descriptors that the process may open.
     pub descriptors: usize,
-    /// Bytes of memory for connections to backends and those of the platform's clients, with their buffers.
+    /// Bytes of memory for connections to backends and to clients of the HTTP frontend, with their buffers.
     pub memory: usize,
     /// Backends in the endpoint list known at startup.
     pub backends: usize,
@@ -37,7 +37,7 @@
     pub backends: usize,
     /// Maximum bytes in the buffers of all connections to backends together.
     pub backend_bytes: usize,
-    /// Maximum connections of the platform's clients, before another frontend takes some of them.
+    /// Maximum connections of the HTTP frontend's clients, before the share of another frontend is subtracted.
     pub clients: usize,
 }
 
@@ -66,7 +66,7 @@
     /// Whether it has capacity for the call.
     pub has_capacity: bool,
     /// Whether something has been in flight for long and nothing was received.
-    pub silent: bool,
+    pub unresponsive: bool,
     /// Parts in flight on it.
     pub attempts_in_flight: usize,
     /// When something was last sent or received.
@@ -97,7 +97,7 @@
 /// connections to all `backends` together.
 ///
 /// The connection with the fewest parts in flight is used; among equals the one used last, because the longer
-/// a connection was idle, the likelier the other side has closed it without notice. Silent connections are
+/// a connection was idle, the likelier the other side has closed it without notice. Unresponsive connections are
 /// used only if no more can be opened. While all are busy another one is opened, but no connection to another
 /// backend is evicted for it: with hundreds of backends each instance would constantly close and open
 /// connections, and all instances together would fill the backends' connection tables.
@@ -109,7 +109,8 @@
     capacity: ConnectionCapacity,
 ) -> ConnectionChoice {
     let may_open = connections.len() < MAX_CONNECTIONS_PER_BACKEND;
-    let rank = |view: &&ConnectionView| (view.silent, view.attempts_in_flight, Reverse(view.last_used_at));
+    let rank =
+        |view: &&ConnectionView| (view.unresponsive, view.attempts_in_flight, Reverse(view.last_used_at));
     let Some(best) = connections.iter().filter(|view| view.has_capacity).min_by_key(rank) else {
         return if may_open { ConnectionChoice::Open(None) } else { ConnectionChoice::Unavailable };
     };
@@ -118,7 +119,7 @@
     }
     let spread = (limit / backends.max(1)).clamp(1, MAX_SPREAD_CONNECTIONS);
     let may_spread = connections.len() < spread && capacity == ConnectionCapacity::Available;
-    if (best.silent && may_open) || (!best.silent && may_spread) {
+    if (best.unresponsive && may_open) || (!best.unresponsive && may_spread) {
         return ConnectionChoice::Open(Some(best.id));
     }
     ConnectionChoice::Use(best.id)
--- a/crates/core/src/open_queries.rs
+++ b/crates/core/src/open_queries.rs
@@ -49,7 +49,7 @@
     /// Clients that sent the query again under the same id; only if the query requires permits.
     pub(crate) coalesced_waiters: Vec<ResponseHandle>,
     pub(crate) request: QueryRequest,
-    /// When the client's time is up.
+    /// When the client stops waiting.
     pub(crate) deadline: Micros,
     pub(crate) parts: Vec<PartState>,
     /// Number of attempts of all parts that may have been executed.
--- a/crates/core/src/planned_queries.rs
+++ b/crates/core/src/planned_queries.rs
@@ -232,8 +232,8 @@
                 PlanAction::Respond(ranked) => {
                     self.complete_planned(query, QueryResponse::Ranked(Rc::new(ranked)), true)
                 }
-                PlanAction::GiveUp { effect_possible } => {
-                    let Some(response) = self.plan_failure(now, query, effect_possible) else { return };
+                PlanAction::GiveUp { possibly_executed } => {
+                    let Some(response) = self.plan_failure(now, query, possibly_executed) else { return };
                     self.complete_planned(query, response, false);
                 }
             }
@@ -250,9 +250,14 @@
     }
 
     /// Returns the response to a query whose plan gave up.
-    fn plan_failure(&mut self, now: Micros, query: QueryId, effect_possible: bool) -> Option<QueryResponse> {
+    fn plan_failure(
+        &mut self,
+        now: Micros,
+        query: QueryId,
+        possibly_executed: bool,
+    ) -> Option<QueryResponse> {
         let open = self.open.get(query)?;
-        if !effect_possible {
+        if !possibly_executed {
             let not_executed = open.not_executed();
             return Some(self.reject(not_executed));
         }
--- a/crates/core/src/polled_queries/mod.rs
+++ b/crates/core/src/polled_queries/mod.rs
@@ -130,12 +130,12 @@
 struct Running {
     run: RunId,
     waiters: BTreeSet<WaiterId>,
-    /// When it is cancelled unless a client polls; `None` if it is not polled.
+    /// When the query is cancelled unless a client polls; `None` if it is not polled.
     idle_at: Option<Micros>,
 }
 
 impl Running {
-    /// Returns when it is cancelled; `None` while calls wait for it.
+    /// Returns when the query is cancelled for lack of polls; `None` while calls wait for it.
     fn idle_timeout(&self) -> Option<Micros> {
         self.idle_at.filter(|_| self.waiters.is_empty())
     }
--- a/crates/core/src/sessions.rs
+++ b/crates/core/src/sessions.rs
@@ -3,7 +3,7 @@
 //!
 //! A session is identified by a number that its client sends (a cookie or a field of its token). Memory is
 //! bounded: beyond the limit the session that was idle longest is evicted. As after a restart, its client is
-//! notified that the options are gone, and sets them again.
+//! notified that the options were lost, and sets them again.
 
 use std::collections::BTreeMap;
 
--- a/crates/core/src/stream_admission/limits.rs
+++ b/crates/core/src/stream_admission/limits.rs
@@ -6,7 +6,7 @@
 /// Flow-control window of a client's connection in bytes: what it may send ahead of what was read, on all its
 /// streams together.
 pub const CONNECTION_WINDOW: u32 = 512 * 1024;
-/// Longest message of a client, in bytes: one of the platform's requests has up to 64 KiB, and a batch of
+/// Longest message of a client, in bytes: an HTTP request has up to 64 KiB, and a batch of
 /// queries in columns may be larger.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 /// Send buffer of one call in bytes, for the smallest and the largest memory.
--- a/crates/core/src/submission.rs
+++ b/crates/core/src/submission.rs
@@ -84,7 +84,7 @@
         if !(request.retry && self.requires_permits(request.class)) {
             return Err(response);
         }
-        // An earlier attempt, perhaps at another instance, may have been executed; the records tell.
+        // An earlier attempt, perhaps at another instance, may have been executed; the replicated records show it.
         self.ready_actions.push(Action::ReplicateOutcome(Box::new(CompletedQuery {
             deadline: now.saturating_add(request.expires_in),
             request,
--- a/crates/core/src/two_phase/actions.rs
+++ b/crates/core/src/two_phase/actions.rs
@@ -28,7 +28,7 @@
     /// The plan that the client requested.
     pub spec: PlanSpec,
     /// Whether the second phase has an effect. If so, blocks are fetched one at a time, until one has
-    /// executed the query or may have.
+    /// executed or possibly executed the query.
     pub has_effect: bool,
     /// The minimum completeness of a response.
     pub minimum_completeness: f64,
@@ -66,8 +66,8 @@
     Respond(Ranked),
     /// End the query without a response. Final.
     GiveUp {
-        /// Whether the query may have had its effect.
-        effect_possible: bool,
+        /// Whether a part of a non-idempotent query was possibly executed.
+        possibly_executed: bool,
     },
 }
 
--- a/crates/core/src/two_phase/mod.rs
+++ b/crates/core/src/two_phase/mod.rs
@@ -5,7 +5,7 @@
 //!      \____ no time for scouts, or all sketches cached ____^   ^___ next wave ___/
 //! ```
 //!
-//! - A **block** is one part of the query's data, held by one shard.
+//! - A **block** is one part of the query's data, stored in one shard.
 //! - A **scout** is a cheap part whose value, a [`Sketch`], bounds the scores of its block's rows.
 //! - The second phase fetches blocks by descending bound, one **wave** at a time. Each wave's rows raise the
 //!   **threshold**, the score that a row has to reach to be in the response. A block whose bound lies below
--- a/crates/core/src/two_phase/phase_times.rs
+++ b/crates/core/src/two_phase/phase_times.rs
@@ -26,17 +26,18 @@
 const WAVE_TIME_QUANTILE: f64 = 0.9;
 /// Quantiles are used from this number of observations.
 const MIN_OBSERVATIONS: u64 = 20;
-/// Before that, scouts are expected to take this fraction of the latency objective.
+/// Fraction of the latency objective that scouts are expected to take before [`MIN_OBSERVATIONS`].
 const INITIAL_SCOUT_FRACTION: f64 = 0.15;
-/// Before that, a wave is expected to take this fraction of the latency objective.
+/// Fraction of the latency objective that a wave is expected to take before [`MIN_OBSERVATIONS`].
 const INITIAL_WAVE_FRACTION: f64 = 0.25;
 /// No scouts are sent if less than this fraction of their expected time is available.
 const MIN_SCOUT_FRACTION: f64 = 0.5;
-/// The budget is at most this multiple of the scouts' expected time, for the few scouts that take longer.
+/// The scouts' budget is at most this multiple of their expected time, for the few that take longer.
 const SCOUT_BUDGET_MULTIPLE: Micros = 2;
 /// Time is reserved for at most this number of waves: one has to fit, and later ones run if there is time.
 const MAX_RESERVED_WAVES: usize = 2;
-/// After this number of observations, existing counts are halved, so that a change shows within as many.
+/// After this number of observations, existing counts are halved, so that a change of the times shows within
+/// the same number of observations.
 const OBSERVATIONS_PER_DECAY: u64 = 1000;
 /// Longest time that the histogram records, in microseconds.
 const MAX_TIME_US: Micros = 600_000_000;
--- a/crates/core/src/two_phase/plan.rs
+++ b/crates/core/src/two_phase/plan.rs
@@ -42,12 +42,12 @@
     /// Whether the rows of a block contradicted its sketch. If so, sketches prove nothing any more.
     sketch_contradicted: bool,
     /// Whether a part with an effect failed and may have been executed.
-    effect_possible: bool,
+    possibly_executed: bool,
     effect: Option<BlockEffect>,
     started_at: Micros,
     last_report_at: Option<Micros>,
     wave_started_at: Micros,
-    /// Times of ended phases that were not taken yet.
+    /// Durations of ended phases that [`Plan::take_phase_times`] has not returned yet.
     phase_times: PhaseTimes,
 }
 
@@ -91,7 +91,7 @@
             queue: VecDeque::new(),
             best: TopRows::new(setup.spec.row_limit),
             sketch_contradicted: false,
-            effect_possible: false,
+            possibly_executed: false,
             effect: None,
             started_at: now,
             last_report_at: None,
@@ -168,7 +168,7 @@
             }
             Err(loss) => {
                 self.blocks.get_mut(block).fetch = FetchState::Failed;
-                self.effect_possible |= self.has_effect && loss == PartLoss::PossiblyExecuted;
+                self.possibly_executed |= self.has_effect && loss == PartLoss::PossiblyExecuted;
             }
         }
         self.advance(now, &mut actions);
@@ -251,8 +251,8 @@
         if self.phase != Phase::Waves {
             return;
         }
-        if self.effect.is_some() || self.effect_possible {
-            // The query has had its effect, or may have: no other block is fetched.
+        if self.effect.is_some() || self.possibly_executed {
+            // The query was executed or possibly executed: no other block is fetched.
             return self.finish(now, actions);
         }
         if self.blocks.any_fetch(FetchState::InFlight) {
@@ -326,7 +326,7 @@
         }
         let in_flight = self.blocks.with_fetch(FetchState::InFlight);
         self.blocks.set_fetches(&in_flight, FetchState::Failed);
-        self.effect_possible |= self.has_effect && !in_flight.is_empty();
+        self.possibly_executed |= self.has_effect && !in_flight.is_empty();
         if !in_flight.is_empty() {
             actions.push(PlanAction::CancelFetches(in_flight));
         }
@@ -334,7 +334,7 @@
         actions.push(if self.has_response() {
             PlanAction::Respond(self.ranked())
         } else {
-            PlanAction::GiveUp { effect_possible: self.effect_possible }
+            PlanAction::GiveUp { possibly_executed: self.possibly_executed }
         });
     }
 
--- a/crates/core/src/value.rs
+++ b/crates/core/src/value.rs
@@ -1,4 +1,4 @@
-//! The value of a part: a string from the platform's frame protocol, or a table in Arrow's format.
+//! The value of a part: a string from the frame protocol, or a table in Arrow's format.
 
 use std::fmt;
 use std::rc::Rc;
--- a/crates/core/tests/connection_limits.rs
+++ b/crates/core/tests/connection_limits.rs
@@ -42,7 +42,7 @@
         ConnectionView {
             id,
             has_capacity: self.attempts_in_flight < 4,
-            silent: false,
+            unresponsive: false,
             attempts_in_flight: self.attempts_in_flight,
             last_used_at: self.last_used_at,
         }
@@ -123,7 +123,7 @@
 }
 
 fn view(id: u64, attempts_in_flight: usize, last_used_at: u64) -> ConnectionView {
-    ConnectionView { id, has_capacity: true, silent: false, attempts_in_flight, last_used_at }
+    ConnectionView { id, has_capacity: true, unresponsive: false, attempts_in_flight, last_used_at }
 }
 
 #[test]
@@ -155,12 +155,12 @@
 
 #[test]
 fn an_unresponsive_connection_is_used_only_if_no_other_can_be_opened() {
-    let silent = |id| ConnectionView { silent: true, ..view(id, 1, 0) };
+    let unresponsive = |id| ConnectionView { unresponsive: true, ..view(id, 1, 0) };
     assert_eq!(
-        choose_connection(&[silent(1)], 100, 90, ConnectionCapacity::Exhausted),
+        choose_connection(&[unresponsive(1)], 100, 90, ConnectionCapacity::Exhausted),
         ConnectionChoice::Open(Some(1))
     );
-    let eight: Vec<ConnectionView> = (1..=8).map(silent).collect();
+    let eight: Vec<ConnectionView> = (1..=8).map(unresponsive).collect();
     assert_eq!(choose_connection(&eight, 100, 90, ConnectionCapacity::Available), ConnectionChoice::Use(1));
 }
 
--- a/crates/core/tests/two_phase.rs
+++ b/crates/core/tests/two_phase.rs
@@ -274,8 +274,8 @@
     prop_assert!(plan.handle_timeout(DEADLINE + 1).is_empty() && plan.poll_timeout().is_none());
     match model.final_actions.pop() {
         Some(PlanAction::Respond(response)) => check_response(case, &model, &response),
-        Some(PlanAction::GiveUp { effect_possible }) => {
-            prop_assert_eq!(effect_possible, case.has_effect && model.possible_effects > 0);
+        Some(PlanAction::GiveUp { possibly_executed }) => {
+            prop_assert_eq!(possibly_executed, case.has_effect && model.possible_effects > 0);
             Ok(())
         }
         other => Err(TestCaseError::fail(format!("{other:?}"))),
@@ -440,13 +440,13 @@
     assert_eq!(plan.fetch_completed(2_000, 0, Err(PartLoss::NotExecuted)), [PlanAction::Fetch(vec![1])]);
     assert_eq!(
         plan.fetch_completed(3_000, 1, Err(PartLoss::NotExecuted)),
-        [PlanAction::GiveUp { effect_possible: false }]
+        [PlanAction::GiveUp { possibly_executed: false }]
     );
     let (mut plan, _) = Plan::start(0, setup);
     complete_scouts(&mut plan, &bounds);
     assert_eq!(
         plan.fetch_completed(2_000, 0, Err(PartLoss::PossiblyExecuted)),
-        [PlanAction::GiveUp { effect_possible: true }]
+        [PlanAction::GiveUp { possibly_executed: true }]
     );
 }
 
@@ -483,7 +483,7 @@
                 PlanAction::CancelScouts(_),
                 PlanAction::Fetch(_),
                 PlanAction::CancelFetches(_),
-                PlanAction::GiveUp { effect_possible: false }
+                PlanAction::GiveUp { possibly_executed: false }
             ]
         ),
         "{actions:?}"
--- a/crates/edge/src/upstream/pool.rs
+++ b/crates/edge/src/upstream/pool.rs
@@ -354,7 +354,7 @@
             Some(ConnectionView {
                 id,
                 has_capacity: self.can_take(now, target, connection, in_flight, attempts),
-                silent: silent_since.is_some_and(|since| since + self.settings.silence_timeout <= now),
+                unresponsive: silent_since.is_some_and(|since| since + self.settings.silence_timeout <= now),
                 attempts_in_flight: in_flight,
                 last_used_at: connection.protocol.last_used(),
             })
