--- a/crates/cluster/src/connections/handshake.rs
+++ b/crates/cluster/src/connections/handshake.rs
@@ -26,7 +26,7 @@
     /// The sender's refutation number in that incarnation.
     pub refutation: u32,
     /// The sender is shutting down.
-    pub leaving: bool,
+    pub shutting_down: bool,
     /// Key of the sender's highest update about the receiver, if it has one.
     pub known: Option<(Incarnation, u32, MemberState)>,
 }
@@ -125,7 +125,7 @@
             list_digest: self.digest,
             incarnation: own.incarnation,
             refutation: own.refutation,
-            leaving: own.state == MemberState::Left,
+            shutting_down: own.state == MemberState::Left,
             known: known.map(|update| update.key()),
         }
     }
@@ -160,7 +160,7 @@
     /// Returns the updates that a peer's hello contains: about the peer itself, and about this process.
     #[must_use]
     pub fn hello_updates(&self, peer: PeerId, hello: &Hello) -> (MemberUpdate, Option<MemberUpdate>) {
-        let state = if hello.leaving { MemberState::Left } else { MemberState::Alive };
+        let state = if hello.shutting_down { MemberState::Left } else { MemberState::Alive };
         let update = |member, (incarnation, refutation, state)| MemberUpdate {
             member,
             incarnation,
--- a/crates/cluster/src/connections/limits.rs
+++ b/crates/cluster/src/connections/limits.rs
@@ -2,10 +2,10 @@
 
 /// Greatest number of connections with an incomplete handshake.
 const MAX_UNIDENTIFIED: usize = 8;
-/// One in this many of the process's sockets is for peers.
-const SOCKET_SHARE: usize = 4;
-/// One in this many bytes of the process's memory is for connections to peers, and as many again for records.
-const MEMORY_SHARE: usize = 16;
+/// Divisor of the process's sockets that gives the number for peers.
+const SOCKET_DIVISOR: usize = 4;
+/// Divisor of the process's memory that gives the bytes for connections to peers; records get the same number.
+const MEMORY_DIVISOR: usize = 16;
 /// Estimated bytes of memory of a query's record.
 const RECORD_BYTES: usize = 2048;
 /// Lower bound of the message size limit, in bytes: 64 updates of up to 64 bytes have to fit.
@@ -64,10 +64,10 @@
     pub fn of(peers: usize, sockets: usize, memory: usize) -> Result<Self, LimitsError> {
         let unidentified = MAX_UNIDENTIFIED.min(peers.max(2));
         let sockets_needed = peers.saturating_sub(1) + unidentified + 1;
-        if sockets_needed > sockets / SOCKET_SHARE {
-            return Err(LimitsError::Sockets { peers, wanted: sockets_needed * SOCKET_SHARE });
+        if sockets_needed > sockets / SOCKET_DIVISOR {
+            return Err(LimitsError::Sockets { peers, wanted: sockets_needed * SOCKET_DIVISOR });
         }
-        let connection_bytes = memory / MEMORY_SHARE / (peers + unidentified);
+        let connection_bytes = memory / MEMORY_DIVISOR / (peers + unidentified);
         let message_bytes = (connection_bytes / 4).min(MAX_MESSAGE_BYTES);
         if message_bytes < MIN_MESSAGE_BYTES {
             return Err(LimitsError::Memory { peers });
@@ -77,7 +77,7 @@
             sockets_needed,
             message_bytes,
             queue_bytes: connection_bytes / 2,
-            records: memory / MEMORY_SHARE / RECORD_BYTES,
+            records: memory / MEMORY_DIVISOR / RECORD_BYTES,
             messages_per_iteration: MESSAGES_PER_ITERATION,
             messages_per_second: MESSAGES_PER_SECOND,
         })
--- a/crates/cluster/src/membership/actions.rs
+++ b/crates/cluster/src/membership/actions.rs
@@ -1,4 +1,4 @@
-//! The actions and events of membership, and its time-outs.
+//! The actions and events of membership, and its timeouts.
 
 use super::messages::{MemberUpdate, Message};
 use crate::{Incarnation, Micros, PeerId};
@@ -8,7 +8,7 @@
 pub enum Action {
     /// Send a message, if the peer is connected.
     Send(PeerId, Message),
-    /// Replace the connection to a member that has left several pings in a row unanswered.
+    /// Replace the connection to a member that has not answered several pings in a row.
     Reconnect(PeerId),
     /// Log this and act on it.
     Notify(Event),
@@ -29,7 +29,7 @@
     IncarnationRaised(Incarnation),
 }
 
-/// The protocol's intervals and time-outs, in microseconds. All but the interval grow with the local health
+/// The protocol's intervals and timeouts, in microseconds. All but the interval grow with the local health
 /// multiplier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProbeTiming {
--- a/crates/cluster/src/membership/member.rs
+++ b/crates/cluster/src/membership/member.rs
@@ -5,7 +5,7 @@
 use super::messages::{MemberState, SuspicionEvidence};
 use crate::{Incarnation, Micros, PeerId};
 
-/// Whether this process holds its own name.
+/// Whether this process is the latest incarnation of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Identity {
     /// No peer has connected to it yet: it raises its incarnation above every one that it learns of.
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -14,7 +14,7 @@
 //! refutation number.
 //!
 //! A process cannot tell directly that it was paused. If its own timers fire late, it assumes a local fault:
-//! it restarts its open probes, and its time-outs grow with the local health multiplier.
+//! it restarts its open probes, and its timeouts grow with the local health multiplier.
 
 mod actions;
 mod dissemination;
--- a/crates/cluster/src/membership/probes.rs
+++ b/crates/cluster/src/membership/probes.rs
@@ -14,7 +14,7 @@
 const RELAYED_PROBES_PER_MEMBER: usize = 4;
 /// Consecutive pings on a connection without an ack, after which it is replaced.
 const UNANSWERED_PINGS_BEFORE_RECONNECT: u32 = 4;
-/// Greatest local health multiplier; time-outs are multiplied by one more than it.
+/// Greatest local health multiplier; timeouts are multiplied by one more than it.
 pub(super) const MAX_LOCAL_HEALTH_MULTIPLIER: u32 = 8;
 
 /// A probe that this process started.
@@ -39,7 +39,7 @@
 }
 
 impl Membership {
-    /// Returns the current ack time-out.
+    /// Returns the current ack timeout.
     pub(super) fn ack_timeout(&self) -> Micros {
         self.timing.ack_timeout * Micros::from(1 + self.local_health_multiplier)
     }
--- a/crates/cluster/src/membership/timers.rs
+++ b/crates/cluster/src/membership/timers.rs
@@ -1,4 +1,4 @@
-//! The timers of membership: the next probe, ack time-outs and suspicion time-outs.
+//! The timers of membership: the next probe, ack timeouts and suspicion timeouts.
 
 use super::member::Identity;
 use super::messages::{MemberState, MemberUpdate, ProbeResult};
@@ -15,7 +15,7 @@
         let probes = self.probes.values().map(|probe| probe.deadline);
         let relayed = self.relayed_probes.values().map(|relayed| relayed.deadline);
         let suspicions = self.members.iter().filter_map(|member| self.suspicion_deadline(member));
-        let is_probing = !self.leaving && self.identity != Identity::Superseded;
+        let is_probing = !self.shutting_down && self.identity != Identity::Superseded;
         let next_probe = is_probing.then_some(self.next_probe);
         probes.chain(relayed).chain(suspicions).chain(next_probe).min()
     }
--- a/crates/cluster/src/membership/updates.rs
+++ b/crates/cluster/src/membership/updates.rs
@@ -10,9 +10,9 @@
 /// Time to refute for a member that most live peers suspect because of lost connections, in microseconds.
 const CONFIRMED_SUSPICION_TIMEOUT: Micros = 40_000;
 /// Lifeguard's curve log(c + 1) / log(k + 1) for c independent confirmations and k = 2, in thousandths of the
-/// difference between the longest and the shortest suspicion time-out.
+/// difference between the longest and the shortest suspicion timeout.
 const CONFIRMATION_CURVE: [Micros; 3] = [0, 631, 1000];
-/// The shortest suspicion time-out is the longest one divided by this.
+/// The shortest suspicion timeout is the longest one divided by this.
 const SHORTEST_TIMEOUT_DIVISOR: Micros = 3;
 
 impl Membership {
--- a/crates/cluster/src/membership/view.rs
+++ b/crates/cluster/src/membership/view.rs
@@ -17,7 +17,7 @@
     /// How often this process has refuted a suspicion in this incarnation.
     pub(super) refutation: u32,
     pub(super) identity: Identity,
-    pub(super) leaving: bool,
+    pub(super) shutting_down: bool,
     pub(super) timing: ProbeTiming,
     /// Indexed by [`PeerId`]; this process's own entry is not used.
     pub(super) members: Vec<Member>,
@@ -44,7 +44,7 @@
             incarnation: Incarnation { number: 1, nonce },
             refutation: 0,
             identity: Identity::Unconfirmed,
-            leaving: false,
+            shutting_down: false,
             timing,
             members: vec![Member::default(); peers],
             probe_order: Vec::new(),
@@ -74,7 +74,7 @@
         self.members.get(usize::from(peer.0)).and_then(Member::state)
     }
 
-    /// Returns Lifeguard's local health multiplier, from 0 (healthy) to 8: time-outs are multiplied by one
+    /// Returns Lifeguard's local health multiplier, from 0 (healthy) to 8: timeouts are multiplied by one
     /// more than it.
     #[must_use]
     pub fn local_health_multiplier(&self) -> u32 {
@@ -88,7 +88,7 @@
     }
 
     fn own_state(&self) -> MemberState {
-        if self.leaving {
+        if self.shutting_down {
             MemberState::Left
         } else {
             MemberState::Alive
@@ -157,7 +157,7 @@
         let me = self.me;
         if let Some(member) = self.member_mut(hello.member) {
             (member.connected, member.connection_lost, member.unanswered_pings) = (true, false, 0);
-            // The new connection invalidates this process's own evidence and restarts the time-out of the
+            // The new connection invalidates this process's own evidence and restarts the timeout of the
             // others' suspicion.
             member.suspectors.remove(&me);
             member.suspected_at = now;
@@ -235,10 +235,10 @@
 
     /// Announces this process's shutdown to all connected members.
     pub fn announce_leave(&mut self) {
-        if self.leaving {
+        if self.shutting_down {
             return;
         }
-        self.leaving = true;
+        self.shutting_down = true;
         let connected = |peer: &PeerId| self.members[usize::from(peer.0)].connected;
         let connected: Vec<PeerId> = self.peers().filter(connected).collect();
         for peer in connected {
--- a/crates/cluster/src/outbound_queue.rs
+++ b/crates/cluster/src/outbound_queue.rs
@@ -17,7 +17,7 @@
     Probe,
     /// An ack or a ping's result: the receiver waits for it, and suspects a failure if it does not arrive.
     Reply,
-    /// A message of the register or of takeover: resent, but only after a back-off.
+    /// A message of the register or of takeover: resent, but only after a backoff.
     Takeover,
     /// A hello, or the reason for closing the connection.
     Handshake,
--- a/crates/cluster/src/register/messages.rs
+++ b/crates/cluster/src/register/messages.rs
@@ -32,8 +32,7 @@
         version: u32,
     },
     /// Paxos phase 2a (accept): proposes a version under a ballot that was promised or opened. Reply:
-    /// `Accepted`,
-    /// `Rejected` or `Abstained`.
+    /// `Accepted`, `Rejected` or `Abstained`.
     Accept {
         /// The query.
         id: QueryId,
--- a/crates/cluster/src/register/mod.rs
+++ b/crates/cluster/src/register/mod.rs
@@ -7,7 +7,7 @@
 //! of the first attempt in its prepare phase; and all outcomes that are ever reported to clients of one query
 //! are the same.*
 //!
-//! The invariant does not depend on clocks, time-outs or membership views. These only decide when and to whom
+//! The invariant does not depend on clocks, timeouts or membership views. These only decide when and to whom
 //! requests are sent, and when to stop waiting for replies.
 //!
 //! # How it holds
@@ -30,9 +30,9 @@
 //! forgotten.
 //!
 //! If all acceptors restart at once, none of them remembers anything, and they abstain for twice the longest
-//! lifetime of a query. This is the register's only wait. It protects against a
-//! query that is submitted *again* under its old id (a client that retries later than that breaks its
-//! contract), not against side effects of former proposers: these are fenced by incarnations.
+//! lifetime of a query. This is the register's only wait. It protects against a query that is submitted
+//! *again* under its old id (a client must not retry later than that), not against side effects of former
+//! proposers: these are fenced by incarnations.
 
 mod acceptor;
 mod ballot;
--- a/crates/cluster/src/register/proposer.rs
+++ b/crates/cluster/src/register/proposer.rs
@@ -282,7 +282,8 @@
     }
 
     fn is_accepted_by_majority(&self, version: u32) -> bool {
-        let has = |peer: &&PeerId| self.accepted_versions.get(peer).is_some_and(|held| *held >= version);
+        let has =
+            |peer: &&PeerId| self.accepted_versions.get(peer).is_some_and(|accepted| *accepted >= version);
         let count = self.acceptors.iter().filter(has).count();
         self.phase == ProposerPhase::Active && self.is_majority(count)
     }
--- a/crates/cluster/src/register/recovery.rs
+++ b/crates/cluster/src/register/recovery.rs
@@ -68,7 +68,7 @@
     /// The last query on the pages received so far.
     after: Option<QueryId>,
     /// The peer remembered everything at each page so far. A peer that recovers between two pages may have
-    /// left records out of an earlier one.
+    /// omitted records from an earlier one.
     remembers_all: bool,
 }
 
--- a/crates/cluster/src/takeover/actions.rs
+++ b/crates/cluster/src/takeover/actions.rs
@@ -17,7 +17,7 @@
         /// The message.
         message: Box<Message>,
     },
-    /// Send an attempt, or never send it.
+    /// A permit was granted or denied: send the attempt, or never send it.
     PermitDecided {
         /// The query.
         id: QueryId,
--- a/crates/cluster/src/takeover/client_requests.rs
+++ b/crates/cluster/src/takeover/client_requests.rs
@@ -49,7 +49,7 @@
     }
 
     /// Handles a rejected query that its client had submitted before, and for which nothing was sent here.
-    /// The client may be told that nothing was executed only once no other instance can execute it. So
+    /// The client may get the response that nothing was executed only once no other instance can execute it. So
     /// `NotExecuted` is proposed as the outcome, and whichever outcome is chosen is reported. If no majority
     /// is reached within `PERMIT_TIMEOUT`, the outcome is reported as unknown.
     pub fn reject(&mut self, now: Micros, request: ClientRequest) {
--- a/crates/cluster/src/takeover/manager.rs
+++ b/crates/cluster/src/takeover/manager.rs
@@ -186,7 +186,7 @@
         self.actions.push(Action::Send { to: peer, message: Box::new(message) });
     }
 
-    /// Continues under another incarnation of this process. Permits of the former one are void.
+    /// Continues under another incarnation of this process. Permits of the former one are no longer valid.
     pub fn incarnation_changed(&mut self, now: Micros, own: Incarnation) {
         self.start_acceptor(now, own);
         self.candidates = Candidates::default();
--- a/crates/cluster/src/takeover/messages.rs
+++ b/crates/cluster/src/takeover/messages.rs
@@ -33,8 +33,8 @@
 }
 
 impl Message {
-    /// Whether the receiver or a client waits for the message. A chosen outcome or an epoch only lets others
-    /// remove records; requests for these are answered regardless.
+    /// Whether the receiver or a client waits for the message. Nobody waits for a chosen outcome or
+    /// an epoch: they only let acceptors remove records, and acceptors answer requests correctly without them.
     #[must_use]
     pub fn is_awaited(&self) -> bool {
         !matches!(self, Self::Request(ProposerRequest::Chosen { .. }) | Self::Epoch { .. })
--- a/crates/cluster/src/takeover/outcome.rs
+++ b/crates/cluster/src/takeover/outcome.rs
@@ -5,7 +5,7 @@
 /// How a query ended. Every client that submitted it gets the same end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueryEnd {
-    /// With this response, in the program's own encoding.
+    /// With this response, in the caller's encoding.
     Answered(Arc<[u8]>),
     /// Without a response, while an attempt may have been executed: its instance was lost or gave up.
     PossiblyExecuted,
--- a/crates/cluster/src/takeover/proposals.rs
+++ b/crates/cluster/src/takeover/proposals.rs
@@ -58,7 +58,7 @@
             return self.retry_with_higher_ballot(now, &id);
         }
         // No majority is left even after a resend: the permits are abandoned at once, without waiting for
-        // their time-out.
+        // their timeout.
         if lacks_quorum && query.resends > 0 && !query.pending_permits.is_empty() {
             return self.abandon_permits(now, &id);
         }
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Hands a query that was taken over, and of which no attempt was executed, to the program to run.
+    /// Requests that the caller runs a query that was taken over and of which no attempt was executed.
     fn run_here(&mut self, now: Micros, id: &QueryId) {
         let first_seen = self.candidates.first_seen(id).unwrap_or(now);
         let Some(query) = self.queries.get_mut(id) else { return };
--- a/crates/cluster/src/takeover/query_state.rs
+++ b/crates/cluster/src/takeover/query_state.rs
@@ -94,7 +94,7 @@
         permits.chain([self.resend_at, self.give_up_at()]).min().unwrap_or(self.resend_at)
     }
 
-    /// Whether its clients may be told that nothing was executed although no majority has accepted that: no
+    /// Whether its clients may get the response that nothing was executed although no majority accepted that: no
     /// other instance has seen the query, nothing was sent, and no intent was revoked. So an instance that
     /// takes over finds either nothing to run, or an attempt that may have been executed.
     pub(super) fn is_certainly_not_executed(&self) -> bool {
--- a/crates/cluster/tests/membership.rs
+++ b/crates/cluster/tests/membership.rs
@@ -186,7 +186,7 @@
         event.expect("an event with this state").0
     };
     let (suspected_at, dead_at) = (first(MemberState::Suspect), first(MemberState::Dead));
-    assert!(dead_at - suspected_at >= 450 * MS, "without lost connections the suspicion time-out is long");
+    assert!(dead_at - suspected_at >= 450 * MS, "without lost connections the suspicion timeout is long");
     for index in [0, 1, 3, 4] {
         assert_eq!(cluster.view(index), "aadaa");
     }
@@ -386,7 +386,7 @@
     assert_eq!(members.state(peer(1)), Some(MemberState::Suspect));
     assert_eq!(members.local_health_multiplier(), 1);
     let due = members.poll_timeout().expect("a timer");
-    assert!(due > 60_000 * MS, "all time-outs restart");
+    assert!(due > 60_000 * MS, "all timeouts restart");
 }
 
 #[test]
--- a/crates/edge/src/peers/wire.rs
+++ b/crates/edge/src/peers/wire.rs
@@ -203,7 +203,7 @@
 
 impl From<&Hello> for HelloFields {
     fn from(hello: &Hello) -> Self {
-        let state = if hello.leaving { MemberState::Left } else { MemberState::Alive };
+        let state = if hello.shutting_down { MemberState::Left } else { MemberState::Alive };
         Self {
             major: hello.major,
             minor: hello.minor,
@@ -228,7 +228,7 @@
             list_digest: fields.list_digest,
             incarnation: own.map(|own| own.incarnation).unwrap_or_default(),
             refutation: own.map_or(0, |own| own.refutation),
-            leaving: own.is_some_and(|own| own.state == MemberState::Left),
+            shutting_down: own.is_some_and(|own| own.state == MemberState::Left),
             known: known.map(|known| known.key()),
         }
     }
--- a/crates/edge/tests/bad_input.rs
+++ b/crates/edge/tests/bad_input.rs
@@ -493,7 +493,7 @@
                 list_digest: 9,
                 incarnation: Incarnation { number: 3, nonce: 4 },
                 refutation: 5,
-                leaving: major % 2 == 0,
+                shutting_down: major % 2 == 0,
                 known: None,
             }
         )),
--- a/crates/edge/tests/peer_wire_format.rs
+++ b/crates/edge/tests/peer_wire_format.rs
@@ -68,7 +68,7 @@
         list_digest: 0xfedc_ba98_7654_3210,
         incarnation: incarnation(4),
         refutation: 6,
-        leaving: false,
+        shutting_down: false,
         known: None,
     }
 }
@@ -80,7 +80,7 @@
         "000000260a24080110021a0465752d312009291032547698badcfe320d100419efcdab89674523012006",
     );
     let known = Some((incarnation(3), 1, MemberState::Suspect));
-    assert_encoding(&Frame::Hello(Hello { leaving: true, known, ..hello() }), "000000390a37080110021a0465752d312009291032547698badcfe320f100419efcdab8967452301200628033a0f100319efcdab896745230120012801");
+    assert_encoding(&Frame::Hello(Hello { shutting_down: true, known, ..hello() }), "000000390a37080110021a0465752d312009291032547698badcfe320f100419efcdab8967452301200628033a0f100319efcdab896745230120012801");
     let known = Some((incarnation(3), 1, MemberState::Dead));
     assert_encoding(&Frame::Hello(Hello { known, ..hello() }), "000000370a35080110021a0465752d312009291032547698badcfe320d100419efcdab896745230120063a0f100319efcdab896745230120012802");
 }
