--- a/crates/mallowgauge/tests/flight_hard.rs
+++ b/crates/mallowgauge/tests/flight_hard.rs
@@ -147,6 +147,7 @@
     let deployment = Deployment::start(script, json!({}), |file| file["limits"]["memory_mb"] = json!(48));
     let mut raw = RawHttp2Client::connect(deployment.program.flight);
     let reply = run_query(&mut raw, &command("search", "q", &[0]));
+    // DEADLINE_EXCEEDED, RESOURCE_EXHAUSTED, INTERNAL or UNAVAILABLE.
     assert!(matches!(reply.status(), Some(4 | 8 | 13 | 14)), "{reply:?}");
     // A non-idempotent query whose table exceeds the memory budget is possibly executed, so it fails and is not
     // reported as rejected.
@@ -157,7 +158,7 @@
     assert!(peak_memory_kb(&deployment) < 48 << 10, "{} KB", peak_memory_kb(&deployment));
 }
 
-/// Returns the peak_memory_kb resident memory of the program, in KB.
+/// Returns the peak resident memory of the program, in KB.
 fn peak_memory_kb(deployment: &Deployment) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{}/status", deployment.program.child.id()))
         .expect("a process");
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -275,7 +275,7 @@
         /// The instance's name.
         name: String,
     },
-    /// The number of acceptors is even. A majority of it is as large as one of the next odd number.
+    /// The number of acceptors is even, which tolerates no more failures than the next lower odd number.
     #[error("is {group}, not an odd number")]
     EvenGroupSize {
         /// The number of acceptors.
