--- a/crates/cluster/src/membership/view.rs
+++ b/crates/cluster/src/membership/view.rs
@@ -234,7 +234,7 @@
     }
 
     /// Announces this process's shutdown to all connected members.
-    pub fn announce_leave(&mut self) {
+    pub fn announce_shutdown(&mut self) {
         if self.shutting_down {
             return;
         }
--- a/crates/cluster/src/takeover/query_state.rs
+++ b/crates/cluster/src/takeover/query_state.rs
@@ -16,11 +16,13 @@
 /// acceptors are unavailable, hundreds of queries must not fill all connections with requests that cannot be
 /// answered.
 const RESEND_INTERVAL: Micros = 30_000;
+/// Maximum number of times that [`RESEND_INTERVAL`] doubles.
 const RESEND_DOUBLINGS: u32 = 4;
 /// While the outcome of another instance is awaited, the acceptors are polled after this many microseconds,
 /// doubled with each poll. They also send the outcome when it is chosen; polling compensates for lost
 /// messages.
 pub(super) const OUTCOME_POLL_INTERVAL: Micros = 20_000;
+/// Maximum number of times that [`OUTCOME_POLL_INTERVAL`] doubles.
 const OUTCOME_POLL_DOUBLINGS: u32 = 6;
 
 /// An attempt whose intent is proposed and that waits for its permit.
--- a/crates/cluster/tests/membership.rs
+++ b/crates/cluster/tests/membership.rs
@@ -254,7 +254,7 @@
 #[test]
 fn a_member_that_announced_its_shutdown_stays_left() {
     let mut cluster = Cluster::new(3);
-    cluster.members[1].announce_leave();
+    cluster.members[1].announce_shutdown();
     cluster.run(10);
     cluster.kill(1);
     cluster.run(10_000);
--- a/crates/edge/src/peers/mod.rs
+++ b/crates/edge/src/peers/mod.rs
@@ -163,9 +163,9 @@
         self.handle_actions(now);
     }
 
-    /// Announces to all peers that this instance is leaving the cluster.
-    pub fn announce_leave(&mut self, now: Micros) {
-        self.members.announce_leave();
+    /// Announces to all peers that this instance is shutting down.
+    pub fn announce_shutdown(&mut self, now: Micros) {
+        self.members.announce_shutdown();
         self.handle_actions(now);
     }
 
--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -241,7 +241,7 @@
         self.http.set_phase(self.lifecycle.phase());
         self.flight.drain(now, &mut self.core);
         if let Some(peers) = &mut self.peers {
-            peers.announce_leave(now);
+            peers.announce_shutdown(now);
         }
     }
 
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -59,7 +59,7 @@
     pub peers: Option<(PeerSettings, PeerConnectionLimits)>,
 }
 
-/// Fraction of the shortest latency objective after which silent connections are avoided.
+/// Fraction of the shortest latency objective after which unresponsive connections are avoided.
 const SILENCE_FRACTION: f64 = 0.15;
 /// Default limit on descriptors.
 const DEFAULT_SOCKETS: u64 = 1024;
