--- a/crates/cluster/src/takeover/query_state.rs
+++ b/crates/cluster/src/takeover/query_state.rs
@@ -16,11 +16,13 @@
 /// acceptors are unavailable, hundreds of queries must not fill all connections with requests that cannot be
 /// answered.
 const RESEND_INTERVAL: Micros = 30_000;
+/// Maximum number of times that [`RESEND_INTERVAL`] doubles.
 const RESEND_DOUBLINGS: u32 = 4;
 /// While the outcome of another instance is awaited, the acceptors are polled after this many microseconds,
 /// doubled with each poll. They also send the outcome when it is chosen; polling compensates for lost
 /// messages.
 pub(super) const OUTCOME_POLL_INTERVAL: Micros = 20_000;
+/// Maximum number of times that [`OUTCOME_POLL_INTERVAL`] doubles.
 const OUTCOME_POLL_DOUBLINGS: u32 = 6;
 
 /// An attempt whose intent is proposed and that waits for its permit.
@@ -94,7 +96,7 @@
         permits.chain([self.resend_at, self.give_up_at()]).min().unwrap_or(self.resend_at)
     }
 
-    /// Whether its clients may be told that nothing was executed although no majority has accepted that: no
+    /// Whether its clients may get the response that nothing was executed although no majority accepted that: no
     /// other instance has seen the query, nothing was sent, and no intent was revoked. So an instance that
     /// takes over finds either nothing to run, or an attempt that may have been executed.
     pub(super) fn is_certainly_not_executed(&self) -> bool {
