--- a/crates/flight/src/schema.rs
+++ b/crates/flight/src/schema.rs
@@ -132,11 +132,11 @@
 /// # Errors
 /// Returns the first difference found.
 pub fn check_compatible(first: &Schema, other: &Schema) -> Result<(), SchemaMismatch> {
-    let (ours, theirs) = (first.fields(), other.fields());
-    if ours.len() != theirs.len() {
-        return Err(SchemaMismatch::ColumnCount(ours.len(), theirs.len()));
+    let (first_fields, other_fields) = (first.fields(), other.fields());
+    if first_fields.len() != other_fields.len() {
+        return Err(SchemaMismatch::ColumnCount(first_fields.len(), other_fields.len()));
     }
-    let differs = ours.iter().zip(theirs.iter()).find(|(a, b)| !fields_match(a, b));
+    let differs = first_fields.iter().zip(other_fields.iter()).find(|(a, b)| !fields_match(a, b));
     differs.map_or(Ok(()), |(field, _)| Err(SchemaMismatch::Column(field.name().clone())))
 }
 
@@ -161,9 +161,9 @@
             }
         }
         // The usual case: backends of the same release encode identical schema bytes.
-        (Some(Value::Table(ours)), Value::Table(table)) if ours.schema == table.schema => Ok(()),
-        (Some(Value::Table(ours)), Value::Table(table)) => {
-            check_compatible(&decode(&ours.schema)?, &decode(&table.schema)?)
+        (Some(Value::Table(first)), Value::Table(table)) if first.schema == table.schema => Ok(()),
+        (Some(Value::Table(first)), Value::Table(table)) => {
+            check_compatible(&decode(&first.schema)?, &decode(&table.schema)?)
         }
     }
 }
@@ -174,8 +174,8 @@
     Arc::new(field.with_nullable(one.is_nullable() || other.is_nullable()))
 }
 
-fn merge_all(ours: &Fields, theirs: &Fields) -> Fields {
-    ours.iter().zip(theirs).map(|(a, b)| merge_fields(a, b)).collect()
+fn merge_all(one: &Fields, other: &Fields) -> Fields {
+    one.iter().zip(other).map(|(a, b)| merge_fields(a, b)).collect()
 }
 
 fn merge_types(one: &DataType, other: &DataType) -> DataType {
--- a/crates/flight/src/seal.rs
+++ b/crates/flight/src/seal.rs
@@ -51,7 +51,7 @@
     }
 
     /// Encodes and signs a message.
-    fn seal(&self, purpose: &str, message: &impl Message) -> Bytes {
+    fn sign(&self, purpose: &str, message: &impl Message) -> Bytes {
         let body = message.encode_to_vec();
         let mac = self.mac(purpose, &body).map(|mac| mac.finalize().into_bytes());
         let mut out = mac.map_or_else(Vec::new, |mac| mac.to_vec());
@@ -60,8 +60,8 @@
     }
 
     /// Verifies and decodes a signed message.
-    fn open<M: Message + Default>(&self, purpose: &str, sealed: &[u8]) -> Result<M, SealError> {
-        let (signature, body) = sealed.split_at_checked(MAC_BYTES).ok_or(SealError::Forged)?;
+    fn verify<M: Message + Default>(&self, purpose: &str, signed: &[u8]) -> Result<M, SealError> {
+        let (signature, body) = signed.split_at_checked(MAC_BYTES).ok_or(SealError::Forged)?;
         let mac = self.mac(purpose, body).ok_or(SealError::Forged)?;
         // Compares in constant time.
         mac.verify_slice(signature).map_err(|_| SealError::Forged)?;
@@ -71,15 +71,15 @@
     /// Encodes and signs a ticket.
     #[must_use]
     pub fn sign_ticket(&self, ticket: &Ticket) -> Bytes {
-        self.seal("ticket", ticket)
+        self.sign("ticket", ticket)
     }
 
     /// Verifies and decodes a ticket.
     ///
     /// # Errors
     /// The signature is invalid or the ticket has expired.
-    pub fn read_ticket(&self, now: Micros, sealed: &[u8]) -> Result<Ticket, SealError> {
-        let ticket: Ticket = self.open("ticket", sealed)?;
+    pub fn read_ticket(&self, now: Micros, signed: &[u8]) -> Result<Ticket, SealError> {
+        let ticket: Ticket = self.verify("ticket", signed)?;
         if ticket.expires <= now {
             Err(SealError::Expired)
         } else {
@@ -90,15 +90,15 @@
     /// Encodes and signs a token.
     #[must_use]
     pub fn sign_token(&self, token: &Token) -> Bytes {
-        self.seal("token", token)
+        self.sign("token", token)
     }
 
     /// Verifies and decodes a token.
     ///
     /// # Errors
     /// The signature is invalid or the token has expired.
-    pub fn read_token(&self, now: Micros, sealed: &[u8]) -> Result<Token, SealError> {
-        let token: Token = self.open("token", sealed)?;
+    pub fn read_token(&self, now: Micros, signed: &[u8]) -> Result<Token, SealError> {
+        let token: Token = self.verify("token", signed)?;
         if token.expires <= now {
             Err(SealError::Expired)
         } else {
@@ -159,11 +159,11 @@
 /// Verifies a password against an entry of the users file, `pbkdf2-sha256$ROUNDS$SALT$HASH` with salt and
 /// hash in hexadecimal. Returns `false` if the entry is invalid.
 #[must_use]
-pub fn verify_password(line: &str, password: &str) -> bool {
-    let Some(entry) = PasswordEntry::parse(line) else { return false };
+pub fn verify_password(entry: &str, password: &str) -> bool {
+    let Some(parsed) = PasswordEntry::parse(entry) else { return false };
     let mut hash = [0; 32];
-    pbkdf2::pbkdf2_hmac::<Sha256>(password.as_bytes(), &entry.salt, entry.rounds, &mut hash);
-    bool::from(subtle::ConstantTimeEq::ct_eq(&hash[..], &entry.hash[..]))
+    pbkdf2::pbkdf2_hmac::<Sha256>(password.as_bytes(), &parsed.salt, parsed.rounds, &mut hash);
+    bool::from(subtle::ConstantTimeEq::ct_eq(&hash[..], &parsed.hash[..]))
 }
 
 /// A parsed entry of the users file.
@@ -177,22 +177,22 @@
 const MAX_ROUNDS: u32 = 200_000;
 
 impl PasswordEntry {
-    fn parse(line: &str) -> Option<Self> {
-        let mut parts = line.split('$');
-        if parts.next() != Some("pbkdf2-sha256") {
+    fn parse(entry: &str) -> Option<Self> {
+        let mut fields = entry.split('$');
+        if fields.next() != Some("pbkdf2-sha256") {
             return None;
         }
-        let rounds = parts.next()?.parse().ok().filter(|n| (1..=MAX_ROUNDS).contains(n))?;
-        let salt = decode_hex(parts.next()?)?;
-        let hash = decode_hex(parts.next()?)?.try_into().ok()?;
-        parts.next().is_none().then_some(Self { rounds, salt, hash })
+        let rounds = fields.next()?.parse().ok().filter(|n| (1..=MAX_ROUNDS).contains(n))?;
+        let salt = decode_hex(fields.next()?)?;
+        let hash = decode_hex(fields.next()?)?.try_into().ok()?;
+        fields.next().is_none().then_some(Self { rounds, salt, hash })
     }
 }
 
 /// Returns whether an entry of the users file is valid.
 #[must_use]
-pub fn is_valid_password_entry(line: &str) -> bool {
-    PasswordEntry::parse(line).is_some()
+pub fn is_valid_password_entry(entry: &str) -> bool {
+    PasswordEntry::parse(entry).is_some()
 }
 
 /// Decodes hexadecimal digits.
