--- a/crates/settings/src/endpoint_list.rs
+++ b/crates/settings/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in the platform's format, as in its file and in discovery responses.
+//! The endpoint list in the platform's format, as in the platform's file and in discovery responses.
 
 use std::net::SocketAddr;
 
@@ -20,7 +20,7 @@
     pub ring_position: u32,
     /// The state.
     pub state: EndpointState,
-    /// When it last started, in µs of Unix time; `None` if the list has 0 or nothing.
+    /// When it last started, in µs of Unix time; `None` if the list states 0 or no time.
     pub started_at: Option<Micros>,
 }
 
--- a/crates/settings/src/flight.rs
+++ b/crates/settings/src/flight.rs
@@ -40,9 +40,9 @@
     pub backends: BTreeSet<String>,
     /// Whether every backend supports Flight.
     pub every_backend: bool,
-    /// The key that signs tickets and tokens; a random one is generated at each start if there is none.
+    /// The secret that tickets and tokens are signed with; a random one is generated at each start if there is none.
     pub key: Option<Vec<u8>>,
-    /// Password hashes by user name; without users, anybody may call.
+    /// Password entries by user name; without users, callers are not authenticated.
     pub users: Option<BTreeMap<String, String>>,
     /// The lifetime of a ticket, in µs.
     pub ticket_lifetime: Micros,
@@ -154,11 +154,11 @@
             continue;
         }
         let error = |problem| section.error("users", Problem::UserLine { line: index + 1, problem });
-        let (name, secret) = line.split_once(':').ok_or_else(|| error("no colon behind a name"))?;
-        if !mallowgauge_flight::seal::is_valid_password_entry(secret) {
+        let (name, entry) = line.split_once(':').ok_or_else(|| error("no colon behind a name"))?;
+        if !mallowgauge_flight::seal::is_valid_password_entry(entry) {
             return Err(error("not pbkdf2-sha256$ROUNDS$SALT$HASH with up to 200000 rounds"));
         }
-        if users.insert(name.to_owned(), secret.to_owned()).is_some() {
+        if users.insert(name.to_owned(), entry.to_owned()).is_some() {
             return Err(error("a user that was named before"));
         }
     }
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -137,25 +137,25 @@
     ///
     /// # Errors
     /// Names the first key that is missing or has an unexpected value.
-    pub fn read(env: &Value) -> Result<Self, SiteError> {
-        let env = Section::root(env)?;
-        let (family, limits, rules) = (env.sub("FamilyInfo")?, env.sub("Limits")?, env.sub("Safety")?);
-        let class_values = ClassValues::read(&env, &family)?;
-        let zones = read_zones(&env);
+    pub fn read(settings: &Value) -> Result<Self, SiteError> {
+        let root = Section::root(settings)?;
+        let (family, limits, rules) = (root.sub("FamilyInfo")?, root.sub("Limits")?, root.sub("Safety")?);
+        let class_values = ClassValues::read(&root, &family)?;
+        let zones = read_zones(&root);
         let (names, classes) = class_values.classes()?;
         let retry_budget = read_retry_budget(&rules)?;
         let settings = Settings {
-            zone: env.value.get("Az").and_then(Value::as_str).and_then(|name| find_zone(&zones, name)),
-            cross_zone_costs: env
+            zone: root.value.get("Az").and_then(Value::as_str).and_then(|name| find_zone(&zones, name)),
+            cross_zone_costs: root
                 .sub("Charges")
                 .is_ok_and(|charges| charges.number("CrossZone").is_ok_and(|price| price > 0.0)),
-            routers: env.int32("Instances")?,
-            batch_interval: env.int("TickUs")?,
+            routers: root.int32("Instances")?,
+            batch_interval: root.int("TickUs")?,
             classes,
             layout: read_layout(&family)?,
             limits: read_limits(&limits)?,
             rules: read_rules(&rules, retry_budget)?,
-            discovery: read_discovery(&env)?,
+            discovery: read_discovery(&root)?,
         };
         Ok(Site { settings, classes: names, zones })
     }
@@ -171,8 +171,8 @@
 }
 
 impl<'a> ClassValues<'a> {
-    fn read(env: &Section<'a>, family: &Section<'_>) -> Result<Self, SiteError> {
-        let objects = env.list("Classes")?;
+    fn read(root: &Section<'a>, family: &Section<'_>) -> Result<Self, SiteError> {
+        let objects = root.list("Classes")?;
         let per_class = |key| family.per_class(key, objects.len());
         Ok(Self {
             objects,
@@ -215,8 +215,8 @@
 }
 
 /// Reads the names of the zones; skips entries that are not strings.
-fn read_zones(env: &Section<'_>) -> Vec<String> {
-    let listed = env.value.get("Azs").and_then(Value::as_array);
+fn read_zones(root: &Section<'_>) -> Vec<String> {
+    let listed = root.value.get("Azs").and_then(Value::as_array);
     listed.into_iter().flatten().filter_map(|name| name.as_str().map(str::to_owned)).collect()
 }
 
@@ -265,10 +265,10 @@
     })
 }
 
-fn read_discovery(env: &Section<'_>) -> Result<Discovery, SiteError> {
-    match env.text("MembershipMode")? {
+fn read_discovery(root: &Section<'_>) -> Result<Discovery, SiteError> {
+    match root.text("MembershipMode")? {
         "automatic" => Ok(Discovery::Push),
         "subscribe" => Ok(Discovery::Poll),
-        _ => Err(env.error("MembershipMode", "one of automatic, subscribe")),
+        _ => Err(root.error("MembershipMode", "one of automatic, subscribe")),
     }
 }
