--- a/crates/mallowgauge/src/main.rs
+++ b/crates/mallowgauge/src/main.rs
@@ -26,7 +26,7 @@
     Server(#[from] ServerError),
 }
 
-/// Formats text lines with their message alone. Other fields are for tools, and only written in JSON lines.
+/// Formats text lines with their message alone. Other fields are for log tools and only written in JSON lines.
 struct MessageOnly;
 
 impl<'a> FormatFields<'a> for MessageOnly {
@@ -43,20 +43,20 @@
 struct Arguments {
     operator_file: Option<String>,
     /// Whether there are more arguments than the operator's file.
-    has_surplus: bool,
+    has_extra: bool,
 }
 
 impl Arguments {
     fn read() -> Self {
         let mut arguments = std::env::args().skip(1);
         let operator_file = arguments.next();
-        Self { operator_file, has_surplus: arguments.next().is_some() }
+        Self { operator_file, has_extra: arguments.next().is_some() }
     }
 
-    /// Draws a number that is unique to this start of the instance. Without an operator's file there are no peers to
-    /// send it to, and it is 0.
+    /// Returns a random number that is unique to this start of the instance; 0 without an operator's file, since there
+    /// are no peers then.
     fn incarnation(&self) -> Result<u64, ProgramError> {
-        if self.has_surplus {
+        if self.has_extra {
             return Err(ProgramError::Usage);
         }
         match self.operator_file {
