--- a/crates/testkit/src/fault_injection/backends.rs
+++ b/crates/testkit/src/fault_injection/backends.rs
@@ -1,5 +1,5 @@
 //! Backends that speak the platform's frames and record the parts that they receive. Each has a separate address for
-//! each instance, which tells which instance sent a part.
+//! each instance, which shows which instance sent a part.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/testkit/src/fault_injection/mod.rs
+++ b/crates/testkit/src/fault_injection/mod.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// Locks a mutex, also one that a panic has poisoned: the verdict needs the data all the same.
+/// Locks a mutex, also one that a panic has poisoned: the verdict needs the data in either case.
 pub fn lock_ignoring_poison<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/testkit/src/fault_injection/rules.rs
+++ b/crates/testkit/src/fault_injection/rules.rs
@@ -64,7 +64,7 @@
     /// An instance was stopped (SIGSTOP): start, end, instance.
     pub pauses: Vec<(u64, u64, String)>,
     pub samples: Vec<Sample>,
-    /// Exits of instances that nothing asked for, or with an unexpected result.
+    /// Exits of instances that no step caused, or with an unexpected status.
     pub crashes: Vec<String>,
     /// Lines of the instances' logs that must not occur.
     pub forbidden_log_lines: Vec<String>,
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -244,8 +244,8 @@
 }
 
 impl Deployment {
-    /// Starts it. `flight` holds entries of the operator file's `flight` section that are added to or replace
-    /// `listen` and `hosts`; `change` edits the platform's configuration file last.
+    /// Starts the deployment. `flight` holds entries of the operator file's `flight` section that are added to or
+    /// replace `listen` and `hosts`; `change` edits the platform's configuration file last.
     pub fn start(script: columns::Script, flight: Value, change: impl FnOnce(&mut Value)) -> Self {
         Self::start_with_tls(script, flight, None, change)
     }
@@ -307,7 +307,7 @@
     }
 }
 
-/// Plays the steps of a scenario and keeps what they need of one another.
+/// Plays the steps of a scenario, and keeps the state that later steps refer to.
 struct ScenarioRunner {
     protocol: Protocol,
     program: Program,
