--- a/crates/mallowgauge/tests/upstream_crossings.rs
+++ b/crates/mallowgauge/tests/upstream_crossings.rs
@@ -403,9 +403,14 @@
     let mut backend = accept(&test_bed.backends[0]);
     answer_next_part(&mut backend);
     assert_eq!(response_status(&mut client), 200);
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_millis() as u64;
-    discovery.send_endpoint_list(2, false, &[with_start_time(test_bed.endpoint(0, "active"), now + 1)]);
+    let unix_ms = || SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_millis() as u64;
+    let start_ms = unix_ms() + 1;
+    discovery.send_endpoint_list(2, false, &[with_start_time(test_bed.endpoint(0, "active"), start_ms)]);
     test_bed.wait_for_log("backend s-0 is Ready");
+    // A backend whose start is still ahead is warming up, and the query would be rejected.
+    while unix_ms() <= start_ms + 1 {
+        std::thread::sleep(Duration::from_millis(1));
+    }
     client.send(query("2", "place-hold", 3_000, &[0]));
     answer_next_part(&mut accept(&test_bed.backends[0]));
     assert_eq!(response_status(&mut client), 200);
