--- a/Makefile
+++ b/Makefile
@@ -1,11 +1,11 @@
-# What people do here, by name.
+# Common development tasks.
 .PHONY: build test lint run demo demo-flight bench-flight bench-phases test-phases trial trial-long trial-figures test-register \
 	trial-handover trial-planted sites
 
 build:
 	cargo build --release --locked
 
-# ARGS goes on to cargo test.
+# Runs all tests; ARGS is passed on to cargo test.
 test:
 	cargo test --workspace --locked $(ARGS)
 
@@ -14,64 +14,70 @@
 	cargo clippy --workspace --locked --all-targets -- -D warnings
 	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked
 
-# RELAY_CONFIG names the platform's file; OPERATOR=deploy/flight.json sets up the Flight front.
+# Runs the program. RELAY_CONFIG names the platform's configuration file; OPERATOR=deploy/flight.json enables the
+# Flight frontend.
 run: build
 	exec target/release/mallowgauge $(OPERATOR)
 
-# Lays the bench's names beside the sites of deploy/sites; a site and they are read from one folder.
+# Copies the simulator's common files to deploy/sites: it reads a site's file and these from one directory.
 KIT ?= ../given/kit
 sites:
 	install -m 644 $(KIT)/sites/real.json $(KIT)/sites/wire.json $(KIT)/sites/design.json $(KIT)/sites/unlock.txt deploy/sites
 
-# The program with stand-in hosts and discovery on loopback; a query over HTTP and one over Flight.
+# Runs the program with stand-in backends and discovery on loopback, and sends a query over HTTP and one over Flight.
 demo: build
 	cargo run --release --locked -q -p mallowgauge-testkit --bin demo
 
-# What column tables cost through the program, beside text and beside reading hosts directly; takes minutes.
+# Measures the cost of column tables through the program, compared with text and with reading the backends directly;
+# takes several minutes.
 bench-flight: build
 	cargo run --release --locked -q -p mallowgauge-testkit --bin bench-flight
 
-# The Python and the Rust example against a program with stand-in hosts; wants pyarrow (pip install pyarrow).
+# Runs the Python and the Rust example client against the program with stand-in backends; requires pyarrow
+# (pip install pyarrow).
 demo-flight: build
 	cargo build --release --locked -q -p mallowgauge-flight-example
 	cargo run --release --locked -q -p mallowgauge-testkit --bin demo -- python3 clients/python/flight_example.py grpc://ADDR
 	cargo run --release --locked -q -p mallowgauge-testkit --bin demo -- target/release/mallowgauge-flight-example http://ADDR
 
-# Two-phase searches beside single-phase ones; takes about five minutes.
+# Compares two-phase with single-phase queries; takes about five minutes.
 bench-phases: build
 	cargo run --release --locked -q -p mallowgauge-testkit --bin bench-phases
 
-# The plan against its model, in 100,000 random cases.
+# Tests the planning of two-phase queries against a model in 100,000 random cases.
 test-phases:
 	PHASES_CASES=100000 cargo test --release --locked -p mallowgauge-core --test two_phase
 
-# Several real processes with faults between them: every plan file; takes about two minutes.
+# Runs every fault-injection plan of trials/ with several real processes; takes about two minutes.
 trial: build
 	cargo build --release --locked -q -p mallowgauge-lab
 	target/release/mallowgauge-lab fleet run trials
 
-# Plans from 200 seeds, five processes each.
+# Runs the random plans of 200 seeds, with five processes each.
 trial-long: build
 	cargo build --release --locked -q -p mallowgauge-lab
 	target/release/mallowgauge-lab fleet replay 1 --count 200 --jobs 4
 
-# How soon a loss is known, what an idle fleet sends, what the section costs; wants an idle machine.
+# Measures failure detection times, the traffic of an idle cluster, and the cost per query of the section `fleet`;
+# requires an idle machine.
 trial-figures: build
 	cargo build --release --locked -q -p mallowgauge-lab
 	target/release/mallowgauge-lab fleet measure
 	target/release/mallowgauge-lab fleet cost
 
-# The register of a query under every order of events: a fleet of one owner and a rival whole, others by random walks.
+# Checks the register of a query in a model: all orders of events for an owner and one competitor, random walks for
+# larger models. Then tests takeover with 20,000 random seeds.
 test-register:
 	REGISTER_WALKS=200 cargo test --release --locked -p mallowgauge-cluster --test register_model -- --include-ignored --nocapture
 	TAKEOVER_SEEDS=20000 cargo test --release --locked -p mallowgauge-cluster --test takeover
 
-# Five processes, 2,000 kills, halts and cuts under load, 100,000 holds counted at the hosts; takes about a quarter of an hour.
+# Injects 2,000 kills, stops and link faults into clusters of five processes under load, and checks at the backends that
+# none of 100,000 non-idempotent queries was executed twice; takes about 15 minutes.
 trial-handover: build
 	cargo build --release --locked -q -p mallowgauge-lab
 	target/release/mallowgauge-lab fleet storm --faults 2000 --holds 100000
 
-# A program with a promise broken on purpose, one after the other: each has to be caught.
+# Runs the program with one injected fault after the other; the checks of the trials have to detect each of them.
 trial-planted: build
 	cargo build --release --locked -q -p mallowgauge-lab
 	cargo build --release --locked -q -p mallowgauge --features planted --target-dir target/planted
--- a/clients/python/flight_example.py
+++ b/clients/python/flight_example.py
@@ -1,5 +1,8 @@
-"""Asks a mallowgauge over Arrow Flight with pyarrow: a search, a hold asked for twice, holds in bulk, an
-exchange. `python3 flight_example.py grpc://127.0.0.1:8815 [USER PASSWORD]`; `pip install pyarrow` first."""
+"""Example client of mallowgauge over Arrow Flight: a search, a non-idempotent query that is sent twice under one id,
+a batch of such queries with DoPut, and tagged queries with DoExchange.
+
+Usage: `python3 flight_example.py grpc://127.0.0.1:8815 [USER PASSWORD]`. Requires pyarrow (`pip install pyarrow`).
+"""
 
 import json
 import sys
@@ -9,24 +12,25 @@
 import pyarrow.flight as fl
 
 
-def command(kind, shards, **more):
-    return {"kind": kind, "id": uuid.uuid4().hex[:16], "ranges": shards, "predicate": "c41e77d0", **more}
+def command(kind, shards):
+    """The command of a query, to be sent as JSON."""
+    return {"kind": kind, "id": uuid.uuid4().hex[:16], "ranges": shards, "predicate": "c41e77d0"}
 
 
-def ask(client, wish, options):
-    """The rows of a query, and whether they are all of them."""
-    info = client.get_flight_info(fl.FlightDescriptor.for_command(json.dumps(wish)), options)
-    tables, whole = [], True
+def run_query(client, query, options):
+    """Sends a query and fetches its answer. Returns the rows, and whether the answer is complete."""
+    info = client.get_flight_info(fl.FlightDescriptor.for_command(json.dumps(query)), options)
+    tables, complete = [], True
     for endpoint in info.endpoints:
-        reader, last = client.do_get(endpoint.ticket, options), None
+        reader, last_metadata = client.do_get(endpoint.ticket, options), None
         for chunk in reader:
             if chunk.data is not None:
                 tables.append(pa.Table.from_batches([chunk.data]))
             if chunk.app_metadata is not None:
-                last = json.loads(chunk.app_metadata.to_pybytes())
-        # Only the last message says it; a stream that was cut short has none and raises.
-        whole = whole and last["total"]
-    return pa.concat_tables(tables).unify_dictionaries(), whole
+                last_metadata = json.loads(chunk.app_metadata.to_pybytes())
+        # Only the last message states whether the answer is complete. A truncated stream raises an error.
+        complete = complete and last_metadata["total"]
+    return pa.concat_tables(tables).unify_dictionaries(), complete
 
 
 def main():
@@ -36,13 +40,14 @@
         token = client.authenticate_basic_token(sys.argv[2], sys.argv[3])
         options = fl.FlightCallOptions(timeout=3.0, headers=[token])
 
-    rows, whole = ask(client, command("search", [0, 1, 2]), options)
-    print(f"search: {rows.num_rows} rows, columns {rows.column_names}, whole: {whole}")
+    rows, complete = run_query(client, command("search", [0, 1, 2]), options)
+    print(f"search: {rows.num_rows} rows, columns {rows.column_names}, complete: {complete}")
 
+    # A client that loses an answer sends the query again under the same id; it is executed only once.
     hold = command("place-hold", [0])
-    first, _ = ask(client, hold, options)
-    second, _ = ask(client, hold, options)
-    print(f"hold asked for twice under one id: the same outcome: {first.equals(second)}")
+    first, _ = run_query(client, hold, options)
+    second, _ = run_query(client, hold, options)
+    print(f"hold sent twice under one id, same outcome: {first.equals(second)}")
 
     holds = pa.table({
         "id": [uuid.uuid4().hex[:16] for _ in range(3)],
@@ -55,7 +60,7 @@
     writer.done_writing()
     for _ in range(3):
         result = json.loads(results.read().to_pybytes())
-        print(f"hold in bulk: row {result['row']}: {result['status']}")
+        print(f"batch of holds: row {result['row']}: {result['status']}")
     writer.close()
 
     writer, reader = client.do_exchange(fl.FlightDescriptor.for_command("{}"), options)
@@ -64,15 +69,15 @@
     writer.done_writing()
     for chunk in reader:
         if chunk.app_metadata is not None:
-            said = json.loads(chunk.app_metadata.to_pybytes())
-            if "status" in said:
-                print(f"exchange: {said['tag']}: {said['status']}")
+            metadata = json.loads(chunk.app_metadata.to_pybytes())
+            if "status" in metadata:
+                print(f"exchange: {metadata['tag']}: {metadata['status']}")
     writer.close()
 
     try:
         client.get_flight_info(fl.FlightDescriptor.for_command(b'{"kind": "browse"}'), options)
-    except pa.ArrowInvalid as e:
-        print(f"a class that is not: {str(e).split('.')[0]}")
+    except pa.ArrowInvalid as error:
+        print(f"unknown class: {str(error).split('.')[0]}")
     for action in client.list_actions(options):
         print(f"action {action.type}")
 
